--- a/src/batch/attempt.ts
+++ b/src/batch/attempt.ts
@@ -42,7 +42,7 @@
   if (answer.kind === "not_run") return { end: "not_run", againMs: answer.againMs };
   if (answer.kind === "may_have_run") return { end: "may_have_run", againMs: 0 };
   if (answer.kind === "refused") return { end: "failed", againMs: 0 };
-  if (answer.answer.body.length > bounds.MOST_RESULT_BYTES) {
+  if (answer.answer.body.length > bounds.MAX_RESULT_BYTES) {
     log.count("batch.result_too_large");
     return { end: "failed", againMs: 0 };
   }
--- a/src/batch/items.ts
+++ b/src/batch/items.ts
@@ -15,9 +15,9 @@
 const STATE_AT = 0;
 const FAILURES_AT = 1;
 const ATTEMPT_AT = 2;
-const MOST_BYTE = 255;
+const MAX_BYTE = 255;
 /** An item that was sent so often, and never ran, is given up. */
-export const MOST_ATTEMPTS = 60_000;
+export const MAX_ATTEMPTS = 60_000;
 
 /** One item, unpacked. */
 export interface Item {
@@ -52,7 +52,7 @@
   const made = Buffer.from(packed);
   const at = index * BYTES_PER_ITEM;
   made.writeUInt8(STATES.indexOf(item.state), at + STATE_AT);
-  made.writeUInt8(Math.min(MOST_BYTE, item.failures), at + FAILURES_AT);
+  made.writeUInt8(Math.min(MAX_BYTE, item.failures), at + FAILURES_AT);
   made.writeUInt16BE(item.attempt, at + ATTEMPT_AT);
   return made;
 }
--- a/src/batch/projection.ts
+++ b/src/batch/projection.ts
@@ -13,7 +13,7 @@
 export const QUANTILES = 11;
 /** A part of an item that counts as none, and the shortest span of a play. */
 const NOTHING = 1e-6;
-const LEAST_SPAN_MS = 1;
+const MIN_SPAN_MS = 1;
 /** The owner changes the table at most so often (owner.ts). */
 const CHANGES_PER_S = 2.8;
 
@@ -103,7 +103,7 @@
 }
 
 function ownerSupply(): Supply {
-  return { region: "", places: trickles.MOST_AT_WORK, readPerMs: Infinity, startsPerMs: (trickles.MOST_SENDS * CHANGES_PER_S) / 1000 };
+  return { region: "", places: trickles.MAX_AT_WORK, readPerMs: Infinity, startsPerMs: (trickles.MAX_SENDS * CHANGES_PER_S) / 1000 };
 }
 
 /** The first moment of the grid whose step reaches beyond the time. */
@@ -152,5 +152,5 @@
 function nextSpan(left: readonly number[], rates: readonly number[], mostMs: number): number {
   let spanMs = mostMs;
   for (const [index, rate] of rates.entries()) if (rate > 0) spanMs = Math.min(spanMs, left[index] / rate);
-  return Math.max(spanMs, Math.min(mostMs, LEAST_SPAN_MS));
+  return Math.max(spanMs, Math.min(mostMs, MIN_SPAN_MS));
 }
--- a/src/batch/records.ts
+++ b/src/batch/records.ts
@@ -38,7 +38,7 @@
     try {
       const isNew = !this.opened.has(key.digest);
       const file = await this.fileOf(key.digest);
-      if (!file.has(key) && (await this.bytes()) + body.length > bounds.MOST_BYTES) return false;
+      if (!file.has(key) && (await this.bytes()) + body.length > bounds.MAX_BYTES) return false;
       await file.append(key, body);
       if (isNew) await this.folder.sync();
       return true;
--- a/src/batch/replicas.ts
+++ b/src/batch/replicas.ts
@@ -16,7 +16,7 @@
 const PUT_MS = 2000;
 const GET_MS = 1500;
 /** Records fetched from others in one turn of repair. */
-const MOST_FETCHED = 32;
+const MAX_FETCHED = 32;
 
 /** The voters of the batch register, as this node reaches them. */
 export interface Voters {
@@ -122,7 +122,7 @@
     if (this.voters.disk === "") return;
     let fetched = 0;
     for (const key of recordsOf(table)) {
-      if (fetched >= MOST_FETCHED) return;
+      if (fetched >= MAX_FETCHED) return;
       if (await this.own.has(key)) continue;
       fetched += 1;
       const found = await this.find(key);
--- a/src/batch/sender.ts
+++ b/src/batch/sender.ts
@@ -48,7 +48,7 @@
     headers: headersOf(route, item, to.pass),
     body: item.body === "" ? undefined : Buffer.from(item.body),
     withinMs: longestMs(route),
-    mostBytes: 2 * bounds.MOST_RESULT_BYTES,
+    mostBytes: 2 * bounds.MAX_RESULT_BYTES,
     onConnect(): void {
       wasSent = true;
     },
--- a/src/batch/submission.ts
+++ b/src/batch/submission.ts
@@ -8,8 +8,8 @@
 import type * as errors from "../startup/errors.js";
 import * as bounds from "./bounds.js";
 
-const MOST_KEY = 64;
-const MOST_WITHIN_S = 7 * 24 * 3600;
+const MAX_KEY = 64;
+const MAX_WITHIN_S = 7 * 24 * 3600;
 const name = superstruct.nonempty(superstruct.string());
 const count = superstruct.min(superstruct.integer(), 0);
 const prompt = superstruct.pattern(superstruct.string(), /^([0-9a-fA-F]+:\d+(,[0-9a-fA-F]+:\d+)*)?$/);
@@ -24,13 +24,13 @@
   body: superstruct.defaulted(superstruct.string(), ""),
 });
 
-const finishWithin = superstruct.defaulted(superstruct.max(superstruct.min(superstruct.number(), 0), MOST_WITHIN_S), 0);
+const finishWithin = superstruct.defaulted(superstruct.max(superstruct.min(superstruct.number(), 0), MAX_WITHIN_S), 0);
 const homes = superstruct.defaulted(superstruct.array(name), []);
 
 const submission = superstruct.object({
-  key: superstruct.size(superstruct.string(), 1, MOST_KEY),
+  key: superstruct.size(superstruct.string(), 1, MAX_KEY),
   route: name,
-  items: superstruct.size(superstruct.array(item), 1, bounds.MOST_ITEMS),
+  items: superstruct.size(superstruct.array(item), 1, bounds.MAX_ITEMS),
   finish_within_s: finishWithin,
   homes,
 });
@@ -38,7 +38,7 @@
 /** A batch that is only asked about: sizes stand for the items. */
 const outline = superstruct.object({
   route: name,
-  count: superstruct.max(superstruct.min(superstruct.integer(), 1), bounds.MOST_ITEMS),
+  count: superstruct.max(superstruct.min(superstruct.integer(), 1), bounds.MAX_ITEMS),
   shared_tokens: superstruct.defaulted(count, 0),
   prompt_tokens: superstruct.defaulted(count, 0),
   tokens_out: superstruct.defaulted(count, 0),
@@ -57,8 +57,8 @@
 
 /** A submission from its bytes. */
 export function parse(bytes: Buffer): Checked<Submission> {
-  if (bytes.length > bounds.MOST_SUBMISSION_BYTES)
-    return check.invalid("body", `it is over ${bounds.MOST_SUBMISSION_BYTES} bytes`, "split the batch into smaller ones");
+  if (bytes.length > bounds.MAX_SUBMISSION_BYTES)
+    return check.invalid("body", `it is over ${bounds.MAX_SUBMISSION_BYTES} bytes`, "split the batch into smaller ones");
   return check.parseJson(bytes).andThen(checkSubmission);
 }
 
@@ -136,6 +136,6 @@
 export function reservedBytes(bytes: Buffer, from: Submission): number {
   let sum = bytes.length;
   for (const one of from.items)
-    sum += Math.min(bounds.MOST_RESULT_BYTES, bounds.RESULT_BASE_BYTES + bounds.RESULT_BYTES_PER_TOKEN * one.tokens_out);
+    sum += Math.min(bounds.MAX_RESULT_BYTES, bounds.RESULT_BASE_BYTES + bounds.RESULT_BYTES_PER_TOKEN * one.tokens_out);
   return sum;
 }
--- a/src/batch/trickle.ts
+++ b/src/batch/trickle.ts
@@ -14,9 +14,9 @@
 /** A send is in the reports after so long, in milliseconds. */
 export const UNREPORTED_MS = 1000;
 /** Sends of one change of the table, and attempts under way together. */
-export const MOST_SENDS = 48;
+export const MAX_SENDS = 48;
 /** Attempts under way together. */
-export const MOST_AT_WORK = 256;
+export const MAX_AT_WORK = 256;
 
 /** One service in one region, by the newest reports. */
 export interface CellRoom {
--- a/src/batch/worklist.ts
+++ b/src/batch/worklist.ts
@@ -66,7 +66,7 @@
       count += 1;
       if (now - sentAt <= trickles.UNREPORTED_MS) add(unreported, cellKey(service, region));
     }
-    const most = Math.min(trickles.MOST_SENDS, trickles.MOST_AT_WORK - count);
+    const most = Math.min(trickles.MAX_SENDS, trickles.MAX_AT_WORK - count);
     const round = { unreported, budgets: new Map<string, number>(), sends: [], most };
     for (const batch of tables.openBatches(table)) this.fill(batch, round);
     return round.sends;
--- a/src/config/change.ts
+++ b/src/config/change.ts
@@ -22,7 +22,7 @@
  * The bound on a configuration, as JSON without spaces. The feed sends it as items, each with its name once more, so
  * that a view is at most twice as large, and fits a frame.
  */
-export const MOST_DOCUMENT_BYTES = (link.MOST_BYTES - FRAME_REST_BYTES) / 2;
+export const MAX_DOCUMENT_BYTES = (link.MAX_BYTES - FRAME_REST_BYTES) / 2;
 
 function lostRace(base: number, value: schema.Value): Made {
   return result.err(
@@ -47,11 +47,11 @@
 /** The configuration as it is kept, or the error that names its size. */
 function packed(document: unknown): result.Result<Buffer, errors.CranewindError> {
   const text = Buffer.from(JSON.stringify(document));
-  if (text.length <= MOST_DOCUMENT_BYTES) return result.ok(registers.packText(text));
+  if (text.length <= MAX_DOCUMENT_BYTES) return result.ok(registers.packText(text));
   return result.err(
     errors.fail(
       "too_large",
-      `the configuration comes to ${text.length} bytes, the bound is ${MOST_DOCUMENT_BYTES}`,
+      `the configuration comes to ${text.length} bytes, the bound is ${MAX_DOCUMENT_BYTES}`,
       "remove routes or services, or send shorter ones",
     ),
   );
--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -23,7 +23,7 @@
 
 const CHANGE_MS = 2600;
 /** Results told by one call. */
-const MOST_RESULTS = 100;
+const MAX_RESULTS = 100;
 
 /** What the calls are answered with. */
 export interface BatchDependencies {
@@ -166,7 +166,7 @@
     if (read.isErr) return serve.errorReply(read.error);
     const table = read.value;
     const batches = table.batches.map((batch) => accountOf(table, batch));
-    return { status: 200, json: { batches, bounds: { open: bounds.MOST_OPEN, items: bounds.MOST_ITEMS, bytes: bounds.MOST_BYTES } } };
+    return { status: 200, json: { batches, bounds: { open: bounds.MAX_OPEN, items: bounds.MAX_ITEMS, bytes: bounds.MAX_BYTES } } };
   }
 
   private async read(): Promise<result.Result<batchSchema.BatchTable, Denied>> {
@@ -185,7 +185,7 @@
     const found = await this.needs.replicas.find({ digest: batch.digest, ...records.SUBMISSION });
     const submission = found.kind === "found" ? submissions.parse(found.body) : null;
     if (!submission?.isOk) return serve.errorReply(unread(number));
-    const end = Math.min(items.countOf(batch.items), from + MOST_RESULTS);
+    const end = Math.min(items.countOf(batch.items), from + MAX_RESULTS);
     const told: object[] = [];
     for (let index = from; index < end; index += 1) told.push(await this.resultOf(batch, index, submission.value.items[index].id));
     return { status: 200, json: { number, from, items: told, next: end < items.countOf(batch.items) ? end : null } };
--- a/src/control/directory/directory.ts
+++ b/src/control/directory/directory.ts
@@ -3,7 +3,7 @@
 import type * as shrinkGuards from "../members/shrink-guard.js";
 import * as serve from "../../wire/serve.js";
 
-const MOST_ADDRESSES = 64;
+const MAX_ADDRESSES = 64;
 const TTL_S = 1;
 
 /** Where routers stand: a region of each zone, and the members known. */
@@ -31,7 +31,7 @@
   if (chosen.length === 0) {
     return { status: 503, headers: { "Retry-After": "0.2" }, json: { message: "no router is known yet; ask again shortly" } };
   }
-  const addresses = chosen.slice(0, MOST_ADDRESSES).map(outsideOf);
+  const addresses = chosen.slice(0, MAX_ADDRESSES).map(outsideOf);
   return { status: 200, json: { addresses, ttl_s: Math.min(TTL_S, view.ttlMostS) } };
 }
 
--- a/src/control/members/roster.ts
+++ b/src/control/members/roster.ts
@@ -4,7 +4,7 @@
 import * as shares from "../../shares/shares.js";
 
 /** Differences reach back so many removals; whoever is further behind gets the whole. */
-const MOST_GONE = 1024;
+const MAX_GONE = 1024;
 /** Epochs that moved are told so many a beat, whatever the number of routers. */
 const EPOCHS_A_BEAT = 2;
 
@@ -69,7 +69,7 @@
     this.digest -= entry.hash;
     this.entries.delete(name);
     this.gone.push({ name, number: this.number });
-    while (this.gone.length > MOST_GONE) this.oldest = this.gone.shift()!.number;
+    while (this.gone.length > MAX_GONE) this.oldest = this.gone.shift()!.number;
   }
 
   private updateLeaving(leaving: Iterable<string>): void {
--- a/src/control/members/shrink-guard.ts
+++ b/src/control/members/shrink-guard.ts
@@ -5,7 +5,7 @@
 
 const AT_ONCE_MS = 1000;
 const HOLD_MS = 2000;
-const LEAST_LOST = 3;
+const MIN_LOST = 3;
 const MUCH_SHARE = 1 / 3;
 
 interface Lost {
@@ -47,7 +47,7 @@
   }
 
   private judge(now: number, heard: number): void {
-    const isMuch = this.lost.size >= LEAST_LOST && this.lost.size > (heard + this.lost.size) * MUCH_SHARE;
+    const isMuch = this.lost.size >= MIN_LOST && this.lost.size > (heard + this.lost.size) * MUCH_SHARE;
     if (!this.isHolding && isMuch) {
       this.until = now + HOLD_MS;
       log.count("members.doubted");
--- a/src/control/operator/order-forwarder.ts
+++ b/src/control/operator/order-forwarder.ts
@@ -28,11 +28,11 @@
 /** After an order without an answer, the other node gets none for so long. */
 const AVOID_MS = 5000;
 /** An order goes on to so many nodes at most, the next one once the first is not heard any more. */
-const MOST_FORWARDS = 2;
+const MAX_FORWARDS = 2;
 /** Larger orders are proposed where they arrive. */
-const MOST_BODY_BYTES = 1024 * 1024;
+const MAX_BODY_BYTES = 1024 * 1024;
 /** Nothing is decided by answers from here on. */
-const LEAST_UNDECIDED_STATUS = 500;
+const MIN_UNDECIDED_STATUS = 500;
 
 /** Stands between the redirector and the operator's calls of one control node. */
 export class OrderForwarder {
@@ -62,7 +62,7 @@
   /** Replies as `next` does, here or at the proposer of all. */
   async reply(asked: serve.Asked): Promise<serve.Told> {
     if (!isOrder(asked)) return this.next(asked);
-    for (let attempt = 0; attempt < MOST_FORWARDS; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_FORWARDS; attempt += 1) {
       const proposer = this.proposerOfAll();
       if (!proposer) break;
       const told = await this.forward(proposer, asked);
@@ -103,7 +103,7 @@
     const order = { path: asked.path, base: typeof base === "string" ? base : "", body: asked.body };
     const call = proposer.link.call(calls.order, order, FORWARD_MS);
     const answer = await Promise.race([call, this.silence(proposer, call)]);
-    if (answer && answer.status < LEAST_UNDECIDED_STATUS) return { status: answer.status, json: JSON.parse(answer.json) as unknown };
+    if (answer && answer.status < MIN_UNDECIDED_STATUS) return { status: answer.status, json: JSON.parse(answer.json) as unknown };
     log.count("operator.forward_failed");
     this.avoided = proposer.node.name;
     this.avoidedUntil = this.world.now() + AVOID_MS;
@@ -129,5 +129,5 @@
 }
 
 function isOrder(asked: serve.Asked): boolean {
-  return asked.method === "POST" && asked.body.length <= MOST_BODY_BYTES && paths.isOrder(asked.path);
+  return asked.method === "POST" && asked.body.length <= MAX_BODY_BYTES && paths.isOrder(asked.path);
 }
--- a/src/control/operator/redirect.ts
+++ b/src/control/operator/redirect.ts
@@ -12,7 +12,7 @@
 const FIRST_MS = 800;
 const RETRY_AFTER_S = "0.3";
 /** At most so many nodes are remembered as confirmed before. */
-const MOST_REMEMBERED = 16;
+const MAX_REMEMBERED = 16;
 
 /** Where a call may be sent on to. */
 interface Destination {
@@ -98,7 +98,7 @@
   private note(name: string, outside: string): void {
     this.remembered.delete(name);
     this.remembered.set(name, { name, outside });
-    if (this.remembered.size > MOST_REMEMBERED) this.remembered.delete(this.remembered.keys().next().value!);
+    if (this.remembered.size > MAX_REMEMBERED) this.remembered.delete(this.remembered.keys().next().value!);
   }
 
   private isConfirmedNow(control: dialers.Control): boolean {
--- a/src/control/platform/watcher.ts
+++ b/src/control/platform/watcher.ts
@@ -13,7 +13,7 @@
 const PERIOD_MS = 700;
 const STEP_MS = 700;
 const CALL_MS = 900;
-const MOST_PAGES = 200;
+const MAX_PAGES = 200;
 
 interface Page {
   instances?: unknown[];
@@ -135,7 +135,7 @@
   private async readAll(): Promise<schema.Instance[] | null> {
     const found: schema.Instance[] = [];
     let token: string | null = null;
-    for (let page = 0; page < MOST_PAGES; page += 1) {
+    for (let page = 0; page < MAX_PAGES; page += 1) {
       // Pages keep to half of the rate that all nodes share.
       if (page > 0) await world.sleep(this.world, 2000 / this.ratePerS);
       this.client ??= http.open(this.address, { connectMs: CALL_MS, idleMs: 4000 });
--- a/src/feed/dialer.ts
+++ b/src/feed/dialer.ts
@@ -13,12 +13,12 @@
 
 const CONNECT_MS = 900;
 const FIRST_PAUSE_MS = 150;
-const MOST_PAUSE_MS = 1500;
+const MAX_PAUSE_MS = 1500;
 /** The same between control nodes, which are few: nothing is confirmed until a majority of them is in touch again (*ours*). */
-const MOST_PEER_PAUSE_MS = 400;
+const MAX_PEER_PAUSE_MS = 400;
 /** A dial of a control node under way for so long gets another beside it. */
 const STALE_DIAL_MS = 400;
-const MOST_LINKS = 16;
+const MAX_LINKS = 16;
 /** Retries of one that is not needed now. */
 const CALM_PAUSE_MS = 6000;
 /** A region whose control nodes were all silent for so long is cut off from here. */
@@ -142,7 +142,7 @@
   }
 
   private begin(address: string, target: Target): void {
-    if (this.isOver || this.controls.size >= MOST_LINKS) return;
+    if (this.isOver || this.controls.size >= MAX_LINKS) return;
     if (target.state === "dialing") target.failures += 1;
     target.state = "dialing";
     target.dialedAt = this.world.now();
@@ -179,8 +179,8 @@
   }
 
   private mostPauseMs(): number {
-    if (!this.selector) return MOST_PEER_PAUSE_MS;
-    return this.selector.hasEnough ? CALM_PAUSE_MS : MOST_PAUSE_MS;
+    if (!this.selector) return MAX_PEER_PAUSE_MS;
+    return this.selector.hasEnough ? CALM_PAUSE_MS : MAX_PAUSE_MS;
   }
 
   private pause(target: Target): void {
--- a/src/feed/feed.ts
+++ b/src/feed/feed.ts
@@ -15,8 +15,8 @@
 import * as log from "../startup/log.js";
 import * as keyed from "./keyed.js";
 
-const MOST_TOMBSTONES = 512;
-const MOST_MARKS = 64;
+const MAX_TOMBSTONES = 512;
+const MAX_MARKS = 64;
 
 /** How a topic is followed. */
 export type Mode = "items" | "notices" | "once" | "none";
@@ -49,14 +49,14 @@
       this.numbers.set(key, this.number);
     }
     for (const [key, number] of this.tombstones) {
-      if (this.tombstones.size <= MOST_TOMBSTONES) break;
+      if (this.tombstones.size <= MAX_TOMBSTONES) break;
       this.tombstones.delete(key);
       this.floor = number;
     }
     this.marks.delete(plan.digest);
     this.marks.set(plan.digest, this.number);
     for (const digest of this.marks.keys()) {
-      if (this.marks.size <= MOST_MARKS) break;
+      if (this.marks.size <= MAX_MARKS) break;
       this.marks.delete(digest);
     }
   }
--- a/src/feed/session-selector.ts
+++ b/src/feed/session-selector.ts
@@ -5,7 +5,7 @@
 import type * as links from "./control-link.js";
 
 /** Control nodes that a router holds sessions with. */
-export const MOST_SESSIONS = 3;
+export const MAX_SESSIONS = 3;
 /** Fewer than these left: a replacement is dialled at once. */
 const ENOUGH = 2;
 const REPLACE_MS = 600;
@@ -44,7 +44,7 @@
 }
 
 /**
- * The own region's best, the best of another region, then the best of the rest, up to MOST_SESSIONS. Weights come from all that
+ * The own region's best, the best of another region, then the best of the rest, up to MAX_SESSIONS. Weights come from all that
  * are known, usable or not: one that is lost then moves nobody but those that held it.
  */
 export function choose(places: readonly Place[], self: Self, known: readonly Place[] = places): Set<string> {
@@ -54,7 +54,7 @@
   if (own) chosen.add(own.address);
   const other = ranked.find(isOther);
   if (other) chosen.add(other.address);
-  for (const { address } of ranked) if (chosen.size < MOST_SESSIONS) chosen.add(address);
+  for (const { address } of ranked) if (chosen.size < MAX_SESSIONS) chosen.add(address);
   return chosen;
   function isOwn(place: Place): boolean {
     return place.region === self.region;
@@ -121,10 +121,10 @@
       return;
     }
     const goal = choose(counted, this.self, all);
-    const isShort = goal.size < Math.min(MOST_SESSIONS, all.length);
+    const isShort = goal.size < Math.min(MAX_SESSIONS, all.length);
     const ideal = choose(all, this.self);
-    this.hasEnough = good >= MOST_SESSIONS;
-    const urgency = good < ENOUGH ? AT_ONCE : good < MOST_SESSIONS ? TO_REPLACE : TO_MOVE;
+    this.hasEnough = good >= MAX_SESSIONS;
+    const urgency = good < ENOUGH ? AT_ONCE : good < MAX_SESSIONS ? TO_REPLACE : TO_MOVE;
     for (const [address, target] of targets) {
       const isWanted = isShort || goal.has(address) || ideal.has(address);
       if (target.state === "idle") this.setDue(target, isWanted ? urgency : NOT_DUE);
--- a/src/forecast/errors.ts
+++ b/src/forecast/errors.ts
@@ -12,7 +12,7 @@
 const USUAL = [-0.6, -0.4, -0.25, -0.15, -0.05, 0, 0.05, 0.15, 0.25, 0.4, 0.6];
 
 /** One forecast that was wholly wrong says no more than one that was off by this, as a logarithm (*ours*). */
-const MOST_RATIO = 1.2;
+const MAX_RATIO = 1.2;
 
 /** Logarithms of seen / expected, the newest of one horizon. */
 export class RatioErrors {
@@ -21,7 +21,7 @@
   /** Both above 0; others teach nothing. */
   learn(expected: number, seen: number): void {
     if (expected <= 0 || seen <= 0 || !Number.isFinite(expected) || !Number.isFinite(seen)) return;
-    this.ratios.push(Math.min(MOST_RATIO, Math.max(-MOST_RATIO, Math.log(seen / expected))));
+    this.ratios.push(Math.min(MAX_RATIO, Math.max(-MAX_RATIO, Math.log(seen / expected))));
     if (this.ratios.length > KEPT) this.ratios.shift();
   }
 
--- a/src/forecast/loads.ts
+++ b/src/forecast/loads.ts
@@ -10,7 +10,7 @@
 /** A day. */
 export const DAY_MS = 24 * 3600 * 1000;
 /** Series held; routes come and go. */
-const MOST_SERIES = 512;
+const MAX_SERIES = 512;
 /** Weight of a newest mean (*ours*). */
 const MEAN_WEIGHT = 0.2;
 /** A series without arrivals for so many steps is dropped. */
@@ -62,7 +62,7 @@
   private entryOf(region: string, route: string): Entry | null {
     const key = `${region}|${route}`;
     let entry = this.entries.get(key);
-    if (!entry && this.entries.size < MOST_SERIES) {
+    if (!entry && this.entries.size < MAX_SERIES) {
       entry = { series: new seriesOf.RateSeries(this.seasonMs), arrivals: 0, idleSteps: 0 };
       this.entries.set(key, entry);
     }
--- a/src/forecast/season.ts
+++ b/src/forecast/season.ts
@@ -7,7 +7,7 @@
 /** What the newest season counts against the earlier ones (*ours*). */
 const NEWEST_WEIGHT = 0.4;
 /** The ratio of two slots is not believed beyond this. */
-const MOST_RATIO = 12;
+const MAX_RATIO = 12;
 
 /** The slots of one series. */
 export class SeasonShape {
@@ -52,8 +52,8 @@
     const from = this.meanAt(fromMs);
     const to = this.meanAt(toMs);
     if (from === null || to === null) return null;
-    if (from <= 0) return to <= 0 ? 1 : MOST_RATIO;
-    return Math.min(MOST_RATIO, to / from);
+    if (from <= 0) return to <= 0 ? 1 : MAX_RATIO;
+    return Math.min(MAX_RATIO, to / from);
   }
 
   /** Between the middles of two slots the mean moves evenly from one to the other. */
--- a/src/metrics/prometheus.ts
+++ b/src/metrics/prometheus.ts
@@ -12,7 +12,7 @@
 import * as vitals from "../startup/vitals.js";
 
 const PREFIX = "cranewind_";
-const MOST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 /** Where the figures are told. */
 export interface Endpoint {
@@ -25,7 +25,7 @@
 export function parseEndpoint(text: string): result.Result<Endpoint, errors.CranewindError> {
   const found = /^(\d{1,5})(\/\S+)$/.exec(text);
   const port = Number(found?.[1]);
-  if (found && port >= 1 && port <= MOST_PORT) return result.ok({ port, path: found[2] });
+  if (found && port >= 1 && port <= MAX_PORT) return result.ok({ port, path: found[2] });
   return result.err(errors.fail("usage", `--metrics ${text} is no PORT/PATH`, "write it like 9464/metrics"));
 }
 
--- a/src/register/contention.ts
+++ b/src/register/contention.ts
@@ -14,8 +14,8 @@
 
 /** How long a change takes, until one was measured, and the bounds on what is believed of it. */
 const FIRST_CHANGE_MS = 200;
-const LEAST_CHANGE_MS = 50;
-const MOST_CHANGE_MS = 800;
+const MIN_CHANGE_MS = 50;
+const MAX_CHANGE_MS = 800;
 /** The newest measurement's part in the mean. */
 const NEWEST_SHARE = 0.3;
 /** A round that lasts longer than this many usual changes was given up, or only read. */
@@ -28,7 +28,7 @@
 const ACTIVE_CHANGES = 8;
 const LISTEN_MS = 10;
 /** The most usual changes that a round waits for others, the first time: reads at many nodes may leave no gap between them. */
-const MOST_WAIT_CHANGES = 6;
+const MAX_WAIT_CHANGES = 6;
 
 interface Round {
   ballot: schema.Ballot;
@@ -69,7 +69,7 @@
   changed(ms: number): void {
     this.ownAt = this.clock.now();
     const mean = this.changeMs + (ms - this.changeMs) * NEWEST_SHARE;
-    this.changeMs = Math.min(MOST_CHANGE_MS, Math.max(LEAST_CHANGE_MS, mean));
+    this.changeMs = Math.min(MAX_CHANGE_MS, Math.max(MIN_CHANGE_MS, mean));
   }
 
   /** Whether another proposer was at work lately. */
@@ -95,7 +95,7 @@
    * `since`: when this node's change began to wait. Who has waited longer listens for a shorter time, and so comes first.
    */
   async clear(since: number, until: number): Promise<void> {
-    const latest = Math.min(until, this.clock.now() + this.shortened(this.changeMs * MOST_WAIT_CHANGES, since));
+    const latest = Math.min(until, this.clock.now() + this.shortened(this.changeMs * MAX_WAIT_CHANGES, since));
     let isWaiting = this.isHogging() || this.isBusy();
     while (isWaiting && this.clock.now() < latest) {
       while (this.isBusy() && this.clock.now() < latest) await world.sleep(this.clock, LISTEN_MS);
--- a/src/register/history.ts
+++ b/src/register/history.ts
@@ -11,7 +11,7 @@
 import * as crypto from "node:crypto";
 
 /** Orders remembered; a base below the oldest of them is unknown territory. */
-export const MOST_ORDERS = 512;
+export const MAX_ORDERS = 512;
 /** Two orders on the same base are mistaken for one another once in 2^64. */
 const DIGEST_BYTES = 8;
 const VARINT_BITS = 128;
@@ -83,7 +83,7 @@
 export function append(history: Buffer, base: number, revision: number, mark: string): Buffer {
   const orders = decode(history);
   orders.push({ base, revision, digest: digestOf(mark) });
-  return encode(orders.slice(-MOST_ORDERS));
+  return encode(orders.slice(-MAX_ORDERS));
 }
 
 /** Whether the order with this mark was taken on this base; `current` is the revision that the history led to. */
--- a/src/register/proposer.ts
+++ b/src/register/proposer.ts
@@ -26,11 +26,11 @@
 export type Outcome = result.Result<schema.Value, errors.CranewindError>;
 
 /** A larger configuration is not sent again within a phase: the link itself repeats what the network loses. */
-const MOST_RESENT_BYTES = 32 * 1024;
+const MAX_RESENT_BYTES = 32 * 1024;
 const FIRST_PAUSE_MS = 40;
-const MOST_PAUSE_MS = 600;
+const MAX_PAUSE_MS = 600;
 /** While others propose and a patient change waits for them: `contention` keeps them apart, so that a longer pause would only let newcomers pass. */
-const MOST_CONTENDED_PAUSE_MS = 50;
+const MAX_CONTENDED_PAUSE_MS = 50;
 
 /** One for each register of a control node. */
 export class Proposer {
@@ -104,7 +104,7 @@
       log.count("register.again");
       await world.sleep(this.clock, pause * (0.2 + 1.6 * this.clock.random()));
       const isKeptApart = isPatient() && this.contention.isActive();
-      pause = Math.min(isKeptApart ? MOST_CONTENDED_PAUSE_MS : MOST_PAUSE_MS, pause * 2);
+      pause = Math.min(isKeptApart ? MAX_CONTENDED_PAUSE_MS : MAX_PAUSE_MS, pause * 2);
     }
     return result.err(errors.fail("no_majority", "no majority of the core replied in time", "send the call again, to any control node"));
   }
@@ -201,7 +201,7 @@
     const { reach, clock } = this;
     const isSetChosen = proposed.former.length === 0 && (read.former.length === 0 || this.isSetChosen(read));
     const votes = new rounds.Votes();
-    const roundTrips = proposed.config.length <= MOST_RESENT_BYTES ? this.roundTrips : undefined;
+    const roundTrips = proposed.config.length <= MAX_RESENT_BYTES ? this.roundTrips : undefined;
     const others = this.targets(read, proposed);
     const joiners = registers.joinersOf(read, proposed);
     for (const voter of joiners) others.delete(voter.disk);
--- a/src/register/release-1.ts
+++ b/src/register/release-1.ts
@@ -8,7 +8,7 @@
 import * as histories from "./history.js";
 
 /** So many orders release 1 remembered; a list that is shorter holds all orders since the first. */
-const MOST_REMEMBERED = 32;
+const MAX_REMEMBERED = 32;
 
 interface Taken {
   revision: number;
@@ -88,7 +88,7 @@
 /** Each order built on the revision that the one before it made; the base of the oldest is known only while none was forgotten. */
 function historyOf(taken: readonly Taken[]): Buffer {
   let history = Buffer.alloc(0);
-  const hasAll = taken.length < MOST_REMEMBERED;
+  const hasAll = taken.length < MAX_REMEMBERED;
   for (const [index, order] of taken.entries()) {
     if (index === 0 && !hasAll) continue;
     const base = index === 0 ? 0 : taken[index - 1].revision;
--- a/src/register/round-trips.ts
+++ b/src/register/round-trips.ts
@@ -2,16 +2,16 @@
 
 /** Before anything was measured. */
 const FIRST_MS = 150;
-const LEAST_MS = 60;
-const MOST_MS = 600;
+const MIN_MS = 60;
+const MAX_MS = 600;
 /** Weights of RFC 6298: of a new sample in the mean, of its distance in the deviation, and deviations added to the mean (*ours*: an early resend costs a few bytes). */
 const MEAN_GAIN = 1 / 8;
 const DEVIATION_GAIN = 1 / 4;
 const DEVIATIONS = 2;
 /** At least so much is added to the mean: small differences are no loss. */
-const LEAST_MARGIN_MS = 30;
+const MIN_MARGIN_MS = 30;
 /** Disks that are remembered; the one measured longest ago makes room. */
-const MOST_DISKS = 64;
+const MAX_DISKS = 64;
 
 interface RoundTrip {
   meanMs: number;
@@ -28,7 +28,7 @@
     this.byDisk.delete(disk);
     this.byDisk.set(disk, known ? smoothed(known, ms) : { meanMs: ms, deviationMs: ms / 2 });
     for (const oldest of this.byDisk.keys()) {
-      if (this.byDisk.size <= MOST_DISKS) break;
+      if (this.byDisk.size <= MAX_DISKS) break;
       this.byDisk.delete(oldest);
     }
   }
@@ -37,7 +37,7 @@
   resendMs(disk: string): number {
     const known = this.byDisk.get(disk);
     if (!known) return FIRST_MS;
-    return Math.min(MOST_MS, Math.max(LEAST_MS, known.meanMs + Math.max(LEAST_MARGIN_MS, DEVIATIONS * known.deviationMs)));
+    return Math.min(MAX_MS, Math.max(MIN_MS, known.meanMs + Math.max(MIN_MARGIN_MS, DEVIATIONS * known.deviationMs)));
   }
 }
 
--- a/src/register/round.ts
+++ b/src/register/round.ts
@@ -10,7 +10,7 @@
 /** The same for disks without a vote yet: a change of voters must not hold up the others for long. */
 export const JOINER_MS = 600;
 /** Requests of one phase to one voter, and how much longer each next one is waited for (*ours*). */
-const MOST_SENDS = 6;
+const MAX_SENDS = 6;
 const RESEND_GROWTH = 1.2;
 
 /** Asks one voter; null: it stays silent. */
@@ -118,7 +118,7 @@
 
   private planResend(asked: Asked): void {
     const { roundTrips } = this.phase;
-    if (!roundTrips || asked.sends >= MOST_SENDS) return;
+    if (!roundTrips || asked.sends >= MAX_SENDS) return;
     const waitMs = roundTrips.resendMs(asked.voter.disk) * RESEND_GROWTH ** (asked.sends - 1);
     asked.resend = this.clock.after(waitMs, this.askAgain.bind(this, asked));
   }
--- a/src/register/voter.ts
+++ b/src/register/voter.ts
@@ -9,7 +9,7 @@
   write(body: Buffer): Promise<void>;
 }
 
-const MOST_PENDING = 64;
+const MAX_PENDING = 64;
 
 interface Waiter {
   resolve(isKept: boolean): void;
@@ -57,7 +57,7 @@
   private sync(): Promise<boolean> {
     if (this.kept === this.state) return Promise.resolve(true);
     const waiters = this.writing?.state === this.state ? this.writing.waiters : this.pending;
-    if (waiters.length >= MOST_PENDING) return Promise.resolve(false);
+    if (waiters.length >= MAX_PENDING) return Promise.resolve(false);
     const done = new Promise<boolean>(function enter(resolve) {
       waiters.push({ resolve });
     });
--- a/src/router/batches.ts
+++ b/src/router/batches.ts
@@ -10,9 +10,9 @@
 import type * as readings from "./runners/readings.js";
 
 /** Routes counted; the counts of others are left out. */
-const MOST_ROUTES = 4096;
+const MAX_ROUTES = 4096;
 /** Shorter passes are none. */
-const LEAST_PASS_CHARACTERS = 16;
+const MIN_PASS_CHARACTERS = 16;
 
 /** Made once per router. */
 export class RouterBatches {
@@ -42,7 +42,7 @@
 
   /** Whether a request with this header is an item of a batch. */
   isItem(header: string | string[] | undefined): boolean {
-    if (typeof header !== "string" || header.length < LEAST_PASS_CHARACTERS) return false;
+    if (typeof header !== "string" || header.length < MIN_PASS_CHARACTERS) return false;
     for (const pass of this.passes.values()) if (pass === header) return true;
     return false;
   }
@@ -50,7 +50,7 @@
   /** A client's request on this route was read whole. */
   countArrival(route: string): void {
     const count = this.arrivals.get(route) ?? 0;
-    if (count > 0 || this.arrivals.size < MOST_ROUTES) this.arrivals.set(route, count + 1);
+    if (count > 0 || this.arrivals.size < MAX_ROUTES) this.arrivals.set(route, count + 1);
   }
 
   private loads(): schema.RouterLoads {
--- a/src/router/chooser.ts
+++ b/src/router/chooser.ts
@@ -24,15 +24,15 @@
   ticket: tickets.Ticket;
 }
 
-const LEAST_CONNECTIONS = 2;
+const MIN_CONNECTIONS = 2;
 const PATIENT_GAPS = 0.75;
 const PATIENT_AIMS = 1;
-const LEAST_PATIENCE_MS = 300;
-const LEAST_RETRY_S = 0.2;
-const MOST_RETRY_S = 3;
+const MIN_PATIENCE_MS = 300;
+const MIN_RETRY_S = 0.2;
+const MAX_RETRY_S = 3;
 
 function bounded(seconds: number): number {
-  return Math.min(MOST_RETRY_S, Math.max(LEAST_RETRY_S, seconds));
+  return Math.min(MAX_RETRY_S, Math.max(MIN_RETRY_S, seconds));
 }
 
 /** The chain of policies of one router. */
@@ -77,7 +77,7 @@
     const usual = isPassing ? (gap ?? 1000) * PATIENT_GAPS : (aim ?? 1000) * PATIENT_AIMS;
     // A runner that speaks to others is at work; one that is silent to all is not worth the wait.
     if (runner.quietMs(now) < usual && runner.isSpeaking) return Math.max(2 * usual, 1500);
-    return Math.max(LEAST_PATIENCE_MS, usual);
+    return Math.max(MIN_PATIENCE_MS, usual);
   }
 
   choose(request: requests.Request, tried: ReadonlySet<string>, sends: number): Choice | plans.Rejection {
@@ -123,12 +123,12 @@
   private pendingS(plan: plans.Plan): number {
     let least = Infinity;
     for (const runner of plan.candidates) least = Math.min(least, this.known.backlogMs(runner.id, plan.now));
-    return bounded(Number.isFinite(least) ? LEAST_RETRY_S + least / 1000 : LEAST_RETRY_S);
+    return bounded(Number.isFinite(least) ? MIN_RETRY_S + least / 1000 : MIN_RETRY_S);
   }
 
   private firstOpen(plan: plans.Plan): Choice | plans.Rejection {
     const service = this.table?.services.get(plan.service);
-    const most = Math.max(LEAST_CONNECTIONS, Math.floor((service?.max_connections ?? 1000) / this.share.routers));
+    const most = Math.max(MIN_CONNECTIONS, Math.floor((service?.max_connections ?? 1000) / this.share.routers));
     const perS = service?.warmup_per_s ?? 0;
     let hasCold = false;
     for (const runner of plan.candidates) {
--- a/src/router/client/pending.ts
+++ b/src/router/client/pending.ts
@@ -6,7 +6,7 @@
 import type * as types from "../../wire/types.js";
 
 /** The longest wait, in milliseconds. */
-const MOST_MS = 800;
+const MAX_MS = 800;
 
 /** What becomes of one that waits: exactly one of the two is called, none when its client leaves first. */
 export interface Outcomes {
@@ -31,7 +31,7 @@
   /** arrivedAt and mostHeldMs: of the request, in milliseconds; where there is no room or time it is late at once. */
   add(outgoing: nodeHttp.ServerResponse, arrivedAt: number, mostHeldMs: number, outcomes: Outcomes): void {
     const { waiting } = this;
-    const leftMs = arrivedAt + Math.min(MOST_MS, mostHeldMs) - this.world.now();
+    const leftMs = arrivedAt + Math.min(MAX_MS, mostHeldMs) - this.world.now();
     if (waiting.size >= this.most || leftMs <= 0) {
       outcomes.late();
       return;
--- a/src/router/policies/runner.ts
+++ b/src/router/policies/runner.ts
@@ -13,7 +13,7 @@
 export const LONG_TOKENS = 2000;
 /** Weights in milliseconds. */
 const RANK_MS = 70;
-const MOST_RANK = 3;
+const MAX_RANK = 3;
 const NEXT_CELL_MS = 100;
 const BATCH_MS = 400;
 /** Reading again costs the runner and whoever comes after, not only this request. */
@@ -65,7 +65,7 @@
         (BATCH_MS * runner.usage()) / runner.instance.capacity;
       if (hasPrompt) {
         const unread = known.unread(runner.id, plan.parts, plan.keys);
-        ms += known.backlogMs(runner.id, plan.now) + (READ_WEIGHT * unread) / known.rate + RANK_MS * (ranks?.get(runner) ?? MOST_RANK);
+        ms += known.backlogMs(runner.id, plan.now) + (READ_WEIGHT * unread) / known.rate + RANK_MS * (ranks?.get(runner) ?? MAX_RANK);
       }
       return { runner, ms };
     }
@@ -101,10 +101,10 @@
     const score = shares.ended(start, runner.id);
     let at = first.length;
     while (at > 0 && score > scores[at - 1]) at -= 1;
-    if (at >= MOST_RANK) continue;
+    if (at >= MAX_RANK) continue;
     first.splice(at, 0, runner);
     scores.splice(at, 0, score);
-    first.length = scores.length = Math.min(first.length, MOST_RANK);
+    first.length = scores.length = Math.min(first.length, MAX_RANK);
   }
   const ranks = new Map<fleets.Runner, number>();
   for (const [rank, runner] of first.entries()) ranks.set(runner, rank);
--- a/src/router/runners/cohort.ts
+++ b/src/router/runners/cohort.ts
@@ -4,12 +4,12 @@
 import type * as health from "./health.js";
 
 /** At most this part of a cohort is ejected by outcomes, and never the last one. */
-const MOST_EJECTED = 1 / 3;
+const MAX_EJECTED = 1 / 3;
 /** Above this part the cause is taken to be elsewhere. */
 const BROAD = 1 / 3;
 const FIRST_STEP = 0.5;
-const LEAST_STEP = 0.05;
-const LEAST_SAMPLES = 8;
+const MIN_STEP = 0.05;
+const MIN_SAMPLES = 8;
 /** What was seen counts half after so long. */
 export const HALF_LIFE_MS = 1500;
 
@@ -26,12 +26,12 @@
     const log = Math.log(Math.max(0.1, ms));
     if (this.samples === 0) this.log = log;
     else this.log += Math.sign(log - this.log) * this.step;
-    this.step = Math.max(LEAST_STEP, this.step * 0.9);
+    this.step = Math.max(MIN_STEP, this.step * 0.9);
     this.samples += 1;
   }
 
   get ms(): number | null {
-    return this.samples < LEAST_SAMPLES ? null : Math.exp(this.log);
+    return this.samples < MIN_SAMPLES ? null : Math.exp(this.log);
   }
 }
 
@@ -114,7 +114,7 @@
 
   mayEject(): boolean {
     if (this.size < 2) return false;
-    return this.ejected + 1 <= Math.max(1, Math.floor(this.size * MOST_EJECTED));
+    return this.ejected + 1 <= Math.max(1, Math.floor(this.size * MAX_EJECTED));
   }
 
   /** So many look bad that the cause is not in them. */
--- a/src/router/runners/idle.ts
+++ b/src/router/runners/idle.ts
@@ -7,7 +7,7 @@
 export const MARGIN_MS = 1000;
 const KEPT_SHARE = 0.8;
 /** Shorter idle times are no evidence: such a reset has other causes. */
-const LEAST_MS = 250;
+const MIN_MS = 250;
 /** A forgotten connection is reset within a trip there and back; later resets have other causes. */
 const SOON_MS = 600;
 const DECAY_MS = 60_000;
@@ -36,7 +36,7 @@
 
   /** A kept connection, idle for so long, was reset so soon after its next send, without a byte of reply. */
   learn(idleMs: number, resetAfterMs: number): void {
-    if (idleMs < LEAST_MS || resetAfterMs > SOON_MS) return;
+    if (idleMs < MIN_MS || resetAfterMs > SOON_MS) return;
     log.count("runner.forgotten");
     const limit = idleMs * KEPT_SHARE;
     if (limit >= this.mostMs()) return;
--- a/src/router/runners/outcomes.ts
+++ b/src/router/runners/outcomes.ts
@@ -15,24 +15,24 @@
 const AGAIN_SCORE = 0.9;
 const OTHERS_TIMES = 3;
 const RATE_HALF_LIFE_MS = 4000;
-const LEAST_BAD = 1.5;
+const MIN_BAD = 1.5;
 const BAD_RATE = 0.25;
 const FINE_RATE = 0.1;
 const FINE_SAMPLES = 3;
 const FIRST_EJECTION_MS = 1000;
-const MOST_EJECTION_MS = 6000;
+const MAX_EJECTION_MS = 6000;
 const EJECTIONS_HALF_LIFE_MS = 20_000;
 const PROBATION_STEP_MS = 600;
 const PROBATION_PERCENTS = [10, 25, 50, 75];
 /** From this step on probation takes what may not be repeated, too, if a trial of this router came back well. */
 const ANY_PERCENT = 50;
 const DOUBT_MS = 700;
-const MOST_SUSPECT_MS = 4000;
+const MAX_SUSPECT_MS = 4000;
 const REPORTS_WINDOW_MS = 900;
 /** A router tells one runner no more often: two tellings within the window are of two routers. */
 export const REPORT_INTERVAL_MS = 1000;
 const PENALTY_MS = 150;
-const MOST_PENALTY = 3;
+const MAX_PENALTY = 3;
 const ONCE_TIMES = 2;
 const SLOW_TIMES = 4;
 const SLOW_LEAST_MS = { reply: 250, start: 250, gap: 60 } as const;
@@ -85,7 +85,7 @@
     this.since = now;
     if (to === "ejected") {
       this.ejections.add(1, now);
-      this.until = now + Math.min(MOST_EJECTION_MS, FIRST_EJECTION_MS * 2 ** (this.ejections.read(now) - 1));
+      this.until = now + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** (this.ejections.read(now) - 1));
     }
     log.count(`runner.${to}`);
     if (to === "ejected" || (from === "probation" && to === "good")) log.state(`runner ${this.id}: ${from} -> ${to}, ${why}`);
@@ -97,7 +97,7 @@
     const score = this.score.read(now);
     if (this.current === "suspected" && score < CLEAR_SCORE) this.move("good", now, "calm");
     // What still goes wrong there with work sent before keeps it out a little longer.
-    if (this.current === "ejected" && now >= this.until && (score < AGAIN_SCORE || now >= this.until + MOST_EJECTION_MS))
+    if (this.current === "ejected" && now >= this.until && (score < AGAIN_SCORE || now >= this.until + MAX_EJECTION_MS))
       this.move("probation", now, "time is up");
     if (this.current === "probation" && this.step(now) >= PROBATION_PERCENTS.length) this.move("good", now, "probation is over");
     return this.current;
@@ -133,7 +133,7 @@
     if (!signs.LOADED_SIGNS.has(sign)) {
       // A silent way holds each request up for long: no trials there while the doubt is fresh.
       this.streak += sign === "unreached" ? 2 : 1;
-      this.failedUntil = now + Math.min(MOST_SUSPECT_MS, DOUBT_MS * this.streak);
+      this.failedUntil = now + Math.min(MAX_SUSPECT_MS, DOUBT_MS * this.streak);
     }
     if (!isLocal) this.hasNews = true;
     this.weigh(weight, now, `${sign}, ${this.rateText(now)}`);
@@ -171,7 +171,7 @@
     if (state === "probation") return score >= AGAIN_SCORE;
     const all = this.all.read(now);
     const bad = this.bad.read(now);
-    if (bad >= LEAST_BAD && bad >= all * BAD_RATE) return true;
+    if (bad >= MIN_BAD && bad >= all * BAD_RATE) return true;
     if (score < Math.max(EJECT_SCORE, EJECT_SHARE * this.cohort.meanSends(now))) return false;
     if (all >= FINE_SAMPLES && bad < all * FINE_RATE) return false;
     return this.own.read(now) >= SUSPECT_SCORE || this.witnesses >= 2;
@@ -211,7 +211,7 @@
   /** What a choice pays for doubt; a request that may not be repeated pays more. */
   penaltyMs(now: number, isRepeatable: boolean): number {
     if (this.state(now) === "good") return 0;
-    return Math.min(MOST_PENALTY, this.score.read(now)) * PENALTY_MS * (isRepeatable ? 1 : ONCE_TIMES);
+    return Math.min(MAX_PENALTY, this.score.read(now)) * PENALTY_MS * (isRepeatable ? 1 : ONCE_TIMES);
   }
 
   /** Whether others should hear of it now, of failures or of silence; asked a few times a second. */
--- a/src/router/runners/prompt-readings.ts
+++ b/src/router/runners/prompt-readings.ts
@@ -8,7 +8,7 @@
 import type * as requests from "../request.js";
 
 /** The other routers learn of readings from so many tokens on. */
-const LEAST_TOKENS = 1000;
+const MIN_TOKENS = 1000;
 
 /** Joins what is read here and elsewhere. */
 export class PromptReadings implements signSenders.Hearer {
@@ -32,7 +32,7 @@
     const unread = Math.round(this.known.unread(runner, request.parts, request.keys));
     const news = request.keys.slice(this.known.keptParts(runner, request.keys));
     this.read(runner, unread, request.keys);
-    if (unread >= LEAST_TOKENS) this.signSender.reading(runner, unread, news);
+    if (unread >= MIN_TOKENS) this.signSender.reading(runner, unread, news);
     return unread;
   }
 
--- a/src/router/runners/readings.ts
+++ b/src/router/runners/readings.ts
@@ -6,7 +6,7 @@
 const FIRST_RATE = 40;
 const FASTER = 0.3;
 const SLOWER = 0.02;
-const MOST_KEPT = 4000;
+const MAX_KEPT = 4000;
 const LONG_SAMPLE = 1500;
 
 interface Reader {
@@ -42,7 +42,7 @@
       reader.kept.add(key);
     }
     for (const oldest of reader.kept) {
-      if (reader.kept.size <= MOST_KEPT) break;
+      if (reader.kept.size <= MAX_KEPT) break;
       reader.kept.delete(oldest);
     }
   }
--- a/src/router/tenancy.ts
+++ b/src/router/tenancy.ts
@@ -16,7 +16,7 @@
 /** When a machine that does not know enough about keys, or reaches nobody who counts, may do so again (*ours*). */
 const UNKNOWING_MS = { leastMs: 500, mostMs: 3000 };
 const UNREACHED_MS = { leastMs: 300, mostMs: 3000 };
-const LEAST_RETRY_S = 0.2;
+const MIN_RETRY_S = 0.2;
 const MS_PER_S = 1000;
 
 /** An answer of the router in place of a runner's; retryAfterS: seconds, null where coming back is no use. */
@@ -98,7 +98,7 @@
   private refusalOf(verdict: Exclude<claims.Verdict, { kind: "granted" }>): Refusal {
     if (verdict.kind === "unreached")
       return this.refuse(503, "no control node counts the tenant's requests now; come back shortly", this.unreached.met() / MS_PER_S);
-    return this.refuse(429, "the tenant is over its rate_per_s and burst", Math.max(LEAST_RETRY_S, verdict.waitMs / MS_PER_S));
+    return this.refuse(429, "the tenant is over its rate_per_s and burst", Math.max(MIN_RETRY_S, verdict.waitMs / MS_PER_S));
   }
 
   private refuse(status: Refusal["status"], cause: string, retryAfterS: number | null): Refusal {
--- a/src/router/transaction.ts
+++ b/src/router/transaction.ts
@@ -12,8 +12,8 @@
 import * as requests from "./request.js";
 import * as states from "./states.js";
 
-const LEAST_MS = 10;
-const MOST_UNSENT = 4;
+const MIN_MS = 10;
+const MAX_UNSENT = 4;
 const LOOK_MS = 250;
 
 /** One request of a client, from its body to the end of its answer. */
@@ -58,7 +58,7 @@
   /** Runs the chain and sends on; a rejection is told at once. */
   private choose(): void {
     const left = this.request.deadline - this.context.world.now();
-    if (left < LEAST_MS) {
+    if (left < MIN_MS) {
       this.deny({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
       return;
     }
@@ -165,7 +165,7 @@
   private notSent(): void {
     if ((this.sends -= 1) > 0) this.context.chooser.giveBack(this.request.service);
     this.unsent += 1;
-    if (this.unsent > MOST_UNSENT) this.deny({ status: 503, cause: "no runner takes a connection", retryAfterS: 0.4 });
+    if (this.unsent > MAX_UNSENT) this.deny({ status: 503, cause: "no runner takes a connection", retryAfterS: 0.4 });
     else this.again();
   }
 
--- a/src/shares/holdings.ts
+++ b/src/shares/holdings.ts
@@ -9,10 +9,10 @@
 const ENDING_MS = 600;
 /** Sends to a cold runner are asked for this part of a second ahead. */
 const COLD_AHEAD = 0.3;
-const MOST_WANTED = 64;
-const MOST_COLD_WANTED = 4;
+const MAX_WANTED = 64;
+const MAX_COLD_WANTED = 4;
 /** So many cold runners a router asks for at once (*ours*); the ones wanted last come first. */
-const MOST_COLD = 16;
+const MAX_COLD = 16;
 
 /** A lease as its holder counts it. */
 export interface Lease {
@@ -46,7 +46,7 @@
   want(kind: leaseSchema.Kind, key: string, perS: number): void {
     const demand = this.demandOf(kind, key, perS);
     demand.hits.push(this.world.now());
-    if (demand.hits.length > 2 * MOST_WANTED) demand.hits.shift();
+    if (demand.hits.length > 2 * MAX_WANTED) demand.hits.shift();
   }
 
   /** May be wanted soon: one is kept ready while the owners have plenty. */
@@ -126,8 +126,8 @@
       const isHot = demand.hits.length > 0;
       const wanted = isHot
         ? isCold
-          ? Math.min(MOST_COLD_WANTED, Math.ceil(demand.hits.length * COLD_AHEAD))
-          : Math.min(MOST_WANTED, demand.hits.length)
+          ? Math.min(MAX_COLD_WANTED, Math.ceil(demand.hits.length * COLD_AHEAD))
+          : Math.min(MAX_WANTED, demand.hits.length)
         : demand.standingUntil > now
           ? 1
           : 0;
@@ -135,7 +135,7 @@
       if (wanted === 0) this.demands.delete(name);
       if (more > 0) (isCold ? cold : needs).push({ kind: demand.kind, key: demand.key, perS: demand.perS, wanted: more, isHot });
     }
-    return [...needs, ...cold.slice(-MOST_COLD)];
+    return [...needs, ...cold.slice(-MAX_COLD)];
   }
 
   /** The ended leases of that owner's life, to be told once. */
--- a/src/shares/parts.ts
+++ b/src/shares/parts.ts
@@ -25,7 +25,7 @@
 /** A single unit comes back a little later than the window lasts: two never lie within it. */
 const ALONE = 0.99;
 /** Rather a slower refill than a cold runner that hangs on few owners; not under this part of its rate (*ours*). */
-const LEAST_RATE = 0.5;
+const MIN_RATE = 0.5;
 
 /** A whole bound: units at once, and units a second. */
 export interface Whole {
@@ -71,6 +71,6 @@
   const room = Math.floor(bound - perS * (1 + SPREAD_MS / 1000));
   let burst = Math.max(1, Math.floor(slots / 2) + 1);
   if (room >= burst) return partOf(dealt(bound, room, 1, perS), slots, slot, runner);
-  while (burst > 1 && dealt(bound, burst, 1, perS).perS < perS * LEAST_RATE) burst -= 1;
+  while (burst > 1 && dealt(bound, burst, 1, perS).perS < perS * MIN_RATE) burst -= 1;
   return partOf(dealt(bound, burst, 1, perS), slots, slot, runner);
 }
--- a/src/shares/shares.ts
+++ b/src/shares/shares.ts
@@ -13,7 +13,7 @@
 const VALID_MS = 3000;
 /** Half of the ratio is used, so that a process that starts anew within a window can spend its part again. */
 const DEALT = 0.5;
-const MOST_BACK = 256;
+const MAX_BACK = 256;
 
 interface Window {
   requests: number[];
@@ -105,7 +105,7 @@
 
   private took(window: Window, from: holdings.Lease | null): void {
     window.taken.push(from);
-    if (window.taken.length > MOST_BACK) window.taken.shift();
+    if (window.taken.length > MAX_BACK) window.taken.shift();
   }
 
   /** A try that was taken and never left, as no connection came up, goes back to where it was taken from. */
--- a/src/shares/tenure.ts
+++ b/src/shares/tenure.ts
@@ -8,7 +8,7 @@
 /** A voter's word that it knows no newer voters counts for so long, from when it was asked (*ours*). */
 export const FENCE_MS = confirmations.CONFIRMED_MS;
 /** The longest life of a lease, and what steady clocks may differ by over it (*ours*). */
-export const MOST_LIFE_MS = 1800;
+export const MAX_LIFE_MS = 1800;
 const SLACK_MS = 200;
 
 /** How long words and leases of one kind of bound hold, in milliseconds. */
@@ -19,7 +19,7 @@
   lifeMs: number;
 }
 
-const LEASES: Terms = { fenceMs: FENCE_MS, lifeMs: MOST_LIFE_MS };
+const LEASES: Terms = { fenceMs: FENCE_MS, lifeMs: MAX_LIFE_MS };
 
 /** A place among the voters: slot of so many. */
 export interface Place {
--- a/src/store/owner.ts
+++ b/src/store/owner.ts
@@ -8,7 +8,7 @@
 import type * as files from "./files.js";
 
 const OWNER_FILE = "owner";
-const MOST_MARK_BYTES = 128;
+const MAX_MARK_BYTES = 128;
 /** Fields of `/proc/PID/stat` after the name of the program: the state first, the time of its start (ticks) at 19. */
 const STATE_FIELD = 0;
 const START_FIELD = 19;
@@ -79,7 +79,7 @@
 }
 
 function print(mark: ProcessMark): string {
-  return `${mark.boot} ${mark.pid} ${mark.startTicks}\n`.padEnd(MOST_MARK_BYTES);
+  return `${mark.boot} ${mark.pid} ${mark.startTicks}\n`.padEnd(MAX_MARK_BYTES);
 }
 
 function parse(content: string): ProcessMark | null {
--- a/src/tallies/eras.ts
+++ b/src/tallies/eras.ts
@@ -12,7 +12,7 @@
 /** With so many ids remembered an era ends sooner. */
 export const MANY_IDS = 60_000;
 /** The shortest era, however many ids there are. */
-const LEAST_MS = 10_000;
+const MIN_MS = 10_000;
 
 /** Moves the own era on. */
 export class Eras {
@@ -37,7 +37,7 @@
 
   private isDue(): boolean {
     const elapsed = this.world.now() - this.since;
-    return elapsed >= ERA_MS || (elapsed >= LEAST_MS && this.store.ledger.ids >= MANY_IDS);
+    return elapsed >= ERA_MS || (elapsed >= MIN_MS && this.store.ledger.ids >= MANY_IDS);
   }
 
   private holdsAllOf(peer: peers.Peer): boolean {
--- a/src/tallies/log.ts
+++ b/src/tallies/log.ts
@@ -17,9 +17,9 @@
 export const RETRY_MS = 500;
 /** Records of one frame of a snapshot. */
 const SNAPSHOT_FRAME_RECORDS = 1024;
-/** A file is followed by the next one when what was appended takes so many times the snapshot, and at least LEAST_BYTES. */
+/** A file is followed by the next one when what was appended takes so many times the snapshot, and at least MIN_BYTES. */
 const GROWTH_FACTOR = 2;
-const LEAST_BYTES = 512 * 1024;
+const MIN_BYTES = 512 * 1024;
 const SALTS = 2 ** 32;
 
 /** Records that wait for the disk, and who waits for them. */
@@ -137,7 +137,7 @@
   }
 
   private isGrown(): boolean {
-    return this.writer.bytes > Math.max(LEAST_BYTES, GROWTH_FACTOR * this.snapshotBytes + LEAST_BYTES);
+    return this.writer.bytes > Math.max(MIN_BYTES, GROWTH_FACTOR * this.snapshotBytes + MIN_BYTES);
   }
 
   /** A snapshot is made of the state now, which has the records of the batch. After a failed sync nothing is known of any frame. */
--- a/src/tallies/session.ts
+++ b/src/tallies/session.ts
@@ -8,7 +8,7 @@
 
 /** Adds of one push, and pushes of one stream under way: what a long cut left goes over in bounded pieces. */
 const PUSH_ADDS = 1024;
-const MOST_PUSHES = 4;
+const MAX_PUSHES = 4;
 const PUSH_MS = 1500;
 /** A push that failed is tried again after so long. */
 const AGAIN_MS = 500;
@@ -76,7 +76,7 @@
     const sending = this.sendingOf(stream);
     if (sending.notBefore > world.now()) return;
     sending.sent = Math.max(sending.sent, held);
-    while (sending.underWay < MOST_PUSHES) {
+    while (sending.underWay < MAX_PUSHES) {
       const adds = store.ledger.addsAfter(stream, sending.sent, PUSH_ADDS);
       if (adds.length === 0) return;
       const from = sending.sent + 1;
--- a/src/tallies/snapshots.ts
+++ b/src/tallies/snapshots.ts
@@ -13,7 +13,7 @@
 const PART_MS = 2000;
 /** A snapshot that nobody asks for is given up after so long, so that folding goes on. */
 const KEPT_MS = 5000;
-const MOST_SNAPSHOTS = 2;
+const MAX_SNAPSHOTS = 2;
 
 interface Snapshot {
   records: Iterator<TallyRecord>;
@@ -54,7 +54,7 @@
   }
 
   private begin(): string {
-    if (this.open.size >= MOST_SNAPSHOTS || !this.store.isOpen) return "";
+    if (this.open.size >= MAX_SNAPSHOTS || !this.store.isOpen) return "";
     this.lastToken += 1;
     const token = String(this.lastToken);
     const expiry = this.world.after(KEPT_MS, this.end.bind(this, token));
--- a/src/tallies/tallies.ts
+++ b/src/tallies/tallies.ts
@@ -20,7 +20,7 @@
 /** A caller waits so long for a total at a node that has just started. */
 const READY_MS = 800;
 /** Ids in memory at most: beyond it adds are refused until a cut is over and folding goes on. */
-export const MOST_IDS = 250_000;
+export const MAX_IDS = 250_000;
 /** Pause between two looks at what may be folded, and whether an era ends. */
 const FOLD_MS = 1000;
 
@@ -100,7 +100,7 @@
       log.count("tallies.again");
       return this.durably(known.stream, known.position);
     }
-    if (store.ledger.ids >= MOST_IDS) return "full";
+    if (store.ledger.ids >= MAX_IDS) return "full";
     if (!this.acknowledgements.canAcknowledge()) return "busy";
     const position = store.ledger.held(host.life) + 1;
     const add = { tally, id, amount, era: store.ledger.era };
--- a/src/tenants/key-lease.ts
+++ b/src/tenants/key-lease.ts
@@ -9,7 +9,7 @@
 /** What clocks and a process that stands still between check and use may take (*ours*). */
 const SLACK_MS = 300;
 /** Words of epochs that this router does not hold yet; older ones make way. */
-const MOST_WORDS = 32;
+const MAX_WORDS = 32;
 
 /** The figures of the settings on keys that were taken away. */
 export interface RevocationBounds {
@@ -49,7 +49,7 @@
   /** A control node said that the epoch is confirmed as the newest; sentAt: when it was asked. */
   hear(epoch: types.Epoch, sentAt: types.SteadyMs): void {
     this.words.push({ epoch, sentAt });
-    if (this.words.length > MOST_WORDS) this.words.shift();
+    if (this.words.length > MAX_WORDS) this.words.shift();
     this.judge();
   }
 
--- a/src/tenants/quota-bucket.ts
+++ b/src/tenants/quota-bucket.ts
@@ -9,7 +9,7 @@
 const CONTENTION_MS = 1000;
 /** Of those that were denied lately, one in so many asks again for each unit that comes in (*ours*). */
 const ASKERS_A_UNIT = 4;
-const MOST_CONTENDED_WAIT_MS = 1000;
+const MAX_CONTENDED_WAIT_MS = 1000;
 
 interface Granted {
   at: number;
@@ -91,7 +91,7 @@
     if (this.level + EPSILON >= 1) return 0;
     const { burst, perMs } = this.part;
     if (perMs <= 0 || burst < 1) return Infinity;
-    const contendedMs = Math.min(MOST_CONTENDED_WAIT_MS, this.denials / ASKERS_A_UNIT / perMs);
+    const contendedMs = Math.min(MAX_CONTENDED_WAIT_MS, this.denials / ASKERS_A_UNIT / perMs);
     return Math.ceil(Math.max((1 - this.level) / perMs, contendedMs));
   }
 
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -16,7 +16,7 @@
 const PATIENCE_MS = 25;
 const TRIPS = 3;
 /** The longest wait for a reply before another owner is asked beside. */
-const MOST_PATIENCE_MS = 200;
+const MAX_PATIENCE_MS = 200;
 /** Without asks for units, the owners' word on the configuration is asked for so often. */
 const WORD_MS = 300;
 
@@ -84,7 +84,7 @@
     const { tenant } = claim;
     claim.asked.add(source.life);
     claim.pending += 1;
-    const patienceMs = Math.min(MOST_PATIENCE_MS, PATIENCE_MS + TRIPS * source.control.tripMs);
+    const patienceMs = Math.min(MAX_PATIENCE_MS, PATIENCE_MS + TRIPS * source.control.tripMs);
     const tick = this.world.after(patienceMs, () => this.late(claim, source));
     void this.call(source, [{ tenant, wanted: 1, unused: source.takeUnused(tenant) }]).then((reply) => {
       tick.stop();
--- a/src/tenants/quota-owner.ts
+++ b/src/tenants/quota-owner.ts
@@ -11,7 +11,7 @@
 import * as uses from "./quota-use.js";
 
 /** The longest wait that is told, in milliseconds; also of quotas that this slot holds nothing of. */
-const MOST_WAIT_MS = 3000;
+const MAX_WAIT_MS = 3000;
 const SWEEP_MS = 1000;
 
 /** Grants units of one slot. */
@@ -77,7 +77,7 @@
     this.nextId += 1;
     const amount = bucket.take(taking.wanted, id, now);
     if (taking.wanted > 0) this.uses.add(tenant, amount, taking.wanted - amount);
-    return { amount, id, waitMs: amount < taking.wanted ? Math.min(MOST_WAIT_MS, bucket.waitMs(now)) : 0 };
+    return { amount, id, waitMs: amount < taking.wanted ? Math.min(MAX_WAIT_MS, bucket.waitMs(now)) : 0 };
   }
 
   private bucketOf(tenant: string, limit: parts.Limit, now: number): buckets.QuotaBucket {
--- a/src/tenants/quota-sources.ts
+++ b/src/tenants/quota-sources.ts
@@ -6,7 +6,7 @@
 /** One that said it does not grant is asked again after so long. */
 const REST_MS = 300;
 /** Spent quotas that are remembered of one owner. */
-const MOST_SPENT = 4096;
+const MAX_SPENT = 4096;
 
 /** One owner. */
 export class Source {
@@ -34,7 +34,7 @@
 
   /** Its part of the tenant's quota is spent for so many milliseconds. */
   spend(tenant: string, waitMs: number): void {
-    if (this.spentUntil.size >= MOST_SPENT) this.spentUntil.clear();
+    if (this.spentUntil.size >= MAX_SPENT) this.spentUntil.clear();
     this.spentUntil.set(tenant, this.world.now() + waitMs);
   }
 
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -10,7 +10,7 @@
 
 const HEAD_BYTES = 10; // length u32, kind u8, code u8, call id u32
 /** The bound on a frame's body. */
-export const MOST_BYTES = 24 * 1024 * 1024;
+export const MAX_BYTES = 24 * 1024 * 1024;
 /** Each side beats so often, and ends a link that was silent for so long. */
 export const BEAT_MS = 300;
 /** A link that was silent for so long is ended. */
@@ -100,7 +100,7 @@
     head.writeUInt8(kind, 4);
     head.writeUInt8(code, 5);
     head.writeUInt32BE(id, 6);
-    if (this.socket.writableLength > MOST_BYTES) {
+    if (this.socket.writableLength > MAX_BYTES) {
       this.end("the other side does not read");
       return;
     }
@@ -153,7 +153,7 @@
     let bytes = this.parts.length === 1 ? this.parts[0] : Buffer.concat(this.parts);
     while (this.isOpen && bytes.length >= HEAD_BYTES) {
       const length = bytes.readUInt32BE(0);
-      if (length > MOST_BYTES) {
+      if (length > MAX_BYTES) {
         this.garbled("a frame too long");
         return;
       }
--- a/src/wire/release.ts
+++ b/src/wire/release.ts
@@ -14,7 +14,7 @@
 const LAST_KIND = 2;
 /** How long a denied link stays half open, so that the other side can read why. */
 const LINGER_MS = 1000;
-const MOST_TOLD = 256;
+const MAX_TOLD = 256;
 
 /** What was last logged of each host: its line is repeated only when it changes. */
 const told = new Map<string, string>();
@@ -93,7 +93,7 @@
     const { message } = errors.fail("link", what, remedy);
     log.count(counter);
     if (told.get(this.host) !== message) log.state(`link: denied: ${message}`);
-    if (told.size >= MOST_TOLD) told.clear();
+    if (told.size >= MAX_TOLD) told.clear();
     told.set(this.host, message);
     linger(this.world, this.socket);
     this.deny(message);
--- a/src/wire/serve.ts
+++ b/src/wire/serve.ts
@@ -5,7 +5,7 @@
 import type * as supervisor from "../supervisor/tree.js";
 import * as listening from "./listen.js";
 
-const MOST_BODY = 16 * 1024 * 1024;
+const MAX_BODY = 16 * 1024 * 1024;
 
 /** A request, its body read whole. */
 export interface Asked {
@@ -114,7 +114,7 @@
   return {
     name,
     async start(): Promise<void> {
-      if (address) open = await serve(address, MOST_BODY, reply);
+      if (address) open = await serve(address, MAX_BODY, reply);
     },
     stop(): void {
       void open?.close();
