--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -8,24 +8,24 @@
 import type * as fleets from "../router/runners/fleet.js";
 import type * as plans from "../router/plan.js";
 import type * as readings from "../router/runners/readings.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
 import * as cells from "./cells.js";
-import * as judges from "./judge.js";
+import * as judge from "./judge.js";
 import * as lru from "./lru.js";
-import * as paces from "./pace.js";
+import * as pace from "./pace.js";
 import * as pauses from "./pauses.js";
-import * as predictions from "./predict.js";
+import * as predict from "./predict.js";
 import * as returns from "./returns.js";
 import type * as rooms from "./room.js";
 import * as sizes from "./sizes.js";
-import * as spares from "./spare.js";
+import * as spare from "./spare.js";
 import * as slowness from "./slowness.js";
-import * as statuses from "./status.js";
+import * as status from "./status.js";
 import * as tallies from "./tally.js";
 import * as tickets from "./ticket.js";
-import * as typicals from "./typical.js";
+import * as typical from "./typical.js";
 
 /** Services and routes whose learned figures are held; the least recently used make room. */
 const MAX_SERVICES = 64;
@@ -46,25 +46,25 @@
 /** What a prediction at one runner is made from. */
 interface PredictionInput {
   place: rooms.Place;
-  need: predictions.Need;
+  need: predict.Need;
   slow: slowness.Slowdown;
   waitFactor: number;
 }
 
-function newPace(): paces.Pace {
-  return new paces.Pace();
+function newPace(): pace.Pace {
+  return new pace.Pace();
 }
 
 function newSizes(): sizes.Sizes {
   return new sizes.Sizes();
 }
 
-function newTypicalRequest(): typicals.TypicalRequest {
-  return new typicals.TypicalRequest();
+function newTypicalRequest(): typical.TypicalRequest {
+  return new typical.TypicalRequest();
 }
 
 /** The admission of one router; all methods are called from its event loop. */
-export class Admission implements tickets.Learner, judges.Knowledge {
+export class Admission implements tickets.Learner, judge.Knowledge {
   /** False lets every request in; learning goes on. Follows the setting `admission`. */
   isOn = true;
   readonly cells: cells.Cells;
@@ -72,16 +72,16 @@
   readonly slowness = new slowness.Slowness();
   readonly recentRejections = new returns.RecentRejections();
   readonly tally: tallies.Tally;
-  private readonly paceByService = new lru.LruTable<string, paces.Pace>(MAX_SERVICES, newPace);
+  private readonly paceByService = new lru.LruTable<string, pace.Pace>(MAX_SERVICES, newPace);
   private readonly sizesByRoute = new lru.LruTable<string, sizes.Sizes>(MAX_ROUTES, newSizes);
-  private readonly typicalByRoute = new lru.LruTable<string, typicals.TypicalRequest>(MAX_ROUTES, newTypicalRequest);
+  private readonly typicalByRoute = new lru.LruTable<string, typical.TypicalRequest>(MAX_ROUTES, newTypicalRequest);
   /** How late this router's own loop ran lately, in milliseconds. */
   lagMs = 0;
   private lastTimerAt = -1;
-  private readonly doorJudge = new judges.Judge(this);
+  private readonly doorJudge = new judge.Judge(this);
 
   constructor(
-    readonly world: types.World,
+    readonly world: types.Clock,
     readonly dependencies: Dependencies,
   ) {
     this.cells = new cells.Cells(world);
@@ -114,12 +114,12 @@
   }
 
   /** The learned timing of a service; empty, which admits all, until responses taught it. */
-  paceOf(service: string): paces.Pace {
+  paceOf(service: string): pace.Pace {
     return this.paceByService.getOrCreate(service);
   }
 
   /** What a request of a route usually takes. */
-  typicalOf(route: string): typicals.TypicalRequest {
+  typicalOf(route: string): typical.TypicalRequest {
     return this.typicalByRoute.getOrCreate(route);
   }
 
@@ -129,7 +129,7 @@
   }
 
   /** What the request would take at this runner: tokens to read, to produce, and to hold. */
-  needOf(plan: plans.Plan, runner: fleets.Runner): predictions.Need {
+  needOf(plan: plans.Plan, runner: fleets.Runner): predict.Need {
     const { prompt, mostOut } = plan.asked;
     return {
       unread: plan.parts.length > 0 ? this.dependencies.known.unread(runner.id, plan.parts, plan.keys) : 0,
@@ -139,7 +139,7 @@
   }
 
   /** When the request would be done at this runner, with waits multiplied by `waitFactor`. */
-  predict(plan: plans.Plan, runner: fleets.Runner, slow: slowness.Slowdown, waitFactor: number): predictions.Prediction {
+  predict(plan: plans.Plan, runner: fleets.Runner, slow: slowness.Slowdown, waitFactor: number): predict.Prediction {
     return this.predictAt(plan, runner, { place: this.placeOf(plan, runner), need: this.needOf(plan, runner), slow, waitFactor });
   }
 
@@ -147,10 +147,10 @@
     return this.cells.placeOf(this.dependencies.known.backlogMs(runner.id, plan.now), runner);
   }
 
-  private predictAt(plan: plans.Plan, runner: fleets.Runner, input: PredictionInput): predictions.Prediction {
+  private predictAt(plan: plans.Plan, runner: fleets.Runner, input: PredictionInput): predict.Prediction {
     const pace = this.paceOf(plan.service);
     const { place, need, slow, waitFactor } = input;
-    return predictions.predict(place, need, {
+    return predict.predict(place, need, {
       rate: this.dependencies.known.rate,
       heldMs: pace.heldMs(plan.asked.mostOut > 0),
       tokenMs: pace.tokenMs((place.used + 1) / Math.max(1, place.capacity)),
@@ -163,7 +163,7 @@
 
   /** Called once per request, after the other policies: null lets it in, see `Judge.judge`. */
   judge(plan: plans.Plan): plans.Rejection | null {
-    if (plan.isBatch) return spares.judge(this, plan);
+    if (plan.isBatch) return spare.judge(this, plan);
     return this.isOn ? this.doorJudge.judge(plan) : null;
   }
 
@@ -185,7 +185,7 @@
     this.sizesOf(plan.entry.route.name).record(sizes.sizeOf(plan.asked.prompt, plan.asked.mostOut), true);
   }
 
-  private sentRequestOf(plan: plans.Plan, runner: fleets.Runner, need: predictions.Need): tickets.SentRequest {
+  private sentRequestOf(plan: plans.Plan, runner: fleets.Runner, need: predict.Need): tickets.SentRequest {
     const { route } = plan.entry;
     const { rank } = plan;
     const pace = this.paceOf(plan.service);
@@ -211,7 +211,7 @@
 
   /** The part `admission` of the router's `status`. */
   status(): unknown {
-    return statuses.statusOf({
+    return status.statusOf({
       now: this.world.now(),
       isOn: this.isOn,
       rate: this.dependencies.known.rate,
--- a/src/admission/cells.ts
+++ b/src/admission/cells.ts
@@ -44,7 +44,7 @@
   private readonly loads = new Map<string, RunnerLoad>();
   private readonly leases = new Map<string, Lease>();
 
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   private isFresh(item: { at: number }): boolean {
     return this.world.now() - item.at <= STALE_MS;
--- a/src/admission/judge.ts
+++ b/src/admission/judge.ts
@@ -7,18 +7,18 @@
  */
 import type * as fleets from "../router/runners/fleet.js";
 import type * as plans from "../router/plan.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
 import type * as cells from "./cells.js";
-import type * as paces from "./pace.js";
+import type * as pace from "./pace.js";
 import type * as pauses from "./pauses.js";
-import type * as predictions from "./predict.js";
+import type * as predict from "./predict.js";
 import type * as returns from "./returns.js";
 import * as rooms from "./room.js";
 import * as sizes from "./sizes.js";
 import type * as slowness from "./slowness.js";
 import type * as tallies from "./tally.js";
-import * as verdicts from "./verdict.js";
+import * as verdict from "./verdict.js";
 
 /** The share of its spare time that a newcomer of rank 0, 1, 2 and on may wait (ours). */
 const SPARE_SHARES = [1, 0.5, 0.35] as const;
@@ -29,20 +29,20 @@
 
 /** What the judge knows; the router's `Admission` is it. */
 export interface Knowledge {
-  readonly world: types.World;
+  readonly world: types.Clock;
   readonly cells: cells.Cells;
   readonly pauses: pauses.Pauses;
   readonly slowness: slowness.Slowness;
   readonly recentRejections: returns.RecentRejections;
   readonly tally: tallies.Tally;
   /** Learned timing of a service. */
-  paceOf(service: string): paces.Pace;
+  paceOf(service: string): pace.Pace;
   /** Admission of a route's requests by size. */
   sizesOf(route: string): sizes.Sizes;
   /** Tokens that the request takes at the runner. */
-  needOf(plan: plans.Plan, runner: fleets.Runner): predictions.Need;
+  needOf(plan: plans.Plan, runner: fleets.Runner): predict.Need;
   /** When it would be done there, with waits multiplied by `waitFactor`. */
-  predict(plan: plans.Plan, runner: fleets.Runner, slow: slowness.Slowdown, waitFactor: number): predictions.Prediction;
+  predict(plan: plans.Plan, runner: fleets.Runner, slow: slowness.Slowdown, waitFactor: number): predict.Prediction;
 }
 
 /** What one request is judged by, whatever the runner. */
@@ -116,14 +116,14 @@
     if (sure.length === 0) return null;
     const terms = this.termsOf(plan);
     const survey = this.survey(plan, sure, terms);
-    if (survey.best) return verdicts.putFirst(plan, survey.best);
+    if (survey.best) return verdict.putFirst(plan, survey.best);
     // Every runner is too small for it: the chain goes on as before, and the runner itself says so.
     if (survey.leastEndMs === Infinity) return null;
     const room = this.known.cells.roomNow(sure, plan.now);
     // Nothing is denied while a place is free for it, but what cannot be done even without a wait.
     if (plan.rank === 0 || rooms.isHalfEmpty(room)) {
       const taken = survey.late ?? survey.free;
-      if (taken) return verdicts.putFirst(plan, taken);
+      if (taken) return verdict.putFirst(plan, taken);
       if (rooms.isHalfEmpty(room)) return null;
     }
     this.known.tally.recordUnusedRoom(room);
@@ -183,11 +183,11 @@
     this.known.sizesOf(plan.entry.route.name).record(sizeOf(plan), false);
     log.count("admission.denied");
     log.count(`admission.denied_rank_${plan.rank}`);
-    return verdicts.rejection(plan, excessMs, this.known.world.random());
+    return verdict.rejection(plan, excessMs, this.known.world.random());
   }
 }
 
 /** Done by the deadline, with no more of the spare time waited away than the request may. */
-function isInTime(predicted: predictions.Prediction, terms: Terms): boolean {
+function isInTime(predicted: predict.Prediction, terms: Terms): boolean {
   return predicted.endMs + predicted.delayMs * (1 / terms.spareShare - 1) <= terms.leftMs;
 }
--- a/src/admission/returns.ts
+++ b/src/admission/returns.ts
@@ -1,5 +1,5 @@
 /** Requests denied a moment ago find a better chance on the way back (design/admission 5). Bounded, in memory. */
-import * as shares from "../shares/shares.js";
+import * as shares from "../limits/shares.js";
 
 const RETENTION_MS = 10_000;
 const MAX_KEYS = 4096;
--- a/src/admission/spare.ts
+++ b/src/admission/spare.ts
@@ -4,13 +4,13 @@
  */
 import type * as fleets from "../router/runners/fleet.js";
 import type * as plans from "../router/plan.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as cells from "./cells.js";
 import type * as pauses from "./pauses.js";
-import type * as predictions from "./predict.js";
+import type * as predict from "./predict.js";
 import type * as rooms from "./room.js";
 import * as slowness from "./slowness.js";
-import * as verdicts from "./verdict.js";
+import * as verdict from "./verdict.js";
 
 /** A cell with more of its places taken has none to spare; somewhat over what control nodes fill it to (*ours*). */
 const FULL_SHARE = 0.8;
@@ -21,7 +21,7 @@
 export interface Knowledge {
   readonly cells: cells.Cells;
   readonly pauses: pauses.Pauses;
-  predict(plan: plans.Plan, runner: fleets.Runner, slow: slowness.Slowdown, waitFactor: number): predictions.Prediction;
+  predict(plan: plans.Plan, runner: fleets.Runner, slow: slowness.Slowdown, waitFactor: number): predict.Prediction;
 }
 
 /** Null lets the item in, its runner put first. */
@@ -31,7 +31,7 @@
     if (!rooms.has(runner.region)) rooms.set(runner.region, hasRoom(known, plan, runner.region));
     if (!rooms.get(runner.region) || runner.isSuspect(plan.now) || known.pauses.isNearLimit(runner.id, plan.now)) continue;
     const predicted = known.predict(plan, runner, slowness.NO_SLOWDOWN, 1);
-    if (predicted.hasPlace && !predicted.neverFits && predicted.endMs <= plan.deadline - plan.now) return verdicts.putFirst(plan, runner);
+    if (predicted.hasPlace && !predicted.neverFits && predicted.endMs <= plan.deadline - plan.now) return verdict.putFirst(plan, runner);
   }
   log.count("admission.batch_denied");
   return { status: 503, cause: "there is no room to spare for an item of a batch", retryAfterS: RETRY_S };
--- a/src/admission/status.ts
+++ b/src/admission/status.ts
@@ -2,8 +2,8 @@
  * What admission reports of itself in a router's `status` (docs/admission.md). The names of the fields are read by
  * `cranewind capacity` and by operators: they change only with a note in the docs.
  */
-import type * as paces from "./pace.js";
-import type * as typicals from "./typical.js";
+import type * as pace from "./pace.js";
+import type * as typical from "./typical.js";
 
 /** The ranks that pace is learned for; ranks above the last count as the last. */
 const RANKS = [0, 1, 2] as const;
@@ -21,8 +21,8 @@
   readonly returners: number;
   readonly tally: unknown;
   readonly cells: unknown;
-  readonly services: Iterable<[string, paces.Pace]>;
-  readonly routes: Iterable<[string, typicals.TypicalRequest]>;
+  readonly services: Iterable<[string, pace.Pace]>;
+  readonly routes: Iterable<[string, typical.TypicalRequest]>;
 }
 
 /** The part `admission` of a router's status, as plain JSON. */
@@ -49,7 +49,7 @@
   return made;
 }
 
-function errorOf(pace: paces.Pace, rank: number, now: number): unknown {
+function errorOf(pace: pace.Pace, rank: number, now: number): unknown {
   const error = pace.errorOf(rank);
   return {
     rank,
@@ -61,7 +61,7 @@
   };
 }
 
-function kindsOf(routes: Iterable<[string, typicals.TypicalRequest]>): unknown[] {
+function kindsOf(routes: Iterable<[string, typical.TypicalRequest]>): unknown[] {
   const made: unknown[] = [];
   for (const [route, typical] of routes) made.push({ route, service: typical.service, ...typical.status() });
   return made;
--- a/src/admission/tally.ts
+++ b/src/admission/tally.ts
@@ -3,7 +3,7 @@
  * by rank, and how much room was left unused when one was denied (design/admission 10).
  */
 import type * as rooms from "./room.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
 import * as histograms from "./histogram.js";
 
@@ -40,7 +40,7 @@
   isShort = false;
   private lastRefusalAt = 0;
 
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   /** A request was refused `ms` milliseconds after its arrival; `hasBeenSent`: a runner had seen it. */
   refused(ms: number, cause: string, hasBeenSent: boolean): void {
--- a/src/admission/ticket.ts
+++ b/src/admission/ticket.ts
@@ -2,21 +2,21 @@
 import type * as fleets from "../router/runners/fleet.js";
 import type * as types from "../wire/types.js";
 import type * as cells from "./cells.js";
-import * as paces from "./pace.js";
+import * as pace from "./pace.js";
 import type * as pauses from "./pauses.js";
-import type * as predictions from "./predict.js";
+import type * as predict from "./predict.js";
 import type * as slowness from "./slowness.js";
-import type * as typicals from "./typical.js";
+import type * as typical from "./typical.js";
 
 /** What is known of a request when it is sent; times are milliseconds, points in time of the steady clock. */
 export interface SentRequest {
   readonly runner: fleets.Runner;
-  readonly need: predictions.Need;
+  readonly need: predict.Need;
   readonly service: string;
   readonly route: string;
   readonly sentAt: number;
   /** Predicted as if the runner were as quick as the others. */
-  readonly nominal: predictions.Prediction;
+  readonly nominal: predict.Prediction;
   /** What the wait in `nominal` was multiplied by. */
   readonly waitFactor: number;
   /** Its first event, were the runner as quick as the others and the wait a long one. */
@@ -31,12 +31,12 @@
 
 /** What a ticket feeds its observations to; the router's `Admission` is it. */
 export interface Learner {
-  readonly world: types.World;
+  readonly world: types.Clock;
   readonly slowness: slowness.Slowness;
   readonly cells: cells.Cells;
   readonly pauses: pauses.Pauses;
-  paceOf(service: string): paces.Pace;
-  typicalOf(route: string): typicals.TypicalRequest;
+  paceOf(service: string): pace.Pace;
+  typicalOf(route: string): typical.TypicalRequest;
 }
 
 /**
@@ -56,7 +56,7 @@
   readonly sentAt: number;
   /** Until the first event, for the overdue check. */
   readonly predictedMs: number;
-  private readonly pendingWait: paces.PendingWait;
+  private readonly pendingWait: pace.PendingWait;
 
   constructor(
     private readonly learner: Learner,
@@ -67,7 +67,7 @@
     // Without a learned pace a plain request predicts nothing that its reply could be compared to.
     const { nominal } = sent;
     this.pendingWait = { since: sent.sentAt + nominal.firstMs - nominal.waitMs * sent.waitFactor, waitMs: nominal.waitMs };
-    if (nominal.waitMs >= paces.MIN_WAIT_MS) learner.paceOf(sent.service).pendingWaitsOf(sent.rank).add(this.pendingWait);
+    if (nominal.waitMs >= pace.MIN_WAIT_MS) learner.paceOf(sent.service).pendingWaitsOf(sent.rank).add(this.pendingWait);
     if (this.isInformative()) learner.slowness.requestSent(sent.runner.id, this);
   }
 
--- a/src/admission/typical.ts
+++ b/src/admission/typical.ts
@@ -1,5 +1,5 @@
 /** What a request of one route usually takes, for "how many more" (design/admission 6). */
-import type * as predictions from "./predict.js";
+import type * as predict from "./predict.js";
 
 const LEARNING_RATE = 0.05;
 
@@ -13,7 +13,7 @@
   private heldMs = 0;
 
   /** One request was served and held a place for `heldMs` milliseconds. */
-  learn(service: string, need: predictions.Need, heldMs: number): void {
+  learn(service: string, need: predict.Need, heldMs: number): void {
     this.service = service;
     this.count += 1;
     const rate = Math.max(LEARNING_RATE, 1 / this.count);
--- a/src/admission/verdict.ts
+++ b/src/admission/verdict.ts
@@ -1,7 +1,7 @@
 /** The two ends of a judgment (design/admission 1): in, at that runner first, or denied with a time to come back. */
 import type * as fleets from "../router/runners/fleet.js";
 import type * as plans from "../router/plan.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 
 const MIN_RETRY_S = 0.2;
 /** Clients honour up to this part of the time they have left. */
--- a/src/batch/attempt.ts
+++ b/src/batch/attempt.ts
@@ -4,9 +4,9 @@
  */
 import type * as schema from "../wire/batch-schema.js";
 import * as batchSchema from "../wire/batch-schema.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
-import * as worlds from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 import * as bounds from "./bounds.js";
 import type * as replicas from "./replicas.js";
 import type * as steps from "./steps.js";
@@ -31,7 +31,7 @@
 
 /** What an attempt records its answer with. */
 export interface Recorder {
-  readonly world: types.World;
+  readonly world: types.Clock;
   readonly replicas: Pick<replicas.Replicas, "put">;
   /** False once this node owns the batches no more: whoever does finds what was recorded. */
   isOwner(): boolean;
@@ -54,6 +54,6 @@
 async function record(recorder: Recorder, key: schema.RecordKey, body: Buffer): Promise<void> {
   while (!(await recorder.replicas.put(key, body)) && recorder.isOwner()) {
     log.count("batch.record_again");
-    await worlds.sleep(recorder.world, RECORD_AGAIN_MS);
+    await timers.sleep(recorder.world, RECORD_AGAIN_MS);
   }
 }
--- a/src/batch/inheritance.ts
+++ b/src/batch/inheritance.ts
@@ -15,7 +15,7 @@
 
 /** What is needed of the node around it. */
 export interface Needs {
-  readonly world: types.World;
+  readonly world: types.Clock;
   readonly replicas: Pick<replicas.Replicas, "put" | "find">;
   longestMs(route: string): number;
 }
--- a/src/batch/outlook.ts
+++ b/src/batch/outlook.ts
@@ -2,8 +2,8 @@
 import * as forecastErrors from "../forecast/errors.js";
 import type * as loads from "../forecast/loads.js";
 import type * as schema from "../wire/batch-schema.js";
-import * as projections from "./projection.js";
-import type * as trickles from "./trickle.js";
+import * as projection from "./projection.js";
+import type * as trickle from "./trickle.js";
 
 /** Fewer observations or a smaller part of the day known make a forecast unsure; the bands say so, too. */
 const FEW_STEPS = 15;
@@ -17,7 +17,7 @@
 }
 
 /** One region's newest room. */
-export interface Room extends trickles.CellRoom {
+export interface Room extends trickle.CellRoom {
   /** Batch items at work there, which the room counts as used. */
   batchItems: number;
 }
@@ -27,16 +27,16 @@
   rooms: readonly Room[],
   forecast: loads.LoadForecast,
   weightOf: (route: string) => number,
-): projections.CellOutlook[] {
+): projection.CellOutlook[] {
   return rooms.map((room) => cellOf(room, forecast, weightOf));
 }
 
-function cellOf(room: Room, forecast: loads.LoadForecast, weightOf: (route: string) => number): projections.CellOutlook {
+function cellOf(room: Room, forecast: loads.LoadForecast, weightOf: (route: string) => number): projection.CellOutlook {
   const usual = new forecastErrors.RatioErrors();
   const ratios: number[] = [];
   const factors: number[][] = [];
   const rows = new Map<forecastErrors.RatioErrors, number[]>();
-  for (const at of projections.GRID) {
+  for (const at of projection.GRID) {
     const outlook = forecast.outlook(room.region, at, weightOf);
     ratios.push(outlook?.ratio ?? 1);
     // Neighbouring moments share their errors: the quantiles are found once for each horizon.
@@ -50,7 +50,7 @@
 }
 
 function rowOf(errors: forecastErrors.RatioErrors): number[] {
-  return Array.from({ length: projections.QUANTILES }, (_, draw) => errors.factorAt(projections.quantileOf(draw)));
+  return Array.from({ length: projection.QUANTILES }, (_, draw) => errors.factorAt(projection.quantileOf(draw)));
 }
 
 /** How sure a projection over these regions can be. */
--- a/src/batch/owner.ts
+++ b/src/batch/owner.ts
@@ -3,19 +3,19 @@
  * as sent before it sends them, records each answer before it marks the item as done, and goes on where a former owner
  * ended. Whoever's term is over can change nothing any more.
  */
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as schema from "../wire/batch-schema.js";
 import type * as registerSchema from "../wire/register-schema.js";
 import type * as types from "../wire/types.js";
 import type * as proposers from "../register/proposer.js";
-import * as attempts from "./attempt.js";
-import * as inheritances from "./inheritance.js";
+import * as attempt from "./attempt.js";
+import * as inheritance from "./inheritance.js";
 import * as items from "./items.js";
 import type * as replicas from "./replicas.js";
 import * as steps from "./steps.js";
-import * as successions from "./succession.js";
+import * as succession from "./succession.js";
 import * as tables from "./table.js";
-import * as worklists from "./worklist.js";
+import * as worklist from "./worklist.js";
 
 /** A change is tried for so long, and an item sent at most so long after the change that marks it was begun. */
 const CHANGE_MS = 2500;
@@ -32,8 +32,8 @@
 }
 
 /** What the owner needs around it. */
-export interface Dependencies extends worklists.Surroundings, successions.Siblings {
-  readonly world: types.World;
+export interface Dependencies extends worklist.Surroundings, succession.Siblings {
+  readonly world: types.Clock;
   /** Of this process; names the owner. */
   readonly life: string;
   readonly register: Register;
@@ -41,31 +41,31 @@
   /** Whether a majority of the core confirms this node now. */
   isConfirmed(): boolean;
   /** Sends one item by a router of the region; never rejects. */
-  send(send: worklists.Send, batch: schema.Batch): Promise<attempts.Answer>;
+  send(send: worklist.Send, batch: schema.Batch): Promise<attempt.Answer>;
   /** The longest that an attempt at an item of the route may take, in milliseconds. */
   longestMs(route: string): number;
   /** An attempt of this owner has ended. */
-  attemptEnded(batch: schema.Batch, send: worklists.AtWork, ended: attempts.Ended): void;
+  attemptEnded(batch: schema.Batch, send: worklist.AtWork, ended: attempt.Ended): void;
 }
 
 /** Owns the batches while its term lasts; `turn` is called each 100 ms. */
-export class Owner implements attempts.Recorder {
-  private readonly atWork = new Map<string, worklists.AtWork>();
+export class Owner implements attempt.Recorder {
+  private readonly atWork = new Map<string, worklist.AtWork>();
   private readonly ended: steps.EndedAttempt[] = [];
-  private readonly worklist: worklists.Worklist;
-  private readonly succession: successions.Succession;
-  private inheritance: inheritances.Inheritance | null = null;
+  private readonly worklist: worklist.Worklist;
+  private readonly succession: succession.Succession;
+  private inheritance: inheritance.Inheritance | null = null;
   private isChanging = false;
   private changedAt: types.SteadyMs;
-  readonly world: types.World;
+  readonly world: types.Clock;
   readonly replicas: Dependencies["replicas"];
 
   constructor(private readonly needs: Dependencies) {
     this.world = needs.world;
     this.replicas = needs.replicas;
     this.changedAt = needs.world.now();
-    this.worklist = new worklists.Worklist(needs.world, needs);
-    this.succession = new successions.Succession(needs.world, needs);
+    this.worklist = new worklist.Worklist(needs.world, needs);
+    this.succession = new succession.Succession(needs.world, needs);
   }
 
   private get table(): schema.BatchTable | null {
@@ -112,15 +112,15 @@
   }
 
   /** At the begin of a term: what was under way at the former owner. */
-  private inherit(table: schema.BatchTable): inheritances.Inheritance {
+  private inherit(table: schema.BatchTable): inheritance.Inheritance {
     if (this.inheritance?.term === table.term) return this.inheritance;
     log.state(`batch: this node owns the batches, term ${table.term}`);
     this.changedAt = this.world.now();
-    this.inheritance = new inheritances.Inheritance(this.needs, table);
+    this.inheritance = new inheritance.Inheritance(this.needs, table);
     return this.inheritance;
   }
 
-  private async advance(table: schema.BatchTable, sends: worklists.Send[]): Promise<void> {
+  private async advance(table: schema.BatchTable, sends: worklist.Send[]): Promise<void> {
     const { life } = this.needs;
     const startedAt = this.world.now();
     const ended = [...this.ended];
@@ -143,13 +143,13 @@
     }
   }
 
-  private async attempt(batch: schema.Batch, send: worklists.Send): Promise<void> {
-    const key = worklists.keyOf(send);
+  private async attempt(batch: schema.Batch, send: worklist.Send): Promise<void> {
+    const key = worklist.keyOf(send);
     const atWork = { ...send, sentAt: this.world.now() };
     this.atWork.set(key, atWork);
     log.count("batch.sent");
     const answer = await this.needs.send(send, batch);
-    const ended = await attempts.finish(this, { digest: batch.digest, item: send.index, attempt: send.attempt }, answer);
+    const ended = await attempt.finish(this, { digest: batch.digest, item: send.index, attempt: send.attempt }, answer);
     this.atWork.delete(key);
     log.count(`batch.${ended.end}`);
     this.worklist.pause(send, ended.againMs);
--- a/src/batch/quote.ts
+++ b/src/batch/quote.ts
@@ -4,7 +4,7 @@
  */
 import * as statistics from "simple-statistics";
 import type * as errors from "../forecast/errors.js";
-import * as projections from "./projection.js";
+import * as projection from "./projection.js";
 
 /** Plays of one quote, and of one cell of the table by region and hour. */
 const PLAYS = 60;
@@ -44,9 +44,9 @@
 
 /** What a quote is made from. */
 export interface Question {
-  cells: readonly projections.CellOutlook[];
+  cells: readonly projection.CellOutlook[];
   /** Batches before it, and it as the last. */
-  works: readonly projections.Work[];
+  works: readonly projection.Work[];
   /** Milliseconds within which it is wanted; 0: no matter. */
   withinMs: number;
   /** How far earlier projections were off. */
@@ -77,11 +77,11 @@
   modelMs: number;
 }
 
-async function playAll(question: Question, works: readonly projections.Work[], plays: number, startMs: number): Promise<Sample[]> {
+async function playAll(question: Question, works: readonly projection.Work[], plays: number, startMs: number): Promise<Sample[]> {
   const samples: Sample[] = [];
   for (let count = 0; count < plays; count += 1) {
-    const draws = question.cells.map(() => Math.floor(question.random() * projections.QUANTILES));
-    const { beginMs, endMs } = projections.play(question.cells, works, draws, startMs);
+    const draws = question.cells.map(() => Math.floor(question.random() * projection.QUANTILES));
+    const { beginMs, endMs } = projection.play(question.cells, works, draws, startMs);
     // The quantiles of the past errors are gone through evenly, in an order of chance.
     const factor = question.pastErrors.factorAt((count + question.random()) / plays);
     samples.push({ beginMs: beginMs * factor, endMs: endMs * factor, modelMs: endMs });
--- a/src/batch/records.ts
+++ b/src/batch/records.ts
@@ -3,25 +3,25 @@
  * a batch, so that a dropped batch frees its bytes. Used by this node alone; `replicas.ts` spreads records over the core.
  */
 import type * as schema from "../wire/batch-schema.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as files from "../store/files.js";
 import type * as types from "../wire/types.js";
 import * as bounds from "./bounds.js";
-import * as recordFiles from "./record-file.js";
+import * as recordFile from "./record-file.js";
 
 const SUFFIX = ".records";
 /** The record of a batch's submission. */
-export const SUBMISSION: recordFiles.Place = { item: -1, attempt: 0 };
+export const SUBMISSION: recordFile.Place = { item: -1, attempt: 0 };
 /** A batch that the table does not name is dropped after so long: its submission may be under way. */
 const UNNAMED_KEPT_MS = 120_000;
 
 /** Rejects or gives false where the disk refuses; nothing is held in memory but where each record lies. */
 export class Records {
-  private readonly opened = new Map<string, Promise<recordFiles.RecordFile>>();
+  private readonly opened = new Map<string, Promise<recordFile.RecordFile>>();
   private readonly unnamedSince = new Map<string, types.SteadyMs>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly folder: files.RecordFolder,
   ) {}
 
@@ -88,10 +88,10 @@
     return sum;
   }
 
-  private fileOf(digest: string): Promise<recordFiles.RecordFile> {
+  private fileOf(digest: string): Promise<recordFile.RecordFile> {
     let opened = this.opened.get(digest);
     if (!opened) {
-      opened = this.folder.open(`${digest}${SUFFIX}`).then((file) => recordFiles.RecordFile.open(file));
+      opened = this.folder.open(`${digest}${SUFFIX}`).then((file) => recordFile.RecordFile.open(file));
       this.opened.set(digest, opened);
       opened.catch(() => this.opened.delete(digest));
     }
--- a/src/batch/replicas.ts
+++ b/src/batch/replicas.ts
@@ -9,7 +9,7 @@
 import type * as link from "../wire/link.js";
 import type * as registerSchema from "../wire/register-schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as items from "./items.js";
 import * as records from "./records.js";
 
@@ -34,7 +34,7 @@
 /** The records as all voters hold them together. */
 export class Replicas {
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly voters: Voters,
     private readonly own: records.Records,
   ) {}
@@ -103,7 +103,7 @@
     if (voters.length === 0) return Promise.resolve();
     let open = voters.length;
     return new Promise((resolve) => {
-      const timer = this.world.after(withinMs, resolve);
+      const timer = this.world.schedule(withinMs, resolve);
       const end = (): void => {
         timer.stop();
         resolve();
--- a/src/batch/routers.ts
+++ b/src/batch/routers.ts
@@ -4,7 +4,7 @@
 import type * as link from "../wire/link.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
-import type * as senders from "./sender.js";
+import type * as sender from "./sender.js";
 
 /** A pass that was told so long ago, in milliseconds, has arrived: it went before any item. */
 const ARRIVED_MS = 500;
@@ -22,7 +22,7 @@
   private next = 0;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly ready: () => Iterable<SessionRouter>,
   ) {}
 
@@ -36,7 +36,7 @@
   }
 
   /** One router of the region after the other, of any where it has none; null: none knows the pass. */
-  in(region: string): senders.Destination | null {
+  in(region: string): sender.Destination | null {
     const known = [...this.ready()].filter((router) => this.knowsPass(router));
     const here = known.filter(({ node }) => node.region === region);
     const there = here.length > 0 ? here : known;
--- a/src/batch/sender.ts
+++ b/src/batch/sender.ts
@@ -7,7 +7,7 @@
 import * as http from "../wire/http.js";
 import * as names from "../wire/names.js";
 import type * as types from "../wire/types.js";
-import * as attempts from "./attempt.js";
+import * as attempt from "./attempt.js";
 import * as bounds from "./bounds.js";
 import * as submissions from "./submission.js";
 
@@ -39,7 +39,7 @@
 }
 
 /** Resolves when the answer is whole, refused or lost; never rejects. */
-export async function send(world: types.World, to: Destination | null, { route, item }: Parcel): Promise<attempts.Answer> {
+export async function send(world: types.Clock, to: Destination | null, { route, item }: Parcel): Promise<attempt.Answer> {
   if (!to) return { kind: "not_run", againMs: NO_ROUTER_MS };
   const client = http.open(to.frontend, { connectMs: CONNECT_MS, idleMs: 1 });
   let wasSent = false;
@@ -71,7 +71,7 @@
   return headers;
 }
 
-function answerOf(reply: http.Reply): attempts.Answer {
+function answerOf(reply: http.Reply): attempt.Answer {
   const { status, headers, body } = reply;
   if (PROMISES.has(status)) return { kind: "not_run", againMs: pauseMs(headers.get(names.HEADER.retryAfter)) };
   if (status >= 500) return { kind: "may_have_run" };
--- a/src/batch/steps.ts
+++ b/src/batch/steps.ts
@@ -7,7 +7,7 @@
  * `done` is final, and it names the one attempt whose result counts.
  */
 import * as result from "true-myth/result";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import type * as schema from "../wire/batch-schema.js";
 import * as bounds from "./bounds.js";
 import * as items from "./items.js";
--- a/src/batch/submission.ts
+++ b/src/batch/submission.ts
@@ -5,7 +5,7 @@
 import * as superstruct from "superstruct";
 import * as check from "../config/check.js";
 import * as registers from "../register/value.js";
-import type * as errors from "../startup/errors.js";
+import type * as errors from "../runtime/errors.js";
 import * as bounds from "./bounds.js";
 
 const MAX_KEY = 64;
--- a/src/batch/succession.ts
+++ b/src/batch/succession.ts
@@ -28,7 +28,7 @@
   private movedAt: types.SteadyMs;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly siblings: Siblings,
   ) {
     this.goneSince = this.movedAt = world.now();
--- a/src/batch/worklist.ts
+++ b/src/batch/worklist.ts
@@ -7,7 +7,7 @@
 import * as items from "./items.js";
 import type * as steps from "./steps.js";
 import * as tables from "./table.js";
-import * as trickles from "./trickle.js";
+import * as trickle from "./trickle.js";
 
 /** An attempt under way. */
 export interface AtWork extends steps.ItemRef {
@@ -27,7 +27,7 @@
   /** The service of a route by the configuration in force; null: there is no such route any more. */
   serviceOf(route: string): string | null;
   /** The cells that a batch may run in now. */
-  roomsOf(batch: schema.Batch, service: string): trickles.CellRoom[];
+  roomsOf(batch: schema.Batch, service: string): trickle.CellRoom[];
   /** Tokens of a prompt that are read for an item of the batch. */
   unreadOf(batch: schema.Batch): number;
 }
@@ -45,10 +45,10 @@
 export class Worklist {
   /** Items that were turned away, and until when they are not sent. */
   private readonly pausedUntil = new Map<string, number>();
-  private readonly readBudgets = new Map<string, trickles.ReadBudget>();
+  private readonly readBudgets = new Map<string, trickle.ReadBudget>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly around: Surroundings,
   ) {}
 
@@ -64,9 +64,9 @@
     let count = 0;
     for (const { service, region, sentAt } of atWork) {
       count += 1;
-      if (now - sentAt <= trickles.UNREPORTED_MS) add(unreported, cellKey(service, region));
+      if (now - sentAt <= trickle.UNREPORTED_MS) add(unreported, cellKey(service, region));
     }
-    const most = Math.min(trickles.MAX_SENDS, trickles.MAX_AT_WORK - count);
+    const most = Math.min(trickle.MAX_SENDS, trickle.MAX_AT_WORK - count);
     const round = { unreported, budgets: new Map<string, number>(), sends: [], most };
     for (const batch of tables.openBatches(table)) this.fill(batch, round);
     return round.sends;
@@ -93,16 +93,16 @@
       const key = cellKey(service, room.region);
       cells.push({ key, region: room.region });
       if (round.budgets.has(key)) continue;
-      round.budgets.set(key, trickles.mayStart(room, round.unreported.get(key) ?? 0));
+      round.budgets.set(key, trickle.mayStart(room, round.unreported.get(key) ?? 0));
       this.readBudgetOf(key).earn(this.world.now(), room.readPerMs);
     }
     return cells;
   }
 
-  private readBudgetOf(key: string): trickles.ReadBudget {
+  private readBudgetOf(key: string): trickle.ReadBudget {
     let budget = this.readBudgets.get(key);
     if (!budget) {
-      budget = new trickles.ReadBudget();
+      budget = new trickle.ReadBudget();
       this.readBudgets.set(key, budget);
     }
     return budget;
--- a/src/cli/batch.ts
+++ b/src/cli/batch.ts
@@ -6,11 +6,11 @@
 import type * as commander from "commander";
 import * as submissions from "../batch/submission.js";
 import * as plot from "../plots/plot.js";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import type * as types from "../wire/types.js";
 import * as client from "./client.js";
 import * as commands from "./commands.js";
-import * as views from "./batch-view.js";
+import * as batchView from "./batch-view.js";
 
 interface Options {
   control: string;
@@ -22,7 +22,7 @@
 
 /** The command's surroundings. */
 interface Shell {
-  world: types.World;
+  world: types.Clock;
   output: commands.Output;
 }
 
@@ -39,7 +39,8 @@
   const { json } = outcome.value;
   if (options.json) shell.output.line(JSON.stringify(json, null, 2));
   else for (const line of show(json)) shell.output.line(line);
-  if (options.plot) fs.writeFileSync(options.plot, await plot.svg(views.panels(json as views.QuoteJson), "submitted in so many hours"));
+  if (options.plot)
+    fs.writeFileSync(options.plot, await plot.svg(batchView.panels(json as batchView.QuoteJson), "submitted in so many hours"));
   return commands.EXIT.ok;
 }
 
@@ -53,7 +54,7 @@
   const checked = submissions.parseOutline(body);
   if (checked.isErr) return commands.reportFailure(shell.output, checked.error);
   const wantsTable = options.table === true || options.plot !== undefined;
-  return call(shell, options, post(wantsTable ? "Quote?table=true" : "Quote", body), views.quoteLines);
+  return call(shell, options, post(wantsTable ? "Quote?table=true" : "Quote", body), batchView.quoteLines);
 }
 
 async function submit(shell: Shell, file: string, options: Options): Promise<number> {
@@ -61,7 +62,7 @@
   if (body instanceof Error) return commands.reportFailure(shell.output, body);
   const checked = submissions.parse(body);
   if (checked.isErr) return commands.reportFailure(shell.output, checked.error);
-  return call(shell, options, post("Submit", body), views.submitLines);
+  return call(shell, options, post("Submit", body), batchView.submitLines);
 }
 
 /** The number of a batch as the path wants it, or the error with its remedy. */
@@ -78,31 +79,33 @@
 
 function status(shell: Shell, text: string, options: Options): Promise<number> {
   return withNumber(shell, text, (number) =>
-    call(shell, options, { method: "GET", path: `/-/Batches.Status/${number}` }, (json) => [views.batchLine(json as views.BatchJson)]),
+    call(shell, options, { method: "GET", path: `/-/Batches.Status/${number}` }, (json) => [
+      batchView.batchLine(json as batchView.BatchJson),
+    ]),
   );
 }
 
 function cancel(shell: Shell, text: string, options: Options): Promise<number> {
   return withNumber(shell, text, (number) =>
-    call(shell, options, post(`Cancel/${number}`), (json) => [views.batchLine(json as views.BatchJson)]),
+    call(shell, options, post(`Cancel/${number}`), (json) => [batchView.batchLine(json as batchView.BatchJson)]),
   );
 }
 
 function results(shell: Shell, text: string, options: Options): Promise<number> {
   return withNumber(shell, text, (number) => {
     const path = `/-/Batches.Results/${number}?from=${encodeURIComponent(options.from ?? "0")}`;
-    return call(shell, options, { method: "GET", path }, views.resultLines);
+    return call(shell, options, { method: "GET", path }, batchView.resultLines);
   });
 }
 
 function list(shell: Shell, options: Options): Promise<number> {
-  return call(shell, options, { method: "GET", path: "/-/Batches.List" }, views.listLines);
+  return call(shell, options, { method: "GET", path: "/-/Batches.List" }, batchView.listLines);
 }
 
 /** Adds the commands to the program; `done` takes the exit code of each. */
 export function add(
   program: commander.Command,
-  world: types.World,
+  world: types.Clock,
   output: commands.Output,
   done: (work: Promise<number>) => Promise<void>,
 ): void {
--- a/src/cli/capacity.ts
+++ b/src/cli/capacity.ts
@@ -99,7 +99,7 @@
 
 /** Asks each address, control or router; 3 when none replies. */
 export async function capacity(
-  world: types.World,
+  world: types.Clock,
   output: commands.Output,
   addresses: readonly string[],
   isJson: boolean,
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -3,7 +3,7 @@
  * in one line with its remedy.
  */
 import * as result from "true-myth/result";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import * as http from "../wire/http.js";
 import * as types from "../wire/types.js";
 
@@ -26,7 +26,7 @@
   body?: Buffer;
 }
 
-async function sendFollowingRedirects(world: types.World, address: string, request: ClientRequest): Promise<http.Reply | null> {
+async function sendFollowingRedirects(world: types.Clock, address: string, request: ClientRequest): Promise<http.Reply | null> {
   let currentAddress = address;
   let { path } = request;
   for (let hop = 0; hop <= MAX_REDIRECTS; hop += 1) {
@@ -51,7 +51,7 @@
  * Tries one node after the other; a clear answer, good or bad, ends it. An error is of kind timeout or no_majority
  * where trying again may help, else race, invalid, or usage where no address was given.
  */
-export async function send(world: types.World, addresses: readonly string[], request: ClientRequest): Promise<Outcome> {
+export async function send(world: types.Clock, addresses: readonly string[], request: ClientRequest): Promise<Outcome> {
   let lastError: errors.CranewindError | null = null;
   for (const address of addresses) {
     const response = await sendFollowingRedirects(world, address, request);
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -3,14 +3,14 @@
  */
 import * as fs from "node:fs";
 import * as check from "../config/check.js";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import * as settings from "../settings/settings.js";
 import * as registers from "../register/value.js";
 import * as types from "../wire/types.js";
-import * as batchDays from "../whatif/batch-day.js";
-import * as batchScenarios from "../whatif/batch-scenario.js";
-import * as batchTables from "../whatif/batch-table.js";
-import * as outcomes from "../whatif/outcome.js";
+import * as batchDay from "../whatif/batch-day.js";
+import * as batchScenario from "../whatif/batch-scenario.js";
+import * as batchTable from "../whatif/batch-table.js";
+import * as outcome from "../whatif/outcome.js";
 import * as play from "../whatif/play.js";
 import * as scenarios from "../whatif/scenario.js";
 import * as table from "../whatif/table.js";
@@ -67,11 +67,11 @@
 
 /** Plays a day of batches, and tells projected beside seen waits. */
 async function whatIfBatches(output: Output, described: unknown, isJson: boolean): Promise<number> {
-  const scenario = batchScenarios.checked(described);
+  const scenario = batchScenario.checked(described);
   if (scenario.isErr) return reportFailure(output, scenario.error);
-  const rows = batchTables.rows(await new batchDays.BatchDay(scenario.value).play());
-  if (isJson) output.line(JSON.stringify({ rows, ...batchTables.summaryOf(rows) }, null, 2));
-  else for (const line of batchTables.lines(rows)) output.line(line);
+  const rows = batchTable.rows(await new batchDay.BatchDay(scenario.value).play());
+  if (isJson) output.line(JSON.stringify({ rows, ...batchTable.summaryOf(rows) }, null, 2));
+  else for (const line of batchTable.lines(rows)) output.line(line);
   return EXIT.ok;
 }
 
@@ -80,13 +80,13 @@
   const bytes = readFile(file);
   if (bytes instanceof Error) return reportFailure(output, bytes);
   const described = check.parseJson(bytes);
-  if (described.isOk && batchScenarios.isBatchDay(described.value)) return whatIfBatches(output, described.value, isJson);
+  if (described.isOk && batchScenario.isBatchDay(described.value)) return whatIfBatches(output, described.value, isJson);
   const scenario = scenarios.parse(bytes);
   if (scenario.isErr) return reportFailure(output, scenario.error);
   if (scenario.value.surges.length > 0) {
-    const made = outcomes.rows(scenario.value);
+    const made = outcome.rows(scenario.value);
     if (isJson) output.line(JSON.stringify(made, null, 2));
-    else for (const line of outcomes.lines(made)) output.line(line);
+    else for (const line of outcome.lines(made)) output.line(line);
     return EXIT.ok;
   }
   const rows = table.rows(new play.Day(scenario.value).play());
@@ -96,7 +96,7 @@
 }
 
 /** Prints the newest configuration, read at a majority. */
-export async function describe(world: types.World, output: Output, controls: string[]): Promise<number> {
+export async function describe(world: types.Clock, output: Output, controls: string[]): Promise<number> {
   const outcome = await client.send(world, controls, { method: "GET", path: "/-/Config.Describe" });
   if (outcome.isErr) return reportFailure(output, outcome.error);
   output.line(JSON.stringify(outcome.value.json, null, 2));
@@ -105,7 +105,7 @@
 
 /** Sends a whole configuration or, with `isUpdate`, a change of named items, on top of a base revision. */
 export async function apply(
-  world: types.World,
+  world: types.Clock,
   output: Output,
   controls: string[],
   file: string,
@@ -127,7 +127,7 @@
 }
 
 /** Starts or stops the evacuation of a zone; any other verb is wrong use. */
-export async function evacuate(world: types.World, output: Output, controls: string[], verb: string, zone: string): Promise<number> {
+export async function evacuate(world: types.Clock, output: Output, controls: string[], verb: string, zone: string): Promise<number> {
   const call = verb === "start" ? "Start" : verb === "stop" ? "Stop" : null;
   if (!call) return reportFailure(output, errors.fail("usage", `evacuate ${verb} is no order`, "use start or stop"));
   const outcome = await client.send(world, controls, { method: "POST", path: `/-/Evacuations.${call}/${encodeURIComponent(zone)}` });
@@ -138,7 +138,7 @@
 }
 
 /** Prints the status of the first node that replies. */
-export async function status(world: types.World, output: Output, addresses: string[], isJson: boolean): Promise<number> {
+export async function status(world: types.Clock, output: Output, addresses: string[], isJson: boolean): Promise<number> {
   const outcome = await client.send(world, addresses, { method: "GET", path: "/-/status" });
   if (outcome.isErr) return reportFailure(output, outcome.error);
   const { json } = outcome.value;
@@ -149,7 +149,7 @@
 
 /** The statuses of all nodes that reply, or the exit code once the failure was told. */
 export async function statusesOf<Status>(
-  world: types.World,
+  world: types.Clock,
   output: Output,
   addresses: readonly string[],
   noAddress: string,
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -3,18 +3,18 @@
  * this file parses the arguments of the process.
  */
 import * as commander from "commander";
-import * as experiment from "../experiment/command.js";
-import * as world from "../wire/world.js";
+import * as command from "../experiment/command.js";
+import * as timers from "../runtime/timers.js";
 import * as asks from "./ask.js";
-import * as batches from "./batch.js";
-import * as capacities from "./capacity.js";
+import * as batch from "./batch.js";
+import * as capacity from "./capacity.js";
 import * as commands from "./commands.js";
 import * as roles from "./roles.js";
 import * as tallies from "./tallies.js";
 import * as tenants from "./tenants.js";
 import * as trials from "./try.js";
 
-const clock = new world.RealWorld();
+const clock = new timers.SystemClock();
 const output: commands.Output = {
   line(text) {
     process.stdout.write(`${text}\n`);
@@ -125,7 +125,7 @@
   .requiredOption(...controls)
   .option("--json", "rows as JSON")
   .action(function more(options: Options) {
-    return withExitCode(capacities.capacity(clock, output, listOf(options.control), options.json === true));
+    return withExitCode(capacity.capacity(clock, output, listOf(options.control), options.json === true));
   });
 
 program
@@ -169,8 +169,8 @@
     return trials.run(output, options.folder);
   });
 
-experiment.add(program, clock, output);
-batches.add(program, clock, output, withExitCode);
+command.add(program, clock, output);
+batch.add(program, clock, output, withExitCode);
 tallies.addTo(program, { world: clock, output, withExitCode });
 
 function exitOf(cause: commander.CommanderError): number {
--- a/src/cli/roles.ts
+++ b/src/cli/roles.ts
@@ -7,14 +7,14 @@
 import * as fs from "node:fs";
 import * as control from "../control/program.js";
 import * as router from "../router/program.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
-import * as supervisor from "../supervisor/tree.js";
-import * as world from "../wire/world.js";
+import * as tree from "../supervisor/tree.js";
+import * as timers from "../runtime/timers.js";
 import * as commands from "./commands.js";
 
 interface Program {
-  root: supervisor.Supervisor;
+  root: tree.Supervisor;
   resettle(changed: settings.Settings): void;
   stop(): Promise<void>;
 }
@@ -33,7 +33,7 @@
 }
 
 /** The library is loaded only where figures are asked for: a role starts faster without it. */
-async function addMetrics(root: supervisor.Supervisor, host: string, option: string): Promise<void> {
+async function addMetrics(root: tree.Supervisor, host: string, option: string): Promise<void> {
   const metrics = await import("../metrics/prometheus.js");
   const endpoint = metrics.parseEndpoint(option);
   if (endpoint.isErr) endWith(endpoint.error.message, commands.EXIT.usage);
@@ -45,7 +45,7 @@
   const read = settings.read(file);
   if (read.isErr) endWith(read.error.message, commands.EXIT.startup);
   const program = createProgram(read.value);
-  supervisor.superviseProcess(program.root);
+  tree.superviseProcess(program.root);
   let isStopping = false;
   let fingerprint = fingerprintOf(file);
   process.on("SIGTERM", stop);
@@ -95,13 +95,13 @@
 /** Runs a router until it is told to stop; ends the process with code 78 where the settings are bad. */
 export function startRouter(options: RoleOptions): Promise<void> {
   return run(function createRouter(initial) {
-    return new router.RouterProgram(new world.RealWorld(), initial);
+    return new router.RouterProgram(new timers.SystemClock(), initial);
   }, options);
 }
 
 /** Runs a control node, in the same way. */
 export function startControl(options: RoleOptions): Promise<void> {
   return run(function createControl(initial) {
-    return new control.ControlProgram(new world.RealWorld(), initial);
+    return new control.ControlProgram(new timers.SystemClock(), initial);
   }, options);
 }
--- a/src/cli/tallies.ts
+++ b/src/cli/tallies.ts
@@ -3,9 +3,9 @@
 import type * as commander from "commander";
 import * as superstruct from "superstruct";
 import * as tallyCalls from "../tallies/calls.js";
-import * as requests from "../tallies/request.js";
+import * as request from "../tallies/request.js";
 import type * as types from "../wire/types.js";
-import * as worlds from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 import * as client from "./client.js";
 import * as commands from "./commands.js";
 
@@ -24,7 +24,7 @@
 
 /** What the commands run on, and how they end the process. */
 interface Setting {
-  world: types.World;
+  world: types.Clock;
   output: commands.Output;
   withExitCode(work: Promise<number>): Promise<void>;
 }
@@ -55,7 +55,7 @@
 async function add({ world, output }: Setting, name: string, amount: string, options: Options): Promise<number> {
   const id = options.id ?? crypto.randomUUID();
   const body = Buffer.from(JSON.stringify({ instance_id: id, actor: Number(amount) }));
-  const checked = requests.parseAdd(body);
+  const checked = request.parseAdd(body);
   if (checked.isErr) return commands.reportFailure(output, checked.error);
   const path = `${tallyCalls.UPDATE}${encodeURIComponent(name)}`;
   const headers = { "Content-Type": "application/json" };
@@ -69,7 +69,7 @@
 async function watch(setting: Setting, name: string, options: Options): Promise<number> {
   for (;;) {
     await showTotal(setting, name, options);
-    await worlds.sleep(setting.world, WATCH_MS);
+    await timers.sleep(setting.world, WATCH_MS);
   }
 }
 
--- a/src/cli/tenants.ts
+++ b/src/cli/tenants.ts
@@ -2,11 +2,11 @@
  * `cranewind tenants`: what each tenant uses of its limit (design/tenants 8). Each control node holds a part of every
  * quota; the rows sum over those that reply, and say how many did.
  */
-import type * as parts from "../tenants/quota-part.js";
-import type * as uses from "../tenants/quota-use.js";
+import type * as quotaPart from "../tenants/quota-part.js";
+import type * as quotaUse from "../tenants/quota-use.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
-import * as worlds from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 import * as commands from "./commands.js";
 
 const WATCH_MS = 2000;
@@ -15,8 +15,8 @@
 /** What a control node's status tells of quotas. */
 export interface QuotaStatus {
   isGranting: boolean;
-  limits: Record<string, parts.Limit>;
-  used: Record<string, uses.Use>;
+  limits: Record<string, quotaPart.Limit>;
+  used: Record<string, quotaUse.Use>;
 }
 
 /** The parts of a control node's status that are read here. */
@@ -63,7 +63,7 @@
   }
 }
 
-function add(row: Row, region: string, use: uses.Use): void {
+function add(row: Row, region: string, use: quotaUse.Use): void {
   row.used_per_s = rounded(row.used_per_s + use.granted_per_s);
   row.denied_per_s = rounded(row.denied_per_s + use.denied_per_s);
   row.granted += use.granted;
@@ -95,7 +95,7 @@
   isWatching: boolean;
 }
 
-async function printOnce(world: types.World, output: commands.Output, controls: readonly string[], isJson: boolean): Promise<number> {
+async function printOnce(world: types.Clock, output: commands.Output, controls: readonly string[], isJson: boolean): Promise<number> {
   const noAddress = "no address was given; name all control nodes with --control HOST:PORT,...";
   const statuses = await commands.statusesOf<OwnerStatus>(world, output, controls, noAddress);
   if (typeof statuses === "number") return statuses;
@@ -107,7 +107,7 @@
 
 /** Asks all control nodes; 3 when none replies. */
 export async function tenants(
-  world: types.World,
+  world: types.Clock,
   output: commands.Output,
   controls: readonly string[],
   options: TenantsOptions,
@@ -115,6 +115,6 @@
   for (;;) {
     const code = await printOnce(world, output, controls, options.isJson);
     if (!options.isWatching || code !== commands.EXIT.ok) return code;
-    await worlds.sleep(world, WATCH_MS);
+    await timers.sleep(world, WATCH_MS);
   }
 }
--- a/src/cli/try.ts
+++ b/src/cli/try.ts
@@ -4,8 +4,8 @@
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as path from "node:path";
-import * as platforms from "../standin/platform.js";
-import * as runners from "../standin/runner.js";
+import * as platforms from "../emulator/platform.js";
+import * as runners from "../emulator/runner.js";
 import type * as commands from "./commands.js";
 
 const REGIONS = ["north", "south", "west"];
--- a/src/cli/view.ts
+++ b/src/cli/view.ts
@@ -1,9 +1,9 @@
 /** A node's status as lines for people (design 10.2). The interfaces name what is read of its JSON. */
 import type * as disks from "../control/voters/disk.js";
-import type * as serveGates from "../router/serve-gate.js";
+import type * as serveGate from "../router/serve-gate.js";
 import type * as counts from "../wire/counts.js";
 import type * as schema from "../wire/schema.js";
-import type * as vitals from "../startup/vitals.js";
+import type * as vitals from "../runtime/vitals.js";
 
 interface ControlStatus {
   node: schema.NodeInfo;
@@ -21,7 +21,7 @@
 interface RouterStatus {
   node: schema.NodeInfo;
   following: string | null;
-  configuration: serveGates.GateStatus;
+  configuration: serveGate.GateStatus;
   routers: number;
   sharesValid: boolean;
   runners: { id: string; service: string; zone: string; status: string; inflight: number; usage: number }[];
@@ -80,7 +80,7 @@
   return [...made, ...resourceLines(status.vitals, status.links), ...counterLines(status.counters)];
 }
 
-function confirmedText({ confirmedMsAgo, isExpired }: serveGates.GateStatus): string {
+function confirmedText({ confirmedMsAgo, isExpired }: serveGate.GateStatus): string {
   if (isExpired) return "NOT served: confirmed too long ago";
   return confirmedMsAgo === null ? "never confirmed" : `confirmed ${(confirmedMsAgo / 1000).toFixed(1)} s ago`;
 }
--- a/src/config/change.ts
+++ b/src/config/change.ts
@@ -6,7 +6,7 @@
  * looked up in the history before anything of it is compared with the value (design/hardening/2-orders).
  */
 import * as result from "true-myth/result";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import * as schema from "../wire/schema.js";
 import * as link from "../wire/link.js";
 import * as registers from "../register/value.js";
--- a/src/config/check.ts
+++ b/src/config/check.ts
@@ -1,7 +1,7 @@
 // Reading and checking the operator's configurations (design 6.1): each message names field and remedy.
 import * as result from "true-myth/result";
 import * as superstruct from "superstruct";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 
 const name = superstruct.nonempty(superstruct.string());
 const count = superstruct.min(superstruct.number(), 0);
--- a/src/config/parts.ts
+++ b/src/config/parts.ts
@@ -2,10 +2,10 @@
 // and other field, so that one changed route costs one item on the way and one parse at a router.
 import * as registers from "../register/value.js";
 import type * as mirrors from "../feed/mirror.js";
-import * as tenants from "../tenants/tenant.js";
+import * as tenant from "../tenants/tenant.js";
 import type * as schema from "../wire/schema.js";
 import type * as check from "./check.js";
-import * as texts from "./document-text.js";
+import * as documentText from "./document-text.js";
 import * as routes from "./routes.js";
 
 const META = "meta";
@@ -43,7 +43,7 @@
   private config: Buffer | null = null;
   private fields = new Map<string, SplitField>();
   private items = new Map<string, Buffer>();
-  private readonly digests = new tenants.DigestCache();
+  private readonly digests = new tenant.DigestCache();
 
   split(value: schema.Value): ReadonlyMap<string, Buffer> {
     if (!this.config?.equals(value.config)) {
@@ -58,7 +58,7 @@
 
   private splitConfig(config: Buffer): void {
     const fields = new Map<string, SplitField>();
-    for (const { name, text } of texts.fieldsOf(registers.unpackText(config))) {
+    for (const { name, text } of documentText.fieldsOf(registers.unpackText(config))) {
       // The revision stands in the meta item: it moves with each change.
       if (name !== "revision") fields.set(name, { text, items: this.splitField(name, text) });
     }
@@ -88,7 +88,7 @@
 /** Items whose text is known stay as they are. Their texts are cut from the new document, so that no old one is held. */
 function splitList(prefix: string, text: string, before: SplitField | undefined): ReadonlyMap<string, ConfigItem> {
   const items = new Map<string, ConfigItem>();
-  for (const itemText of texts.itemsOf(text)) {
+  for (const itemText of documentText.itemsOf(text)) {
     items.set(itemText, before?.items.get(itemText) ?? itemOf(prefix, itemText));
   }
   return items;
@@ -102,7 +102,7 @@
 /** The router's side: parses what changed, and keeps one table up to date. */
 export class ConfigParts {
   private readonly whole = new routes.RouteTable({ routes: [], services: [] });
-  readonly tenants = new tenants.TenantTable();
+  readonly tenants = new tenant.TenantTable();
   limits: check.Limits | undefined = undefined;
   evacuations: readonly string[] = [];
   revision = 0;
@@ -121,12 +121,12 @@
     for (const [key, body] of applied.changed) parts.set(key, JSON.parse(body.toString("utf8")));
     this.parsed += parts.size;
     const amended: routes.Amendment = { routes: [], goneRoutes: [], services: [], goneServices: [] };
-    const added: tenants.Tenant[] = [];
+    const added: tenant.Tenant[] = [];
     const removed: string[] = [];
     for (const [key, part] of parts) {
       if (key.startsWith(ROUTE)) amended.routes.push(part as check.Route);
       else if (key.startsWith(SERVICE)) amended.services.push(part as check.Service);
-      else if (key.startsWith(TENANT)) added.push(part as tenants.Tenant);
+      else if (key.startsWith(TENANT)) added.push(part as tenant.Tenant);
       else if (key === EVACUATIONS) this.evacuations = part as string[];
       else if (key === LIMITS) this.limits = part as check.Limits;
       else if (key === META) this.takeMeta(part as Meta);
--- a/src/control/account.ts
+++ b/src/control/account.ts
@@ -1,8 +1,8 @@
 // A control node's own account of itself, for its operators (design 9.1, docs/operating.md).
 import * as counts from "../wire/counts.js";
 import type * as schema from "../wire/schema.js";
-import * as log from "../startup/log.js";
-import * as vitals from "../startup/vitals.js";
+import * as log from "../runtime/log.js";
+import * as vitals from "../runtime/vitals.js";
 import type * as contacts from "./voters/contact.js";
 import type * as cores from "./core.js";
 import type * as sessions from "./members/sessions.js";
--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -5,7 +5,7 @@
 import * as result from "true-myth/result";
 import * as bounds from "../../batch/bounds.js";
 import * as items from "../../batch/items.js";
-import * as outlooks from "../../batch/outlook.js";
+import * as outlook from "../../batch/outlook.js";
 import * as owners from "../../batch/owner.js";
 import * as quotes from "../../batch/quote.js";
 import * as records from "../../batch/records.js";
@@ -13,11 +13,11 @@
 import * as steps from "../../batch/steps.js";
 import * as submissions from "../../batch/submission.js";
 import * as tables from "../../batch/table.js";
-import * as errors from "../../startup/errors.js";
-import * as log from "../../startup/log.js";
+import * as errors from "../../runtime/errors.js";
+import * as log from "../../runtime/log.js";
 import * as batchSchema from "../../wire/batch-schema.js";
 import type * as types from "../../wire/types.js";
-import type * as views from "./batch-view.js";
+import type * as batchView from "./batch-view.js";
 import type * as cores from "../core.js";
 import * as serve from "../../wire/serve.js";
 
@@ -27,11 +27,11 @@
 
 /** What the calls are answered with. */
 export interface BatchDependencies {
-  readonly world: types.World;
+  readonly world: types.Clock;
   readonly register: Pick<cores.Core, "chosen" | "order" | "read">;
   readonly replicas: Pick<replicas.Replicas, "put" | "find">;
-  readonly view: views.BatchView;
-  readonly forecast: Parameters<typeof outlooks.cellsOf>[1];
+  readonly view: batchView.BatchView;
+  readonly forecast: Parameters<typeof outlook.cellsOf>[1];
 }
 
 type Denied = errors.CranewindError;
@@ -95,16 +95,16 @@
     const { table } = this;
     const service = view.serviceOf(outline.route)!;
     const rooms = view.roomsWithBatches(service, table);
-    const pastErrors = outlooks.pastErrors(table);
+    const pastErrors = outlook.pastErrors(table);
     const quote = await quotes.answer({
-      cells: outlooks.cellsOf(rooms, forecast, (route) => view.usualHeldMs(route)),
+      cells: outlook.cellsOf(rooms, forecast, (route) => view.usualHeldMs(route)),
       works: [...view.worksBefore(table, service), view.workOf(outline, outline.count)],
       withinMs: outline.finish_within_s * 1000,
       pastErrors,
       random: () => world.random(),
       wantsTable,
     });
-    const confidence = outlooks.confidenceOf(view.roomsOf(outline, service), forecast, pastErrors.count);
+    const confidence = outlook.confidenceOf(view.roomsOf(outline, service), forecast, pastErrors.count);
     if (!view.knowsRoute(outline.route)) confidence.reasons.push(`no request of ${outline.route} was seen yet`);
     return { ...quote, confidence: { ...confidence, isSure: confidence.reasons.length === 0 }, medianError: pastErrors.medianError() };
   }
--- a/src/control/batches/batch-loads.ts
+++ b/src/control/batches/batch-loads.ts
@@ -7,10 +7,10 @@
 import type * as link from "../../wire/link.js";
 import type * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import type * as dialers from "../../feed/dialer.js";
+import type * as dialer from "../../feed/dialer.js";
 import type * as feeds from "../../feed/feed.js";
 import * as loads from "../../forecast/loads.js";
-import * as summaries from "../../usage/summary.js";
+import * as summary from "../../load/summary.js";
 import type * as sessions from "../members/sessions.js";
 
 const ASK_EVERY_MS = 5000;
@@ -35,10 +35,10 @@
   private isAsking = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly feed: Pick<feeds.Feed, "followersOf">,
     private readonly members: Pick<sessions.Sessions, "readyRouters">,
-    private readonly dial: Pick<dialers.Dialer, "links">,
+    private readonly dial: Pick<dialer.Dialer, "links">,
   ) {
     this.forecast = new loads.LoadForecast(world);
   }
@@ -62,7 +62,7 @@
 
   private async gather(spanMs: number): Promise<void> {
     this.isAsking = true;
-    const followers = new Set(this.feed.followersOf(summaries.SUMMARY_TOPIC));
+    const followers = new Set(this.feed.followersOf(summary.SUMMARY_TOPIC));
     const asked: Promise<Heard | null>[] = [];
     for (const { node, link: to } of this.members.readyRouters()) if (followers.has(to)) asked.push(ask(node, to));
     const heard = await Promise.all(asked);
--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -3,16 +3,16 @@
  * and a disk folder of its own, so that batches have its guarantees and cost its rounds nothing.
  */
 import * as path from "node:path";
-import * as batchCalls from "../../wire/calls.js";
+import * as calls from "../../wire/calls.js";
 import type * as link from "../../wire/link.js";
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
-import type * as dialers from "../../feed/dialer.js";
+import type * as dialer from "../../feed/dialer.js";
 import * as registers from "../../register/value.js";
 import * as files from "../../store/files.js";
 import * as owner from "../../store/owner.js";
-import * as voterManagers from "../voters/voter-manager.js";
-import type * as channels from "../channel.js";
+import * as voterManager from "../voters/voter-manager.js";
+import type * as channel from "../channel.js";
 import * as cores from "../core.js";
 import * as disks from "../voters/disk.js";
 
@@ -36,16 +36,16 @@
 export class BatchRegister {
   readonly core: cores.Core;
   private readonly disk: disks.VoterDisk;
-  private readonly voterManager: voterManagers.VoterManager;
+  private readonly voterManager: voterManager.VoterManager;
   /** Disks of the siblings in this register, by their address. */
   private readonly disksByAddress = new Map<string, string>();
   private toldAt = -Infinity;
 
   /** heldControls: this node and the control nodes whose sessions it holds itself. */
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly options: BatchRegisterOptions,
-    private readonly dial: dialers.Dialer,
+    private readonly dial: dialer.Dialer,
     private readonly heldControls: () => schema.NodeInfo[],
   ) {
     const { life, address, seeds, isBootstrap } = options;
@@ -54,26 +54,26 @@
     const folder = new files.RealFolder(path.join(options.dataDir, FOLDER));
     const machine = { world, folder, processes: owner.realProcesses };
     this.disk = new disks.VoterDisk(machine, { address, seeds, isBootstrap }, this.core.enter.bind(this.core));
-    this.voterManager = new voterManagers.VoterManager(world, this.core, this.nodes.bind(this));
+    this.voterManager = new voterManager.VoterManager(world, this.core, this.nodes.bind(this));
     dial.on("up", this.tell.bind(this));
     dial.on("down", (control) => this.disksByAddress.delete(control.address));
   }
 
-  private channel(): channels.Channel {
+  private channel(): channel.Channel {
     return {
       name: "batch register",
       logsEpochs: false,
-      prepare: batchCalls.batchPrepare,
-      accept: batchCalls.batchAccept,
-      chosen: batchCalls.batchChosen,
-      ask: batchCalls.batchAsk,
+      prepare: calls.batchPrepare,
+      accept: calls.batchAccept,
+      chosen: calls.batchChosen,
+      ask: calls.batchAsk,
       diskOf: (control) => this.disksByAddress.get(control.address) ?? "",
     };
   }
 
   register(handlers: link.Handlers): void {
     this.core.register(handlers);
-    handlers.on(batchCalls.batchNode, (_from, told) => {
+    handlers.on(calls.batchNode, (_from, told) => {
       this.disksByAddress.set(told.address, told.disk);
       return null;
     });
@@ -88,8 +88,8 @@
     return new files.RealFolder(path.join(this.options.dataDir, FOLDER, "records"));
   }
 
-  private tell(control: dialers.Control): void {
-    control.link.tell(batchCalls.batchNode, { address: this.options.address, disk: this.core.disk });
+  private tell(control: dialer.Control): void {
+    control.link.tell(calls.batchNode, { address: this.options.address, disk: this.core.disk });
   }
 
   /** The nodes in touch with their disks in this register. */
--- a/src/control/batches/batch-view.ts
+++ b/src/control/batches/batch-view.ts
@@ -2,12 +2,12 @@
  * What a control node knows of the fleet, as batches need it (design/batch 6, 9): routes by the configuration in force,
  * rooms by the newest reports, and the work that lies before a batch.
  */
-import * as projections from "../../batch/projection.js";
+import * as projection from "../../batch/projection.js";
 import * as items from "../../batch/items.js";
-import type * as outlooks from "../../batch/outlook.js";
+import type * as outlook from "../../batch/outlook.js";
 import type * as submissions from "../../batch/submission.js";
 import * as tables from "../../batch/table.js";
-import * as trickles from "../../batch/trickle.js";
+import * as trickle from "../../batch/trickle.js";
 import * as check from "../../config/check.js";
 import * as routes from "../../config/routes.js";
 import type * as loads from "../../forecast/loads.js";
@@ -82,16 +82,16 @@
   }
 
   /** The newest rooms of the service in the regions that the batch may run in; zones under evacuation have none. */
-  roomsOf(batch: Pick<batchSchema.Batch, "route" | "homes">, service: string): outlooks.Room[] {
+  roomsOf(batch: Pick<batchSchema.Batch, "route" | "homes">, service: string): outlook.Room[] {
     const allowed = this.allowed(batch.route, batch.homes);
     return this.rooms(service).filter((room) => !allowed || allowed.has(room.region));
   }
 
-  private rooms(service: string): outlooks.Room[] {
+  private rooms(service: string): outlook.Room[] {
     const evacuated = new Set(this.from.configuration()?.evacuations);
     const speaking = new Map<string, schema.Report>();
     for (const { reports } of this.from.reports()) for (const report of reports) if (report.isSpeaking) speaking.set(report.id, report);
-    const rooms = new Map<string, outlooks.Room>();
+    const rooms = new Map<string, outlook.Room>();
     for (const instance of this.from.instances()) {
       const report = speaking.get(instance.id);
       if (instance.service !== service || instance.isDraining || !report || evacuated.has(instance.zone)) continue;
@@ -100,14 +100,14 @@
       room.places += instance.capacity;
       room.used += report.active + report.waiting;
       room.waiting += report.waiting;
-      room.readPerMs += trickles.readPerMs(1, this.from.forecast.readRate);
+      room.readPerMs += trickle.readPerMs(1, this.from.forecast.readRate);
       rooms.set(region, room);
     }
     return [...rooms.values()];
   }
 
   /** The rooms of a service in all regions, with the batch items that are at work spread over them by their places. */
-  roomsWithBatches(service: string, table: batchSchema.BatchTable): outlooks.Room[] {
+  roomsWithBatches(service: string, table: batchSchema.BatchTable): outlook.Room[] {
     const rooms = this.rooms(service);
     let places = 0;
     for (const room of rooms) places += room.places;
@@ -156,15 +156,15 @@
   }
 
   /** So many items of a batch of these sizes, as work of the projection. */
-  workOf(sizes: Sizes, count: number, digest = ""): projections.Work {
+  workOf(sizes: Sizes, count: number, digest = ""): projection.Work {
     const service = this.serviceOf(sizes.route) ?? "";
     const regions = new Set(this.roomsOf(sizes, service).map((room) => room.region));
     return { count, heldMs: Math.max(1, this.heldMs.get(digest) ?? this.usualHeldMs(sizes.route)), unread: unreadOf(sizes), regions };
   }
 
   /** The open batches of the service, in their order, as works; those before `number` if one is given. */
-  worksBefore(table: batchSchema.BatchTable, service: string, number = Infinity): projections.Work[] {
-    const works: projections.Work[] = [];
+  worksBefore(table: batchSchema.BatchTable, service: string, number = Infinity): projection.Work[] {
+    const works: projection.Work[] = [];
     for (const batch of tables.openBatches(table)) {
       if (batch.number >= number || this.serviceOf(batch.route) !== service) continue;
       const counts = items.tally(batch.items);
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -1,17 +1,17 @@
 /** Batches at one control node, put together (design/batch 1): register, records, owner, forecast and operator's calls. */
-import type * as attempts from "../../batch/attempt.js";
+import type * as attempt from "../../batch/attempt.js";
 import * as owners from "../../batch/owner.js";
 import * as records from "../../batch/records.js";
 import * as replicas from "../../batch/replicas.js";
-import * as batchRouters from "../../batch/routers.js";
-import * as senders from "../../batch/sender.js";
+import * as routers from "../../batch/routers.js";
+import * as sender from "../../batch/sender.js";
 import * as submissions from "../../batch/submission.js";
 import * as tables from "../../batch/table.js";
-import type * as worklists from "../../batch/worklist.js";
-import type * as dialers from "../../feed/dialer.js";
+import type * as worklist from "../../batch/worklist.js";
+import type * as dialer from "../../feed/dialer.js";
 import type * as feeds from "../../feed/feed.js";
-import * as log from "../../startup/log.js";
-import type * as supervisor from "../../supervisor/tree.js";
+import * as log from "../../runtime/log.js";
+import type * as tree from "../../supervisor/tree.js";
 import type * as settings from "../../settings/settings.js";
 import type * as batchSchema from "../../wire/batch-schema.js";
 import type * as link from "../../wire/link.js";
@@ -19,8 +19,8 @@
 import type * as types from "../../wire/types.js";
 import * as batchCalls from "./batch-calls.js";
 import * as batchLoads from "./batch-loads.js";
-import * as batchRegisters from "./batch-register.js";
-import * as views from "./batch-view.js";
+import * as batchRegister from "./batch-register.js";
+import * as batchView from "./batch-view.js";
 import type * as cells from "../platform/cells.js";
 import type * as serve from "../../wire/serve.js";
 import type * as sessions from "../members/sessions.js";
@@ -34,7 +34,7 @@
   readonly address: string;
   readonly startup: settings.Settings;
   readonly seeds: string[];
-  readonly dial: dialers.Dialer;
+  readonly dial: dialer.Dialer;
   readonly handlers: link.Handlers;
   readonly feed: feeds.Feed;
   readonly members: sessions.Sessions;
@@ -47,46 +47,46 @@
 }
 
 /** Null where the setting `batches` is off, or there is no disk. */
-export function make(world: types.World, host: Host): Batches | null {
+export function make(world: types.Clock, host: Host): Batches | null {
   const { batches, data_dir: dataDir } = host.startup;
   return batches === "off" || !dataDir ? null : new Batches(world, host, dataDir);
 }
 
 /** Made only where the setting `batches` is on. */
 export class Batches {
-  private readonly register: batchRegisters.BatchRegister;
+  private readonly register: batchRegister.BatchRegister;
   private readonly records: records.Records;
   private readonly replicas: replicas.Replicas;
   private readonly loads: batchLoads.BatchLoads;
-  private readonly view: views.BatchView;
+  private readonly view: batchView.BatchView;
   private readonly owner: owners.Owner;
   private readonly calls: batchCalls.BatchCalls;
-  private readonly routers: batchRouters.PassedRouters;
+  private readonly routers: routers.PassedRouters;
   private readonly submissions = new Map<string, submissions.Submission>();
   private repairedAt = -Infinity;
   private isRepairing = false;
   private hasRecords = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly host: Host,
     dataDir: string,
   ) {
     const { life, address, startup, seeds, dial } = host;
     const isBootstrap = startup.batches_bootstrap ?? startup.bootstrap;
     const options = { life, address, dataDir, seeds, isBootstrap };
-    this.register = new batchRegisters.BatchRegister(world, options, dial, host.heldControls.bind(host));
+    this.register = new batchRegister.BatchRegister(world, options, dial, host.heldControls.bind(host));
     this.records = new records.Records(world, this.register.recordFolder());
     this.replicas = new replicas.Replicas(world, this.register.core, this.records);
     this.loads = new batchLoads.BatchLoads(world, host.feed, host.members, dial);
-    this.view = new views.BatchView({
+    this.view = new batchView.BatchView({
       configuration: host.configuration.bind(host),
       instances: () => host.cells.instances(),
       reports: () => host.cells.reports(),
       regionOf: (zone) => startup.zones[zone] ?? zone,
       forecast: this.loads.forecast,
     });
-    this.routers = new batchRouters.PassedRouters(world, () => host.members.readyRouters());
+    this.routers = new routers.PassedRouters(world, () => host.members.readyRouters());
     this.owner = new owners.Owner(this.ownerNeeds());
     const { view, replicas: replicated } = this;
     this.calls = new batchCalls.BatchCalls({
@@ -112,7 +112,7 @@
       serviceOf: (route) => view.serviceOf(route),
       roomsOf: (batch, service) => view.roomsOf(batch, service),
       unreadOf: (batch) => view.unreadOf(batch.digest),
-      longestMs: (route) => senders.longestMs(view.routeOf(route)),
+      longestMs: (route) => sender.longestMs(view.routeOf(route)),
       send: this.send.bind(this),
       attemptEnded: (batch, send, ended) => {
         if (ended.end === "done") view.learnHeld(batch.digest, world.now() - send.sentAt);
@@ -166,12 +166,12 @@
     return parsed.value;
   }
 
-  private async send(send: worklists.Send, batch: batchSchema.Batch): Promise<attempts.Answer> {
+  private async send(send: worklist.Send, batch: batchSchema.Batch): Promise<attempt.Answer> {
     const submission = await this.submissionOf(batch);
     const route = this.view.routeOf(batch.route);
     const item = submission?.items[send.index];
     if (!item || !route) return { kind: "not_run", againMs: OPEN_AGAIN_MS };
-    return senders.send(this.world, this.routers.in(send.region), { route, item });
+    return sender.send(this.world, this.routers.in(send.region), { route, item });
   }
 
   reply(asked: serve.Asked): Promise<serve.Told> {
@@ -179,7 +179,7 @@
   }
 
   /** For the supervisor. */
-  child(): supervisor.Child {
+  child(): tree.Child {
     return { name: "batches", start: this.start.bind(this), stop: this.stop.bind(this) };
   }
 
@@ -196,7 +196,7 @@
     } catch (cause) {
       log.count("batch.records_refused");
       log.state(`batch: the records can't be opened: ${(cause as Error).message}`);
-      this.world.after(OPEN_AGAIN_MS, () => void this.openRecords());
+      this.world.schedule(OPEN_AGAIN_MS, () => void this.openRecords());
     }
   }
 
--- a/src/control/core.ts
+++ b/src/control/core.ts
@@ -3,15 +3,15 @@
 import * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as dialer from "../feed/dialer.js";
-import * as drivers from "../register/driver.js";
+import * as driver from "../register/driver.js";
 import * as batch from "../register/batch.js";
 import * as proposers from "../register/proposer.js";
 import * as voters from "../register/voter.js";
 import * as result from "true-myth/result";
-import * as channels from "./channel.js";
-import * as reaches from "./voters/voter-reach.js";
+import * as channel from "./channel.js";
+import * as voterReach from "./voters/voter-reach.js";
 
 const VOTE_MS = 1300;
 
@@ -23,31 +23,31 @@
   life: string;
   address: string;
   first: schema.Value;
-  channel?: channels.Channel;
+  channel?: channel.Channel;
 }
 
 /** Voter, proposer and knowledge of one register at one control node. */
-export class Core extends events.EventEmitter<CoreEvents> implements proposers.Reach, drivers.Register {
+export class Core extends events.EventEmitter<CoreEvents> implements proposers.Reach, driver.Register {
   private voter: voters.Voter | null = null;
-  private readonly driver: drivers.Driver;
+  private readonly driver: driver.Driver;
   /** Whether this life of the process has learned what is chosen. */
   isConfirmed = false;
   readonly proposer: proposers.Proposer;
   private readonly queue: batch.StepQueue;
   chosen: schema.Value | null = null;
-  private readonly voterReach: reaches.VoterReach;
-  private readonly channel: channels.Channel;
+  private readonly voterReach: voterReach.VoterReach;
+  private readonly channel: channel.Channel;
 
   constructor(
-    world: types.World,
+    world: types.Clock,
     private readonly options: CoreOptions,
     private readonly dial: dialer.Dialer,
   ) {
     super();
-    this.channel = options.channel ?? channels.CONFIGURATION;
-    this.voterReach = new reaches.VoterReach(options.address, this.channel, dial, () => this.disk);
+    this.channel = options.channel ?? channel.CONFIGURATION;
+    this.voterReach = new voterReach.VoterReach(options.address, this.channel, dial, () => this.disk);
     this.proposer = new proposers.Proposer(world, options.life, this, options.first, this.learnOwn.bind(this));
-    this.driver = new drivers.Driver(world, this);
+    this.driver = new driver.Driver(world, this);
     this.queue = new batch.StepQueue(world, this.proposer.change.bind(this.proposer));
   }
 
--- a/src/control/directory/directory.ts
+++ b/src/control/directory/directory.ts
@@ -1,6 +1,6 @@
 // Where clients go: ready routers of the asker's region first, others when it has none (design 4.3).
 import * as schema from "../../wire/schema.js";
-import type * as shrinkGuards from "../members/shrink-guard.js";
+import type * as shrinkGuard from "../members/shrink-guard.js";
 import * as serve from "../../wire/serve.js";
 
 const MAX_ADDRESSES = 64;
@@ -8,7 +8,7 @@
 
 /** Where routers stand: a region of each zone, and the members known. */
 export interface DirectoryView {
-  routers(): shrinkGuards.SeenNode[];
+  routers(): shrinkGuard.SeenNode[];
   /** Whether a router that said it leaves still takes connections. */
   stillServes(node: schema.NodeInfo): boolean;
   /** Regions that the routes of a host name are bound to; empty: none. */
@@ -37,7 +37,7 @@
 
 /** Routers that are surely alive go before those that are only believed to be (design/members 5). */
 export function nearest(
-  routers: readonly shrinkGuards.SeenNode[],
+  routers: readonly shrinkGuard.SeenNode[],
   { region, zone, homes }: Asker,
   stillServes: (node: schema.NodeInfo) => boolean = never,
 ): schema.NodeInfo[] {
@@ -46,10 +46,10 @@
   const usable = ready.length > 0 ? ready : routers;
   const here = usable.filter(isHere);
   const near = here.filter(isNear);
-  function isHere(seen: shrinkGuards.SeenNode): boolean {
+  function isHere(seen: shrinkGuard.SeenNode): boolean {
     return seen.node.region === region;
   }
-  function isNear(seen: shrinkGuards.SeenNode): boolean {
+  function isNear(seen: shrinkGuard.SeenNode): boolean {
     return seen.node.zone === zone;
   }
   // One router alone is no zone to lean on: then the whole region serves.
@@ -66,7 +66,7 @@
 }
 
 /** Those in the regions that the routes are bound to; all where there are none. */
-function atHome(usable: readonly shrinkGuards.SeenNode[], homes: ReadonlySet<string> = new Set()): readonly shrinkGuards.SeenNode[] {
+function atHome(usable: readonly shrinkGuard.SeenNode[], homes: ReadonlySet<string> = new Set()): readonly shrinkGuard.SeenNode[] {
   const found = usable.filter((seen) => homes.has(seen.node.region));
   return found.length > 0 ? found : usable;
 }
@@ -75,15 +75,15 @@
   return false;
 }
 
-function isSure(seen: shrinkGuards.SeenNode): boolean {
+function isSure(seen: shrinkGuard.SeenNode): boolean {
   return seen.isSure;
 }
 
-function nodeOf(seen: shrinkGuards.SeenNode): schema.NodeInfo {
+function nodeOf(seen: shrinkGuard.SeenNode): schema.NodeInfo {
   return seen.node;
 }
 
-function isReady(seen: shrinkGuards.SeenNode): boolean {
+function isReady(seen: shrinkGuard.SeenNode): boolean {
   return seen.node.isReady;
 }
 
--- a/src/control/endpoints.ts
+++ b/src/control/endpoints.ts
@@ -1,10 +1,10 @@
 // The control node's servers: the operator's calls and the directory for the outside, links for its own kind (design 6.2, 4.3, 3.1).
 import * as net from "node:net";
 import * as link from "../wire/link.js";
-import * as listening from "../wire/listen.js";
+import * as listen from "../wire/listen.js";
 import type * as types from "../wire/types.js";
 import type * as settings from "../settings/settings.js";
-import type * as supervisor from "../supervisor/tree.js";
+import type * as tree from "../supervisor/tree.js";
 import type * as schema from "../wire/schema.js";
 import * as directory from "./directory/directory.js";
 import * as hostHomes from "./directory/host-homes.js";
@@ -13,7 +13,7 @@
 const RESOLVE_PATH = "/-/resolve";
 
 /** Serves the operator's calls, where the settings name an address. */
-export function operatorChild(startup: settings.Settings, reply: serve.Reply): supervisor.Child {
+export function operatorChild(startup: settings.Settings, reply: serve.Reply): tree.Child {
   return serve.child("operator", startup.bind_addresses.control_plane, reply);
 }
 
@@ -24,7 +24,7 @@
 }
 
 /** Serves clients that ask where to go. */
-export function directoryChild(startup: settings.Settings, source: DirectorySource): supervisor.Child {
+export function directoryChild(startup: settings.Settings, source: DirectorySource): tree.Child {
   const homes = new hostHomes.HostHomes(() => source.chosen());
   const view = { ...source, homesOf: homes.of.bind(homes), ttlMostS: startup.bounds.ttl_max_s };
   return serve.child("directory", startup.bind_addresses.directory, resolve);
@@ -35,7 +35,7 @@
 }
 
 /** Where other control nodes and routers open their links. */
-export function internalChild(world: types.World, address: string, handlers: link.Handlers): supervisor.Child {
+export function internalChild(world: types.Clock, address: string, handlers: link.Handlers): tree.Child {
   const server = net.createServer(accept);
   function accept(socket: net.Socket): void {
     new link.Link(world, socket, handlers);
@@ -43,7 +43,7 @@
   return {
     name: "internal",
     start(): Promise<void> {
-      return listening.listen(server, address);
+      return listen.listen(server, address);
     },
     stop(): void {
       server.close();
--- a/src/control/leases/leases.ts
+++ b/src/control/leases/leases.ts
@@ -4,32 +4,32 @@
 import * as link from "../../wire/link.js";
 import type * as leaseSchema from "../../wire/lease-schema.js";
 import * as types from "../../wire/types.js";
-import * as owners from "../../shares/owner.js";
-import type * as parts from "../../shares/parts.js";
-import * as tenures from "../../shares/tenure.js";
-import type * as quotaParts from "../../tenants/quota-part.js";
+import * as owner from "../../limits/owner.js";
+import type * as parts from "../../limits/parts.js";
+import * as tenure from "../../limits/tenure.js";
+import type * as quotaPart from "../../tenants/quota-part.js";
 import type * as contacts from "../voters/contact.js";
 import type * as cores from "../core.js";
 import * as quotas from "./quotas.js";
 
 /** The figures of all bounds that are leased. */
-export type LeaseBounds = parts.Bounds & quotaParts.QuotaBounds;
+export type LeaseBounds = parts.Bounds & quotaPart.QuotaBounds;
 
 /** Grants leases while this node is confirmed. */
 export class LeaseServer {
-  private readonly tenure: tenures.Tenure;
-  private readonly owner: owners.LeaseOwner;
+  private readonly tenure: tenure.Tenure;
+  private readonly owner: owner.LeaseOwner;
   /** Units of tenants' quotas. */
   readonly quotas: quotas.Quotas;
 
   constructor(
-    world: types.World,
+    world: types.Clock,
     life: string,
     bounds: LeaseBounds,
     private readonly core: cores.Core,
   ) {
-    this.tenure = new tenures.Tenure(world);
-    this.owner = new owners.LeaseOwner(world, life, bounds, this.tenure);
+    this.tenure = new tenure.Tenure(world);
+    this.owner = new owner.LeaseOwner(world, life, bounds, this.tenure);
     this.quotas = new quotas.Quotas(world, life, bounds, core);
   }
 
--- a/src/control/leases/quotas.ts
+++ b/src/control/leases/quotas.ts
@@ -4,10 +4,10 @@
  */
 import type * as check from "../../config/check.js";
 import * as registers from "../../register/value.js";
-import * as quotaClients from "../../tenants/quota-client.js";
-import * as owners from "../../tenants/quota-owner.js";
-import type * as parts from "../../tenants/quota-part.js";
-import * as tenures from "../../tenants/quota-tenure.js";
+import * as quotaClient from "../../tenants/quota-client.js";
+import * as quotaOwner from "../../tenants/quota-owner.js";
+import type * as quotaPart from "../../tenants/quota-part.js";
+import * as quotaTenure from "../../tenants/quota-tenure.js";
 import type * as files from "../../store/files.js";
 import * as calls from "../../wire/calls.js";
 import type * as leaseSchema from "../../wire/lease-schema.js";
@@ -16,37 +16,37 @@
 import * as types from "../../wire/types.js";
 import type * as contacts from "../voters/contact.js";
 import type * as cores from "../core.js";
-import * as slotNotes from "./slot-note.js";
+import * as slotNote from "./slot-note.js";
 
 /** Grants units of quotas. */
 export class Quotas {
-  private readonly tenure: tenures.QuotaTenure;
-  private readonly owner: owners.QuotaOwner;
+  private readonly tenure: quotaTenure.QuotaTenure;
+  private readonly owner: quotaOwner.QuotaOwner;
   private config: Buffer | null = null;
   private hasLimits = false;
-  private note: slotNotes.SlotNote | null = null;
+  private note: slotNote.SlotNote | null = null;
   /** Of a former life; null once it was used, or where there is none. */
-  private formerNote: slotNotes.Note | null = null;
+  private formerNote: slotNote.Note | null = null;
 
   constructor(
-    world: types.World,
+    world: types.Clock,
     life: string,
-    bounds: parts.QuotaBounds,
+    bounds: quotaPart.QuotaBounds,
     private readonly core: cores.Core,
   ) {
-    this.tenure = new tenures.QuotaTenure(world, { fenceMs: tenures.FENCE_MS, lifeMs: quotaClients.UNIT_MS });
-    this.owner = new owners.QuotaOwner(world, life, bounds, this.tenure);
+    this.tenure = new quotaTenure.QuotaTenure(world, { fenceMs: quotaTenure.FENCE_MS, lifeMs: quotaClient.UNIT_MS });
+    this.owner = new quotaOwner.QuotaOwner(world, life, bounds, this.tenure);
   }
 
   /** Reads what a former life noted on this disk. */
   async open(folder: files.StoreFolder): Promise<void> {
-    this.note = new slotNotes.SlotNote(folder);
+    this.note = new slotNote.SlotNote(folder);
     this.formerNote = await this.note.read();
     this.follow();
   }
 
   /** The settings were read again. */
-  resettle(bounds: parts.QuotaBounds): void {
+  resettle(bounds: quotaPart.QuotaBounds): void {
     this.owner.resettle(bounds);
   }
 
@@ -103,8 +103,8 @@
   }
 }
 
-function limitsOf(config: check.Configuration | null): Map<string, parts.Limit> {
-  const limits = new Map<string, parts.Limit>();
+function limitsOf(config: check.Configuration | null): Map<string, quotaPart.Limit> {
+  const limits = new Map<string, quotaPart.Limit>();
   for (const { name, rate_per_s: perS, burst } of config?.tenants ?? []) if (perS) limits.set(name, { perS, burst: burst ?? 0 });
   return limits;
 }
--- a/src/control/leases/slot-note.ts
+++ b/src/control/leases/slot-note.ts
@@ -6,7 +6,7 @@
 import * as crypto from "node:crypto";
 import * as superstruct from "superstruct";
 import type * as files from "../../store/files.js";
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 
 const FILE = "quota-slot";
 /** All notes are as long: a shorter one must leave nothing of a longer one behind. */
--- a/src/control/members/membership.ts
+++ b/src/control/members/membership.ts
@@ -3,7 +3,7 @@
 import type * as link from "../../wire/link.js";
 import type * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import type * as dialers from "../../feed/dialer.js";
+import type * as dialer from "../../feed/dialer.js";
 import type * as contacts from "../voters/contact.js";
 import type * as cores from "../core.js";
 import type * as sessions from "./sessions.js";
@@ -12,7 +12,7 @@
 export interface MembershipParts {
   handlers: link.Handlers;
   members: sessions.Sessions;
-  dial: dialers.Dialer;
+  dial: dialer.Dialer;
   core: cores.Core;
   contact: contacts.Contact;
   describe(): schema.NodeInfo;
--- a/src/control/members/roster.ts
+++ b/src/control/members/roster.ts
@@ -1,7 +1,7 @@
 // A control node's roster and its differences: siblings hear what changed, and a gap asks for the whole
 // (design/members 1).
 import * as schema from "../../wire/schema.js";
-import * as shares from "../../shares/shares.js";
+import * as shares from "../../limits/shares.js";
 
 /** Differences reach back so many removals; whoever is further behind gets the whole. */
 const MAX_GONE = 1024;
--- a/src/control/members/sessions.ts
+++ b/src/control/members/sessions.ts
@@ -4,9 +4,9 @@
 import * as link from "../../wire/link.js";
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 import * as directory from "../directory/directory.js";
-import * as shrinkGuards from "./shrink-guard.js";
+import * as shrinkGuard from "./shrink-guard.js";
 import * as rosters from "./roster.js";
 
 /** A node that said hello here, and its link. */
@@ -39,18 +39,18 @@
   private readonly roster: rosters.Roster;
   /** How far each sibling was told the roster, by its link. */
   private readonly places = new Map<link.Link, number>();
-  private readonly shrinkGuard: shrinkGuards.ShrinkGuard;
+  private readonly shrinkGuard: shrinkGuard.ShrinkGuard;
   private controls: schema.ControlInfo[] = [];
-  private view: shrinkGuards.SeenNode[] = [];
+  private view: shrinkGuard.SeenNode[] = [];
   private viewAt = -1;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly silentMs: number,
     life: string,
   ) {
     this.roster = new rosters.Roster(life);
-    this.shrinkGuard = new shrinkGuards.ShrinkGuard(world);
+    this.shrinkGuard = new shrinkGuard.ShrinkGuard(world);
   }
 
   /** A node said hello; a newer session of the same name ends the older one. */
@@ -178,7 +178,7 @@
   }
 
   /** The routers as believed (design/members 5), by name; made anew when something changed or 100 ms passed. */
-  routers(): shrinkGuards.SeenNode[] {
+  routers(): shrinkGuard.SeenNode[] {
     const now = this.world.now();
     if (this.viewAt >= 0 && now - this.viewAt < VIEW_MS) return this.view;
     this.view = this.shrinkGuard.view(this.heard("router"), this.hasLeft.bind(this));
@@ -187,8 +187,8 @@
   }
 
   /** The routers heard here on links of their own; all that are believed when there is none (design/hardening/1-cut-off). */
-  ownRouters(): shrinkGuards.SeenNode[] {
-    const heard: shrinkGuards.SeenNode[] = [];
+  ownRouters(): shrinkGuard.SeenNode[] {
+    const heard: shrinkGuard.SeenNode[] = [];
     for (const { node } of this.readyRouters()) heard.push({ node, isSure: true });
     return heard.length > 0 ? heard.sort(bySeenName) : this.routers();
   }
@@ -231,7 +231,7 @@
   }
 }
 
-function nodeOf(seen: shrinkGuards.SeenNode): schema.NodeInfo {
+function nodeOf(seen: shrinkGuard.SeenNode): schema.NodeInfo {
   return seen.node;
 }
 
@@ -240,7 +240,7 @@
   return old?.address !== control.address || old.name !== control.name;
 }
 
-function bySeenName(left: shrinkGuards.SeenNode, right: shrinkGuards.SeenNode): number {
+function bySeenName(left: shrinkGuard.SeenNode, right: shrinkGuard.SeenNode): number {
   return byName(left.node, right.node);
 }
 
--- a/src/control/members/shrink-guard.ts
+++ b/src/control/members/shrink-guard.ts
@@ -1,7 +1,7 @@
 // A view that shrinks by much at once is held back before it is believed (design/members 5).
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 
 const AT_ONCE_MS = 1000;
 const HOLD_MS = 2000;
@@ -25,7 +25,7 @@
   private readonly lost = new Map<string, Lost>();
   private until = -1;
 
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   get isHolding(): boolean {
     return this.until >= 0;
--- a/src/control/operator/operator-chain.ts
+++ b/src/control/operator/operator-chain.ts
@@ -1,18 +1,18 @@
 // What an operator's call passes at a control node: redirector, forwarder, and the calls themselves (design 6.2).
 import type * as link from "../../wire/link.js";
 import type * as types from "../../wire/types.js";
-import type * as dialers from "../../feed/dialer.js";
+import type * as dialer from "../../feed/dialer.js";
 import type * as contacts from "../voters/contact.js";
 import type * as cores from "../core.js";
-import * as forwarders from "./order-forwarder.js";
-import * as redirects from "./redirect.js";
+import * as orderForwarder from "./order-forwarder.js";
+import * as redirect from "./redirect.js";
 import type * as serve from "../../wire/serve.js";
 
 /** The parts of one control node that decide where a call is answered. */
 export interface OperatorParts {
-  world: types.World;
+  world: types.Clock;
   handlers: link.Handlers;
-  dial: dialers.Dialer;
+  dial: dialer.Dialer;
   core: cores.Core;
   contact: contacts.Contact;
 }
@@ -20,12 +20,12 @@
 /** Puts both before `calls`, which decides what reaches it. */
 export function chain(parts: OperatorParts, calls: serve.Reply): serve.Reply {
   const { world, handlers, dial, core, contact } = parts;
-  function controls(): Iterable<dialers.Control> {
+  function controls(): Iterable<dialer.Control> {
     return dial.controls.values();
   }
-  const forwarder = new forwarders.OrderForwarder(world, core, controls, calls);
+  const forwarder = new orderForwarder.OrderForwarder(world, core, controls, calls);
   forwarder.register(handlers, contact);
-  const redirector = new redirects.Redirector(world, contact, controls, forwarder.reply.bind(forwarder));
+  const redirector = new redirect.Redirector(world, contact, controls, forwarder.reply.bind(forwarder));
   dial.on("beat", redirector.remember.bind(redirector));
   return redirector.reply.bind(redirector);
 }
--- a/src/control/operator/operator.ts
+++ b/src/control/operator/operator.ts
@@ -4,13 +4,13 @@
 import * as change from "../../config/change.js";
 import * as registers from "../../register/value.js";
 import type * as proposers from "../../register/proposer.js";
-import * as errors from "../../startup/errors.js";
-import * as log from "../../startup/log.js";
+import * as errors from "../../runtime/errors.js";
+import * as log from "../../runtime/log.js";
 import * as names from "../../wire/names.js";
 import * as schema from "../../wire/schema.js";
 import * as batchCalls from "../batches/batch-calls.js";
 import type * as core from "../core.js";
-import * as paths from "./operator-paths.js";
+import * as operatorPaths from "./operator-paths.js";
 import * as serve from "../../wire/serve.js";
 
 const CHANGE_MS = 2600;
@@ -31,11 +31,11 @@
 
   reply(asked: serve.Asked): Promise<serve.Told> | serve.Told {
     const { method, path } = asked;
-    if (method === "POST" && path === paths.REPLACE) return this.order(asked, change.replaceOrder);
-    if (method === "POST" && path === paths.UPDATE) return this.order(asked, change.updateOrder);
-    if (method === "GET" && path === paths.DESCRIBE) return this.describe();
-    if (method === "POST" && path.startsWith(paths.START_EVACUATION)) return this.evacuate(path, true);
-    if (method === "POST" && path.startsWith(paths.STOP_EVACUATION)) return this.evacuate(path, false);
+    if (method === "POST" && path === operatorPaths.REPLACE) return this.order(asked, change.replaceOrder);
+    if (method === "POST" && path === operatorPaths.UPDATE) return this.order(asked, change.updateOrder);
+    if (method === "GET" && path === operatorPaths.DESCRIBE) return this.describe();
+    if (method === "POST" && path.startsWith(operatorPaths.START_EVACUATION)) return this.evacuate(path, true);
+    if (method === "POST" && path.startsWith(operatorPaths.STOP_EVACUATION)) return this.evacuate(path, false);
     if (path.startsWith(batchCalls.PREFIX)) return this.batches?.reply(asked) ?? batchCalls.off();
     if (method === "GET" && path === "/-/status") return { status: 200, json: this.status() };
     return serve.errorReply(errors.fail("not_found", `no call ${method} ${path}`, "see docs/operating.md for the calls"));
--- a/src/control/operator/order-forwarder.ts
+++ b/src/control/operator/order-forwarder.ts
@@ -6,7 +6,7 @@
  * Where an order is decided is a matter of pace alone: any node may propose at any time, and an order that reached two
  * proposers is taken once and acknowledged by both (register/history.ts). So nothing is lost when the other node is.
  */
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 import * as calls from "../../wire/calls.js";
 import * as features from "../../wire/features.js";
 import type * as link from "../../wire/link.js";
@@ -14,11 +14,11 @@
 import type * as orderSchema from "../../wire/order-schema.js";
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
-import * as worlds from "../../wire/world.js";
-import * as dialers from "../../feed/dialer.js";
+import * as timers from "../../runtime/timers.js";
+import * as dialer from "../../feed/dialer.js";
 import type * as contacts from "../voters/contact.js";
 import type * as cores from "../core.js";
-import * as paths from "./operator-paths.js";
+import * as operatorPaths from "./operator-paths.js";
 import type * as serve from "../../wire/serve.js";
 
 /** An order that was passed on is proposed here after so long without an answer. */
@@ -40,9 +40,9 @@
   private avoidedUntil: number = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly core: cores.Core,
-    private readonly controls: () => Iterable<dialers.Control>,
+    private readonly controls: () => Iterable<dialer.Control>,
     private readonly next: serve.Reply,
   ) {}
 
@@ -72,7 +72,7 @@
   }
 
   /** Null: this node proposes itself. */
-  private proposerOfAll(): dialers.Control | null {
+  private proposerOfAll(): dialer.Control | null {
     if (!this.core.isContended()) return null;
     const voters = [...(this.core.chosen?.voters ?? [])].sort(byAddress);
     for (const voter of voters) {
@@ -83,21 +83,21 @@
     return null;
   }
 
-  private controlOf(disk: string): dialers.Control | null {
+  private controlOf(disk: string): dialer.Control | null {
     for (const control of this.controls()) if (control.node.disk === disk) return control;
     return null;
   }
 
-  private isFit(control: dialers.Control): boolean {
+  private isFit(control: dialer.Control): boolean {
     const { beat } = control;
     const now = this.world.now();
     if (!beat || !features.hasFeature(beat, features.FORWARDED_ORDERS)) return false;
-    if (!dialers.isHeardConfirmed(control, now) || dialers.isLeaving(control)) return false;
+    if (!dialer.isHeardConfirmed(control, now) || dialer.isLeaving(control)) return false;
     return control.node.name !== this.avoided || now >= this.avoidedUntil;
   }
 
   /** Null where the other node decided nothing: the order may have been taken there, and is found so when it is proposed here. */
-  private async forward(proposer: dialers.Control, asked: serve.Asked): Promise<serve.Told | null> {
+  private async forward(proposer: dialer.Control, asked: serve.Asked): Promise<serve.Told | null> {
     log.count("operator.forwarded");
     const base = asked.headers[names.HEADER.base];
     const order = { path: asked.path, base: typeof base === "string" ? base : "", body: asked.body };
@@ -111,12 +111,12 @@
   }
 
   /** Resolves once the other node is heard no more, or the call has ended. */
-  private async silence(proposer: dialers.Control, call: Promise<unknown>): Promise<null> {
+  private async silence(proposer: dialer.Control, call: Promise<unknown>): Promise<null> {
     let isOver = false;
     void call.then(function end() {
       isOver = true;
     });
-    while (!isOver && dialers.isHeard(proposer, this.world.now())) await worlds.sleep(this.world, LOOK_MS);
+    while (!isOver && dialer.isHeard(proposer, this.world.now())) await timers.sleep(this.world, LOOK_MS);
     // A call that has ended tells for itself.
     if (isOver) await call;
     return null;
@@ -129,5 +129,5 @@
 }
 
 function isOrder(asked: serve.Asked): boolean {
-  return asked.method === "POST" && asked.body.length <= MAX_BODY_BYTES && paths.isOrder(asked.path);
+  return asked.method === "POST" && asked.body.length <= MAX_BODY_BYTES && operatorPaths.isOrder(asked.path);
 }
--- a/src/control/operator/redirect.ts
+++ b/src/control/operator/redirect.ts
@@ -1,8 +1,8 @@
 // An operator's call that reaches a control node without contact to a majority goes on to one that has it
 // (design/hardening/1-cut-off). Nothing is ever confirmed or refused by a minority.
 import type * as types from "../../wire/types.js";
-import * as log from "../../startup/log.js";
-import * as dialers from "../../feed/dialer.js";
+import * as log from "../../runtime/log.js";
+import * as dialer from "../../feed/dialer.js";
 import type * as contacts from "../voters/contact.js";
 import type * as serve from "../../wire/serve.js";
 
@@ -29,9 +29,9 @@
   private attempts = 0;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly contact: contacts.Contact,
-    private readonly controls: () => Iterable<dialers.Control>,
+    private readonly controls: () => Iterable<dialer.Control>,
     private readonly next: serve.Reply,
   ) {}
 
@@ -63,7 +63,7 @@
   private within(ms: number, event: "confirmed"): Promise<void> {
     const { contact, world } = this;
     return new Promise(function wait(resolve) {
-      const timer = world.after(ms, end);
+      const timer = world.schedule(ms, end);
       contact.once(event, end);
       function end(): void {
         timer.stop();
@@ -101,13 +101,13 @@
     if (this.remembered.size > MAX_REMEMBERED) this.remembered.delete(this.remembered.keys().next().value!);
   }
 
-  private isConfirmedNow(control: dialers.Control): boolean {
-    return dialers.isHeardConfirmed(control, this.world.now()) && control.node.outside !== "";
+  private isConfirmedNow(control: dialer.Control): boolean {
+    return dialer.isHeardConfirmed(control, this.world.now()) && control.node.outside !== "";
   }
 
   /** The nearest one whose last beat said so lately; it sends nobody back here while this node isn't confirmed. */
   private confirmedPeer(): Destination | null {
-    let nearest: dialers.Control | null = null;
+    let nearest: dialer.Control | null = null;
     for (const control of this.controls()) {
       if (!this.isConfirmedNow(control)) continue;
       if (!nearest || control.tripMs < nearest.tripMs) nearest = control;
@@ -122,7 +122,7 @@
    */
   private rememberedPeer(): Destination | null {
     const heard = new Set<string>();
-    for (const control of this.controls()) if (dialers.isFresh(control, this.world.now())) heard.add(control.node.name);
+    for (const control of this.controls()) if (dialer.isFresh(control, this.world.now())) heard.add(control.node.name);
     const candidates = [...this.remembered.values()].filter(isUnheard).reverse();
     function isUnheard(destination: Destination): boolean {
       return !heard.has(destination.name);
--- a/src/control/platform/cells.ts
+++ b/src/control/platform/cells.ts
@@ -4,7 +4,7 @@
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
 import type * as settings from "../../settings/settings.js";
-import type * as dialers from "../../feed/dialer.js";
+import type * as dialer from "../../feed/dialer.js";
 import * as feeds from "../../feed/feed.js";
 import type * as keyed from "../../feed/keyed.js";
 import * as registers from "../../register/value.js";
@@ -13,27 +13,27 @@
 import type * as sessions from "../members/sessions.js";
 import * as deal from "./deal.js";
 import * as duties from "./duties.js";
-import * as lists from "./list.js";
+import * as list from "./list.js";
 import * as orchestrators from "./orchestrator.js";
-import * as relays from "../../signs/relay.js";
-import * as publishers from "../../usage/publisher.js";
-import * as summaries from "../../usage/summary.js";
+import * as relay from "../../hints/relay.js";
+import * as publisher from "../../load/publisher.js";
+import * as summary from "../../load/summary.js";
 import * as watchers from "./watcher.js";
 
 /** Puts together the list, the reports, the signs and the summaries of this control node. */
 export class Cells implements orchestrators.CellsView {
   private readonly regionOf = new Map<string, string>();
-  private readonly lists: lists.RegionLists;
+  private readonly lists: list.RegionLists;
   private readonly watcher: watchers.Watcher;
   private readonly orchestrator: orchestrators.Orchestrator;
-  private readonly publisher: publishers.Publisher;
-  private readonly relay: relays.Relay;
+  private readonly publisher: publisher.Publisher;
+  private readonly relay: relay.Relay;
   private engines = new Set<string>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private startup: settings.Settings,
-    private readonly dial: dialers.Dialer,
+    private readonly dial: dialer.Dialer,
     private readonly feed: feeds.Feed,
     core: cores.Core,
     private readonly members: sessions.Sessions,
@@ -41,12 +41,12 @@
     private readonly ownFitness: () => duties.Fitness,
   ) {
     for (const [zone, region] of Object.entries(startup.zones)) this.regionOf.set(zone, region);
-    this.lists = new lists.RegionLists(this.regionOf, feed);
+    this.lists = new list.RegionLists(this.regionOf, feed);
     const { address, rate_per_s: rate } = startup.cloud_api;
     this.watcher = new watchers.Watcher(world, address ?? "", rate, dial, this.listRank.bind(this), this.listed.bind(this));
     this.orchestrator = new orchestrators.Orchestrator(world, new Set(this.regionOf.values()), this, dial, this.reported.bind(this));
-    this.publisher = new publishers.Publisher(world, feed);
-    this.relay = new relays.Relay(world, this);
+    this.publisher = new publisher.Publisher(world, feed);
+    this.relay = new relay.Relay(world, this);
     core.on("chosen", this.configured.bind(this));
     dial.on("up", this.watcher.greet.bind(this.watcher));
     dial.on("up", this.greet.bind(this));
@@ -78,7 +78,7 @@
 
   /** Routers that follow this control node follow its summaries. */
   routers(): number {
-    return [...this.feed.followersOf(summaries.SUMMARY_TOPIC)].length;
+    return [...this.feed.followersOf(summary.SUMMARY_TOPIC)].length;
   }
 
   /** Own routers that follow the reports of the region. */
@@ -87,7 +87,7 @@
   }
 
   /** A sibling that came up gets whole what is read here. */
-  private greet(control: dialers.Control): void {
+  private greet(control: dialer.Control): void {
     for (const region of new Set(this.regionOf.values())) {
       if (this.orchestrator.isReader(region)) control.link.tell(calls.report, { region, reports: this.publisher.whole(region) });
     }
@@ -180,6 +180,6 @@
   }
 }
 
-function linkOf(control: dialers.Control): link.Link {
+function linkOf(control: dialer.Control): link.Link {
   return control.link;
 }
--- a/src/control/platform/deal.ts
+++ b/src/control/platform/deal.ts
@@ -1,6 +1,6 @@
 // Which control node reads the reports of which region (design 4.5): one of its own region; regions without one
 // are dealt out over all nodes by their weight, so that none of them has more than its part.
-import * as shares from "../../shares/shares.js";
+import * as shares from "../../limits/shares.js";
 
 /** A control node that may read reports. */
 export interface Reader {
--- a/src/control/platform/duties.ts
+++ b/src/control/platform/duties.ts
@@ -1,5 +1,5 @@
 // Who is fit to read the platform's list and the regions' reports for all (design/hardening/1-cut-off).
-import * as dialers from "../../feed/dialer.js";
+import * as dialer from "../../feed/dialer.js";
 
 /** A higher one goes first: a confirmed node, then one that is cut off from a majority, last one that is leaving. */
 export const LEAVING = 0;
@@ -18,9 +18,9 @@
 }
 
 /** By what another control node said last. */
-export function fitnessOf(control: dialers.Control): Fitness {
-  if (dialers.isLeaving(control)) return LEAVING;
-  return dialers.isConfirmed(control) ? CONFIRMED : UNCONFIRMED;
+export function fitnessOf(control: dialer.Control): Fitness {
+  if (dialer.isLeaving(control)) return LEAVING;
+  return dialer.isConfirmed(control) ? CONFIRMED : UNCONFIRMED;
 }
 
 /** The fittest of all, by name; while nobody is confirmed, a side that is cut off still has its readers. */
--- a/src/control/platform/orchestrator.ts
+++ b/src/control/platform/orchestrator.ts
@@ -4,7 +4,7 @@
 import * as http from "../../wire/http.js";
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 import type * as dialer from "../../feed/dialer.js";
 
 const PERIOD_MS = 600;
@@ -41,7 +41,7 @@
   private readonly cells = new Map<string, Cell>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     regions: Iterable<string>,
     private readonly view: CellsView,
     private readonly dial: dialer.Dialer,
--- a/src/control/platform/watcher.ts
+++ b/src/control/platform/watcher.ts
@@ -4,11 +4,11 @@
 import * as http from "../../wire/http.js";
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as world from "../../wire/world.js";
-import * as log from "../../startup/log.js";
+import * as timers from "../../runtime/timers.js";
+import * as log from "../../runtime/log.js";
 import type * as dialer from "../../feed/dialer.js";
 import * as keyed from "../../feed/keyed.js";
-import * as lists from "./list.js";
+import * as list from "./list.js";
 
 const PERIOD_MS = 700;
 const STEP_MS = 700;
@@ -47,7 +47,7 @@
  * silent. rank: this node's place among the readers, 0 reads.
  */
 export class Watcher {
-  private readonly items = new lists.InstanceItems();
+  private readonly items = new list.InstanceItems();
   private heardAt = -1e9;
   private isBusy = false;
   private nextAt = 0;
@@ -55,7 +55,7 @@
   hasList = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private address: string,
     private readonly ratePerS: number,
     private readonly dial: dialer.Dialer,
@@ -137,7 +137,7 @@
     let token: string | null = null;
     for (let page = 0; page < MAX_PAGES; page += 1) {
       // Pages keep to half of the rate that all nodes share.
-      if (page > 0) await world.sleep(this.world, 2000 / this.ratePerS);
+      if (page > 0) await timers.sleep(this.world, 2000 / this.ratePerS);
       this.client ??= http.open(this.address, { connectMs: CALL_MS, idleMs: 4000 });
       const path: string = token === null ? "/instances" : `/instances?page_token=${encodeURIComponent(token)}`;
       const reply = await http.call(this.world, this.client, path, { withinMs: CALL_MS });
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -4,18 +4,18 @@
 import * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as worlds from "../wire/world.js";
-import * as log from "../startup/log.js";
+import * as timers from "../runtime/timers.js";
+import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
 import * as parts from "../config/parts.js";
-import * as dialers from "../feed/dialer.js";
+import * as dialer from "../feed/dialer.js";
 import * as feeds from "../feed/feed.js";
 import * as registers from "../register/value.js";
 import * as files from "../store/files.js";
 import * as owner from "../store/owner.js";
-import * as supervisor from "../supervisor/tree.js";
+import * as tree from "../supervisor/tree.js";
 import * as account from "./account.js";
-import * as voterManagers from "./voters/voter-manager.js";
+import * as voterManager from "./voters/voter-manager.js";
 import * as batches from "./batches/batches.js";
 import * as cells from "./platform/cells.js";
 import * as contacts from "./voters/contact.js";
@@ -26,7 +26,7 @@
 import * as leases from "./leases/leases.js";
 import * as membership from "./members/membership.js";
 import * as operators from "./operator/operator.js";
-import * as operatorChains from "./operator/operator-chain.js";
+import * as operatorChain from "./operator/operator-chain.js";
 import * as sessions from "./members/sessions.js";
 import * as tallies from "./tallies.js";
 
@@ -41,28 +41,28 @@
   private readonly life = crypto.randomBytes(6).toString("hex");
   private readonly address: string;
   private readonly handlers = new link.Handlers();
-  private readonly dial: dialers.Dialer;
+  private readonly dial: dialer.Dialer;
   private readonly members: sessions.Sessions;
   private readonly feed: feeds.Feed;
   private readonly core: cores.Core;
   private readonly contact: contacts.Contact;
   private readonly cells: cells.Cells;
   private readonly leases: leases.LeaseServer;
-  private readonly voterManager: voterManagers.VoterManager;
+  private readonly voterManager: voterManager.VoterManager;
   private readonly tallies: ReturnType<typeof tallies.make>;
   /** Null where the setting `batches` is off. */
   private readonly batches: batches.Batches | null;
   private isLeaving = false;
   private disk: disks.VoterDisk | null = null;
-  readonly root: supervisor.Supervisor;
+  readonly root: tree.Supervisor;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private startup: settings.Settings,
   ) {
     const port = startup.internal_port_range[0];
     this.address = `${startup.ip_address}:${port}`;
-    this.dial = new dialers.Dialer(world, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
+    this.dial = new dialer.Dialer(world, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
     this.members = new sessions.Sessions(world, link.SILENT_MS, this.life);
     this.feed = new feeds.Feed(this.life);
     const seeds = settings.innerSeeds(startup);
@@ -72,10 +72,10 @@
     this.leases = new leases.LeaseServer(world, this.life, startup.bounds, this.core);
     this.contact = new contacts.Contact(world, this.core, this.dial, this.leases.takeReply.bind(this.leases));
     this.cells = new cells.Cells(world, startup, this.dial, this.feed, this.core, this.members, this.fitness.bind(this));
-    this.voterManager = new voterManagers.VoterManager(world, this.core, this.heldControls.bind(this));
+    this.voterManager = new voterManager.VoterManager(world, this.core, this.heldControls.bind(this));
     this.tallies = tallies.make({ ...this.parts(), settings: () => this.startup });
     this.batches = this.makeBatches(seeds);
-    this.root = new supervisor.Supervisor("control", world, []);
+    this.root = new tree.Supervisor("control", world, []);
     this.handle();
     this.plan(seeds);
   }
@@ -133,7 +133,7 @@
   private plan(seeds: string[]): void {
     const { root, startup } = this;
     const operator = new operators.Operator(this.core, new Set(Object.keys(startup.zones)), this.status.bind(this), this.batches);
-    const reply = operatorChains.chain(
+    const reply = operatorChain.chain(
       { world: this.world, handlers: this.handlers, dial: this.dial, core: this.core, contact: this.contact },
       operator.reply.bind(operator),
     );
@@ -241,7 +241,7 @@
     this.contact.withdraw();
     this.tallies.leave();
     this.tell();
-    await Promise.all([worlds.sleep(this.world, LEAVE_MS), this.voterManager.handOver(HAND_OVER_MS), this.batches?.handOver(HAND_OVER_MS)]);
+    await Promise.all([timers.sleep(this.world, LEAVE_MS), this.voterManager.handOver(HAND_OVER_MS), this.batches?.handOver(HAND_OVER_MS)]);
     this.dial.end();
     this.members.end();
     await this.root.stop();
--- a/src/control/tallies.ts
+++ b/src/control/tallies.ts
@@ -1,6 +1,6 @@
 /** Tallies as a part of the control node: who the members are, whose routers are heard, and which calls go there. */
 import * as crypto from "node:crypto";
-import type * as dialers from "../feed/dialer.js";
+import type * as dialer from "../feed/dialer.js";
 import type * as settings from "../settings/settings.js";
 import * as tallyCalls from "../tallies/calls.js";
 import * as tallies from "../tallies/tallies.js";
@@ -16,10 +16,10 @@
 
 /** The control node around the tallies. */
 export interface TallyNode {
-  world: types.World;
+  world: types.Clock;
   life: string;
   address: string;
-  dial: dialers.Dialer;
+  dial: dialer.Dialer;
   handlers: link.Handlers;
   members: sessions.Sessions;
   core: cores.Core;
--- a/src/control/voters/contact.ts
+++ b/src/control/voters/contact.ts
@@ -4,8 +4,8 @@
 import type * as leaseSchema from "../../wire/lease-schema.js";
 import type * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as log from "../../startup/log.js";
-import type * as dialers from "../../feed/dialer.js";
+import * as log from "../../runtime/log.js";
+import type * as dialer from "../../feed/dialer.js";
 import * as confirmations from "../../register/confirmation.js";
 import type * as cores from "../core.js";
 
@@ -29,9 +29,9 @@
   hasStarted = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly core: cores.Core,
-    private readonly dial: dialers.Dialer,
+    private readonly dial: dialer.Dialer,
     private readonly onReply: OnReply,
     private readonly confirmation = new confirmations.Confirmation(world),
   ) {
@@ -92,7 +92,7 @@
     else this.beat();
   }
 
-  private ask(control: dialers.Control): void {
+  private ask(control: dialer.Control): void {
     const sentAt = this.world.now();
     const asked = this.core.chosen?.voterEpoch ?? types.NO_EPOCH;
     void control.link
@@ -100,7 +100,7 @@
       .then(this.takeReply.bind(this, control, asked, sentAt));
   }
 
-  private takeReply(control: dialers.Control, asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply | null): void {
+  private takeReply(control: dialer.Control, asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply | null): void {
     if (!reply) return;
     this.confirmation.take(reply.disk, { sentAt, epoch: types.laterEpoch(reply.acceptedEpoch, reply.chosenEpoch) });
     this.onReply(asked, sentAt, reply);
--- a/src/control/voters/disk.ts
+++ b/src/control/voters/disk.ts
@@ -3,7 +3,7 @@
  * that can't be read or written makes a silent voter; it never ends the process and never holds up its other work.
  */
 import * as crypto from "node:crypto";
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 import * as release1 from "../../register/release-1.js";
 import * as registers from "../../register/value.js";
 import * as voters from "../../register/voter.js";
@@ -12,10 +12,10 @@
 import * as format from "../../store/format.js";
 import * as owner from "../../store/owner.js";
 import * as remedies from "../../store/remedies.js";
-import * as rings from "../../store/ring.js";
+import * as ring from "../../store/ring.js";
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as worlds from "../../wire/world.js";
+import * as timers from "../../runtime/timers.js";
 
 /** Pause between two attempts at a disk that refuses. */
 export const RETRY_MS = 500;
@@ -33,7 +33,7 @@
 
 /** What the disk needs of its machine; tests hand in their own. */
 export interface Machine {
-  world: types.World;
+  world: types.Clock;
   folder: files.StoreFolder;
   processes: owner.ProcessTable;
 }
@@ -67,20 +67,20 @@
   return { disk, promised: registers.NO_BALLOT, accepted };
 }
 
-function stateOf(opened: rings.OpenedRing, place: Place): schema.Disk {
+function stateOf(opened: ring.OpenedRing, place: Place): schema.Disk {
   if (opened.newest) return voters.Voter.restore(opened.newest);
   return opened.unconverted ? release1.convert(opened.unconverted) : blankState(place, opened.isPristine);
 }
 
 /** The disk of one voter; `start` begins to open it. */
 export class VoterDisk implements voters.Keep {
-  private ring: rings.Ring | null = null;
+  private ring: ring.Ring | null = null;
   private state: Exclude<DiskState, "hanging"> = "opening";
   private isHanging = false;
   private error = "";
   /** When the operation under way began; null if there is none. */
   private busySince: types.SteadyMs | null = null;
-  private retry: types.Tick | null = null;
+  private retry: types.Timer | null = null;
   /** The newest record handed in; what a refusing disk is tried with. */
   private latest: Buffer | null = null;
   private probing: Promise<void> = Promise.resolve();
@@ -100,7 +100,7 @@
   async stop(): Promise<void> {
     this.state = "closed";
     this.retry?.stop();
-    await worlds.endsWithin(this.machine.world, CLOSE_MS, this.closeRing());
+    await timers.endsWithin(this.machine.world, CLOSE_MS, this.closeRing());
   }
 
   status(): DiskStatus {
@@ -128,7 +128,7 @@
     const { folder, processes } = this.machine;
     await folder.make();
     await owner.claim(folder, processes);
-    const opened = await rings.Ring.open(folder, { layout: recordLayout(), newSetId });
+    const opened = await ring.Ring.open(folder, { layout: recordLayout(), newSetId });
     try {
       const state = stateOf(opened, this.place);
       if (!opened.newest) await opened.ring.write(schema.disk.toBuffer(state));
@@ -141,7 +141,7 @@
     }
   }
 
-  private enter(ring: rings.Ring, state: schema.Disk): void {
+  private enter(ring: ring.Ring, state: schema.Disk): void {
     if (this.state === "closed") {
       void ring.close();
       return;
@@ -172,7 +172,7 @@
 
   private again(attempt: () => unknown): void {
     this.retry?.stop();
-    if (this.state !== "closed") this.retry = this.machine.world.after(RETRY_MS, attempt);
+    if (this.state !== "closed") this.retry = this.machine.world.schedule(RETRY_MS, attempt);
   }
 
   private async closeRing(): Promise<void> {
@@ -182,7 +182,7 @@
 
   private async timed(operation: () => Promise<void>): Promise<void> {
     this.busySince = this.machine.world.now();
-    const timer = this.machine.world.after(HANG_MS, this.hangs.bind(this));
+    const timer = this.machine.world.schedule(HANG_MS, this.hangs.bind(this));
     try {
       await operation();
     } finally {
--- a/src/control/voters/voter-manager.ts
+++ b/src/control/voters/voter-manager.ts
@@ -1,8 +1,8 @@
 // Runs the membership policy: the voters in touch propose the next set, settle it, and hand over on leaving (design 5.5).
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as world from "../../wire/world.js";
-import * as log from "../../startup/log.js";
+import * as timers from "../../runtime/timers.js";
+import * as log from "../../runtime/log.js";
 import type * as proposers from "../../register/proposer.js";
 import * as policy from "./voters.js";
 
@@ -41,7 +41,7 @@
   private isLeaving = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly core: Register,
     private readonly nodes: () => schema.NodeInfo[],
   ) {
@@ -97,7 +97,7 @@
   /** One change of voters to its end; the next may follow at once if it worked. */
   private async run(value: schema.Value, voters: schema.Voter[] | null): Promise<void> {
     const isDone = await this.change(value, voters);
-    if (!isDone) await world.sleep(this.world, PAUSE_MS * (1 + 2 * this.world.random()));
+    if (!isDone) await timers.sleep(this.world, PAUSE_MS * (1 + 2 * this.world.random()));
     this.isChanging = false;
     this.dueSince = null;
   }
@@ -157,7 +157,7 @@
     if (!value || !this.core.isSettled() || !this.isVoter(value)) return;
     const voters = value.former.length > 0 ? null : policy.handedOver(value, this.alive(), this.failures, this.core.disk);
     const work = this.handOverTo(value, voters, withinMs);
-    const isDone = await world.endsWithin(this.world, withinMs, work);
+    const isDone = await timers.endsWithin(this.world, withinMs, work);
     log.count(isDone ? "voters.handed_over" : "voters.hand_over_late");
   }
 
--- a/src/control/voters/voter-reach.ts
+++ b/src/control/voters/voter-reach.ts
@@ -3,14 +3,14 @@
 import type * as schema from "../../wire/schema.js";
 import type * as dialer from "../../feed/dialer.js";
 import * as registers from "../../register/value.js";
-import type * as channels from "../channel.js";
+import type * as channel from "../channel.js";
 
 /** Reads the links of one node as they stand at each call. */
 export class VoterReach {
   /** `ownDisk`: the disk that votes here; empty when none does. */
   constructor(
     private readonly address: string,
-    private readonly channel: channels.Channel,
+    private readonly channel: channel.Channel,
     private readonly dial: dialer.Dialer,
     private readonly ownDisk: () => string,
   ) {}
--- a/src/standin/platform.ts
+++ b/src/emulator/platform.ts
@@ -1,6 +1,6 @@
 // A stand-in for the platform: it keeps the list of runners (design 11.1).
 import * as nodeHttp from "node:http";
-import * as listening from "../wire/listen.js";
+import * as listen from "../wire/listen.js";
 
 /** An entry of the list, as the protocol has it. */
 export interface Listed {
@@ -25,8 +25,8 @@
   constructor(private readonly pageSize = 50) {}
 
   async start(address = "127.0.0.1:0"): Promise<void> {
-    await listening.listen(this.server, address);
-    this.address = listening.bound(this.server);
+    await listen.listen(this.server, address);
+    this.address = listen.bound(this.server);
   }
 
   private reply(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
--- a/src/standin/runner.ts
+++ b/src/emulator/runner.ts
@@ -3,7 +3,7 @@
 import * as crypto from "node:crypto";
 import * as nodeHttp from "node:http";
 import type * as net from "node:net";
-import * as listening from "../wire/listen.js";
+import * as listen from "../wire/listen.js";
 import * as names from "../wire/names.js";
 import * as prompts from "./prompts.js";
 
@@ -83,8 +83,8 @@
   }
 
   async start(host = "127.0.0.1"): Promise<void> {
-    await listening.listen(this.server, `${host}:0`);
-    this.address = listening.bound(this.server);
+    await listen.listen(this.server, `${host}:0`);
+    this.address = listen.bound(this.server);
   }
 
   /** Gone at once, as when the process is killed. */
--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -5,7 +5,7 @@
 import * as admitting from "../router/policies/admission.js";
 import * as cells from "../router/policies/cells.js";
 import * as homes from "../router/policies/homes.js";
-import * as runners from "../router/policies/runner.js";
+import * as runner from "../router/policies/runner.js";
 import * as readings from "../router/runners/readings.js";
 import * as rotations from "../router/runners/rotation.js";
 import type * as schema from "../wire/schema.js";
@@ -90,7 +90,7 @@
   private readonly policies: plans.Policy[];
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     size: Fleet,
   ) {
     this.fleet = new fleets.Fleet(world, new Map());
@@ -103,7 +103,7 @@
     this.policies = [
       new homes.HomesPolicy(this.fleet, new rotations.Rotation(world)),
       new cells.CellPolicy(regions[0], this.fleet.summaries),
-      new runners.RunnerPolicy(this.known),
+      new runner.RunnerPolicy(this.known),
       new admitting.AdmissionPolicy(admission),
     ];
     for (const region of regions) this.report(region, admission);
@@ -187,7 +187,7 @@
 }
 
 /** Times `times` choices at one fleet. */
-export function measure(world: types.World, size: Fleet, prompt: ChainRow["prompt"], times: number): ChainRow {
+export function measure(world: types.Clock, size: Fleet, prompt: ChainRow["prompt"], times: number): ChainRow {
   const chain = new Chain(world, size);
   for (let index = 0; index < WARM_TIMES; index += 1) chain.once(prompt);
   const before = process.cpuUsage();
@@ -217,7 +217,7 @@
 }
 
 /** All fleets, with and without shared prompts. */
-export function table(world: types.World, times: number): ChainRow[] {
+export function table(world: types.Clock, times: number): ChainRow[] {
   const found: ChainRow[] = [];
   for (const size of FLEETS) for (const prompt of ["none", "shared"] as const) found.push(measure(world, size, prompt, times));
   return found;
--- a/src/experiment/changes.ts
+++ b/src/experiment/changes.ts
@@ -1,10 +1,10 @@
 /** The operator of an experiment: one change after the other, each on top of the one before (design/experiment 3). */
 import * as client from "../cli/client.js";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import * as types from "../wire/types.js";
-import * as world from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 import * as clock from "./clock.js";
-import type * as layouts from "./layout.js";
+import type * as layout from "./layout.js";
 import type * as experiment from "./options.js";
 import * as routers from "./routers.js";
 import * as rows from "./rows.js";
@@ -26,9 +26,9 @@
   private acknowledged: AcknowledgedChange[] = [];
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly options: experiment.Options,
-    private readonly layout: layouts.Layout,
+    private readonly layout: layout.Layout,
   ) {}
 
   get newest(): number {
@@ -61,7 +61,7 @@
     for (let round = 0; round < 5; round += 1) {
       failure = await this.send("/-/Config.Replace", this.layout.configuration(1), 1);
       if (!failure) return null;
-      await world.sleep(this.world, 500);
+      await timers.sleep(this.world, 500);
     }
     return failure;
   }
@@ -75,7 +75,7 @@
     const mostCount = Math.round(seconds * changesPerS);
     for (let index = 0; index < mostCount; index += 1) {
       const waitMs = startedMs + ((index + 0.5) * 1000) / changesPerS - this.world.now();
-      if (waitMs > 0) await world.sleep(this.world, waitMs);
+      if (waitMs > 0) await timers.sleep(this.world, waitMs);
       if (this.world.now() - startedMs >= seconds * 1000) break;
       const revision = this.revision + 1;
       const route = this.layout.route(index % routes, DEADLINES_MS[index % DEADLINES_MS.length]);
@@ -83,7 +83,7 @@
       await this.send("/-/Config.Update", { revision, upsert: { routes: [route] } }, revision);
     }
     const leftMs = startedMs + seconds * 1000 - this.world.now();
-    if (leftMs > 0) await world.sleep(this.world, leftMs);
+    if (leftMs > 0) await timers.sleep(this.world, leftMs);
   }
 
   /** The row of this run: from each acknowledgement until the revision was in force at each router. */
--- a/src/experiment/clock.ts
+++ b/src/experiment/clock.ts
@@ -2,7 +2,7 @@
  * The machine's steady clock, the same in all of its processes, for measuring between them alone; and a world with
  * random numbers by seed (design/experiment 3).
  */
-import * as world from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 
 const NANOSECONDS = 1_000_000n;
 const STEP = 0x6d2b79f5;
@@ -14,7 +14,7 @@
 }
 
 /** Real time, and Mulberry32 in place of the system's random numbers. */
-export class SeededWorld extends world.RealWorld {
+export class SeededWorld extends timers.SystemClock {
   constructor(private seed: number) {
     super();
   }
--- a/src/experiment/command.ts
+++ b/src/experiment/command.ts
@@ -4,13 +4,13 @@
 import * as commander from "commander";
 import * as commands from "../cli/commands.js";
 import * as check from "../config/check.js";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import type * as types from "../wire/types.js";
 import * as chains from "./chain.js";
 import * as clock from "./clock.js";
 import * as experiment from "./options.js";
 import * as rows from "./rows.js";
-import * as sweeps from "./sweep.js";
+import * as sweep from "./sweep.js";
 import * as tenants from "./tenants.js";
 import * as worker from "./worker.js";
 
@@ -55,8 +55,8 @@
   return error.kind === "usage" ? commands.EXIT.usage : commands.EXIT.denied;
 }
 
-async function play(world: types.World, output: commands.Output, places: readonly sweeps.SweepPoint[], raw: Raw): Promise<number> {
-  const failure = await sweeps.play(places, {
+async function play(world: types.Clock, output: commands.Output, places: readonly sweep.SweepPoint[], raw: Raw): Promise<number> {
+  const failure = await sweep.play(places, {
     world,
     program: process.argv[1],
     out: String(raw["out"]),
@@ -68,13 +68,13 @@
   return commands.EXIT.ok;
 }
 
-async function runOne(world: types.World, output: commands.Output, raw: Raw): Promise<number> {
+async function runOne(world: types.Clock, output: commands.Output, raw: Raw): Promise<number> {
   const options = experiment.check(numbersOf(raw));
   if (options.isErr) return denied(output, options.error);
   return play(world, output, [{ sweep: "one", field: "routers", options: options.value }], raw);
 }
 
-async function runSweep(world: types.World, output: commands.Output, raw: Raw): Promise<number> {
+async function runSweep(world: types.Clock, output: commands.Output, raw: Raw): Promise<number> {
   const file = String(raw["plan"]);
   let bytes: Buffer;
   try {
@@ -82,7 +82,7 @@
   } catch (cause) {
     return denied(output, errors.fail("usage", `cannot read ${file}: ${(cause as Error).message}`, "name a readable plan with --plan"));
   }
-  const places = check.parseJson(bytes).andThen(sweeps.pointsOf);
+  const places = check.parseJson(bytes).andThen(sweep.pointsOf);
   if (places.isErr) return denied(output, places.error);
   return play(world, output, places.value, raw);
 }
@@ -101,7 +101,7 @@
 }
 
 /** Adds the command to the program. */
-export function add(program: commander.Command, world: types.World, output: commands.Output): void {
+export function add(program: commander.Command, world: types.Clock, output: commands.Output): void {
   const command = program
     .command("experiment")
     .description("measure control by real control nodes, hollow routers and hollow runners on loopback");
--- a/src/experiment/launcher.ts
+++ b/src/experiment/launcher.ts
@@ -2,7 +2,7 @@
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as path from "node:path";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import * as hosts from "./hosts.js";
 import type * as worker from "./worker.js";
 
--- a/src/experiment/layout.ts
+++ b/src/experiment/layout.ts
@@ -1,7 +1,7 @@
 /** Addresses, names, settings and the configuration of an experiment's nodes (design/experiment 2). */
 import * as path from "node:path";
-import type * as platforms from "../standin/platform.js";
-import * as shares from "../shares/shares.js";
+import type * as platform from "../emulator/platform.js";
+import * as shares from "../limits/shares.js";
 import * as experiment from "./options.js";
 
 const { REGIONS } = experiment;
@@ -119,8 +119,8 @@
   }
 
   /** The platform's list of hollow runners. */
-  instances(): platforms.Listed[] {
-    const listed: platforms.Listed[] = [];
+  instances(): platform.Listed[] {
+    const listed: platform.Listed[] = [];
     for (let index = 0; index < this.options.runners; index += 1) {
       const ip = `127.${this.net + NETS}.${Math.floor(index / IN_A_ROW)}.${1 + (index % IN_A_ROW)}`;
       listed.push({
--- a/src/experiment/options.ts
+++ b/src/experiment/options.ts
@@ -2,7 +2,7 @@
 import * as os from "node:os";
 import * as result from "true-myth/result";
 import * as superstruct from "superstruct";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 
 const whole = superstruct.integer();
 const shape = superstruct.object({
--- a/src/experiment/routers.ts
+++ b/src/experiment/routers.ts
@@ -1,11 +1,11 @@
 /** Hollow routers: whole router programs without clients, many in one process (design/experiment 2). */
 import * as router from "../router/program.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
-import * as vitals from "../startup/vitals.js";
+import * as vitals from "../runtime/vitals.js";
 import * as counts from "../wire/counts.js";
 import * as types from "../wire/types.js";
-import * as world from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 import * as clock from "./clock.js";
 
 const SAMPLE_INTERVAL_MS = 5;
@@ -66,9 +66,9 @@
   private followedChanges: FollowedNodeChange[] = [];
   private dials = new Map<number, number>();
   private dialed = 0;
-  private readonly timers: types.Tick[] = [];
+  private readonly timers: types.Timer[] = [];
 
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   /** Starts the routers one after the other; throws on bad settings. */
   async start(all: readonly HollowRouterOptions[]): Promise<void> {
@@ -80,8 +80,8 @@
       await program.root.start();
     }
     this.timers.push(
-      world.every(this.world, SAMPLE_INTERVAL_MS, this.sample.bind(this)),
-      world.every(this.world, RECORD_USE_INTERVAL_MS, this.recordUse.bind(this)),
+      timers.runPeriodically(this.world, SAMPLE_INTERVAL_MS, this.sample.bind(this)),
+      timers.runPeriodically(this.world, RECORD_USE_INTERVAL_MS, this.recordUse.bind(this)),
     );
   }
 
--- a/src/experiment/run.ts
+++ b/src/experiment/run.ts
@@ -5,20 +5,20 @@
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as client from "../cli/client.js";
-import * as errors from "../startup/errors.js";
-import type * as vitals from "../startup/vitals.js";
+import * as errors from "../runtime/errors.js";
+import type * as vitals from "../runtime/vitals.js";
 import type * as counts from "../wire/counts.js";
 import * as types from "../wire/types.js";
-import * as world from "../wire/world.js";
-import * as changing from "./changes.js";
+import * as timers from "../runtime/timers.js";
+import * as changes from "./changes.js";
 import * as clock from "./clock.js";
 import * as hosts from "./hosts.js";
-import * as layouts from "./layout.js";
+import * as layout from "./layout.js";
 import * as losses from "./losses.js";
 import * as experiment from "./options.js";
 import type * as routers from "./routers.js";
 import * as rows from "./rows.js";
-import * as windows from "./window.js";
+import * as window from "./window.js";
 
 const POLL_INTERVAL_MS = 50;
 const SETTLE_TIMEOUT_MS = 40_000;
@@ -40,23 +40,23 @@
 
 /** One run of an experiment: starts nodes, measures, stops them. */
 export class Run {
-  private readonly layout: layouts.Layout;
-  private readonly changes: changing.Changes;
+  private readonly layout: layout.Layout;
+  private readonly changes: changes.Changes;
   private readonly routerHosts: RouterHost[] = [];
   private readonly controls: hosts.ControlHost[] = [];
   private readonly outcome: rows.Outcome = { nodes: [], links: [], changes: [], losses: [] };
   private readonly point: rows.Point;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly launcher: hosts.Launcher,
     private readonly options: experiment.Options,
     private readonly folder: string,
     private readonly progress: (step: string) => void,
     sweep: string,
   ) {
-    this.layout = new layouts.Layout(options, layouts.netOf(process.pid), folder);
-    this.changes = new changing.Changes(world, options, this.layout);
+    this.layout = new layout.Layout(options, layout.netOf(process.pid), folder);
+    this.changes = new changes.Changes(world, options, this.layout);
     this.point = rows.pointOf(sweep, options);
   }
 
@@ -114,7 +114,7 @@
     const failure = await this.changes.first();
     if (failure) throw failure;
     await this.waitUntil("the first configuration is in force at all routers", SETTLE_TIMEOUT_MS, this.isInForce.bind(this));
-    await world.sleep(this.world, QUIET_MS);
+    await timers.sleep(this.world, QUIET_MS);
   }
 
   private async waitUntil(what: string, withinMs: number, isSo: () => Promise<boolean>): Promise<void> {
@@ -127,7 +127,7 @@
           "give fewer nodes or wait until the machine is less busy",
         );
       }
-      await world.sleep(this.world, POLL_INTERVAL_MS);
+      await timers.sleep(this.world, POLL_INTERVAL_MS);
     }
   }
 
@@ -166,8 +166,8 @@
     return reports;
   }
 
-  private async readControls(): Promise<windows.Reading[]> {
-    const readings: windows.Reading[] = [];
+  private async readControls(): Promise<window.Reading[]> {
+    const readings: window.Reading[] = [];
     for (const index of this.controls.keys()) {
       const status = await this.statusOf(index);
       if (!status) throw errors.fail("timeout", `${this.layout.controlName(index)} tells no status`, `read its log in ${this.folder}`);
@@ -181,9 +181,9 @@
     return readings;
   }
 
-  private async readRouters(): Promise<{ readings: windows.Reading[]; reports: routers.RouterGroupReport[] }> {
+  private async readRouters(): Promise<{ readings: window.Reading[]; reports: routers.RouterGroupReport[] }> {
     const accounts = await this.routerReports();
-    const readings: windows.Reading[] = [];
+    const readings: window.Reading[] = [];
     for (const report of accounts) readings.push({ atMs: report.atMs, vitals: report.vitals, links: new Map(report.links), reports: 0 });
     return { readings, reports: accounts };
   }
@@ -205,10 +205,10 @@
     this.outcome.changes.push(this.changes.row(this.point, revisions, this.options.routers));
   }
 
-  private add(identity: windows.NodeIdentity, before: windows.Reading, after: windows.Reading): void {
-    const links = windows.linkRows(this.point, identity, before, after);
+  private add(identity: window.NodeIdentity, before: window.Reading, after: window.Reading): void {
+    const links = window.linkRows(this.point, identity, before, after);
     this.outcome.links.push(...links);
-    this.outcome.nodes.push(windows.nodeRow(this.point, identity, before, after, links));
+    this.outcome.nodes.push(window.nodeRow(this.point, identity, before, after, links));
   }
 
   /** The node that most routers follow is lost, and started again when none follows it any more. */
@@ -228,7 +228,7 @@
     });
     if (manner === "frozen") await lost.kill();
     this.controls[index] = await this.startControl(index, false);
-    await world.sleep(this.world, RETURN_MS);
+    await timers.sleep(this.world, RETURN_MS);
     const accounts = await this.routerReports();
     this.outcome.losses.push(losses.lossRow(this.point, manner, lost.name, atMs, followers, accounts));
     await this.waitUntil("the control nodes reach a majority again", SETTLE_TIMEOUT_MS, this.isSettled.bind(this));
--- a/src/experiment/runners.ts
+++ b/src/experiment/runners.ts
@@ -4,11 +4,11 @@
  */
 import * as nodeHttp from "node:http";
 import * as net from "node:net";
-import * as platforms from "../standin/platform.js";
-import * as listening from "../wire/listen.js";
+import * as platform from "../emulator/platform.js";
+import * as listen from "../wire/listen.js";
 import * as names from "../wire/names.js";
 import * as types from "../wire/types.js";
-import * as world from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 
 const PAGE = 200;
 const CAPACITY = 16;
@@ -16,28 +16,28 @@
 
 /** All hollow runners and the platform of a run. */
 export class RunnerGroup {
-  private readonly platform = new platforms.StandInPlatform(PAGE);
+  private readonly platform = new platform.StandInPlatform(PAGE);
   private readonly idAt = new Map<string, string>();
   private readonly front = nodeHttp.createServer({ keepAliveTimeout: 20_000 }, this.onRequest.bind(this));
   private readonly sockets = new Set<net.Socket>();
   private readonly listeners: net.Server[] = [];
   private reports = 0;
   private changed = 0;
-  private timer: types.Tick | null = null;
+  private timer: types.Timer | null = null;
 
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   /** Listens at each runner's address, then at the platform's. */
-  async start(platformAddress: string, instances: platforms.Listed[], listChangesPerS: number): Promise<void> {
+  async start(platformAddress: string, instances: platform.Listed[], listChangesPerS: number): Promise<void> {
     for (const instance of instances) {
       const server = net.createServer(this.opened.bind(this));
-      await listening.listen(server, instance.address);
+      await listen.listen(server, instance.address);
       this.idAt.set(instance.address, instance.instance_id);
       this.listeners.push(server);
     }
     this.platform.instances = instances;
     await this.platform.start(platformAddress);
-    if (listChangesPerS > 0) this.timer = world.every(this.world, 1000 / listChangesPerS, this.changeList.bind(this));
+    if (listChangesPerS > 0) this.timer = timers.runPeriodically(this.world, 1000 / listChangesPerS, this.changeList.bind(this));
   }
 
   private opened(socket: net.Socket): void {
--- a/src/experiment/sweep.ts
+++ b/src/experiment/sweep.ts
@@ -4,14 +4,14 @@
 import * as path from "node:path";
 import * as result from "true-myth/result";
 import * as superstruct from "superstruct";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import type * as types from "../wire/types.js";
 import * as launchers from "./launcher.js";
 import * as experiment from "./options.js";
 import * as panels from "./panels.js";
 import * as plot from "../plots/plot.js";
 import * as rows from "./rows.js";
-import * as runs from "./run.js";
+import * as run from "./run.js";
 
 const SWEPT = ["routers", "runners", "routes", "tenants", "controls", "changesPerS", "listChangesPerS", "regionsUsed"] as const;
 const extra = superstruct.record(superstruct.string(), superstruct.union([superstruct.number(), superstruct.boolean()]));
@@ -62,7 +62,7 @@
 
 /** What the runs work with: where results go, and where progress is printed. */
 export interface Environment {
-  world: types.World;
+  world: types.Clock;
   program: string;
   out: string;
   hasPlots: boolean;
@@ -85,7 +85,7 @@
   process.on("SIGINT", stop);
   process.on("SIGTERM", stop);
   try {
-    const outcome = await new runs.Run(environment.world, launcher, point.options, folder, progress, point.sweep).play();
+    const outcome = await new run.Run(environment.world, launcher, point.options, folder, progress, point.sweep).play();
     fs.rmSync(folder, { recursive: true });
     return outcome;
   } finally {
--- a/src/experiment/tenants.ts
+++ b/src/experiment/tenants.ts
@@ -1,10 +1,10 @@
 /** What tenants cost: a router the check of a key, an owner a grant, the feed an item (docs/experiment.md). */
 import * as keys from "../config/parts.js";
 import * as registers from "../register/value.js";
-import * as tenants from "../tenants/tenant.js";
-import * as owners from "../tenants/quota-owner.js";
-import type * as parts from "../tenants/quota-part.js";
-import * as tenures from "../tenants/quota-tenure.js";
+import * as tenant from "../tenants/tenant.js";
+import * as quotaOwner from "../tenants/quota-owner.js";
+import type * as quotaPart from "../tenants/quota-part.js";
+import * as quotaTenure from "../tenants/quota-tenure.js";
 import type * as schema from "../wire/schema.js";
 import * as tenantSchema from "../wire/tenant-schema.js";
 import * as types from "../wire/types.js";
@@ -14,7 +14,7 @@
 const WARM_TIMES = 2000;
 const MICROSECONDS = 1000;
 const MEGA = 1024 * 1024;
-const BOUNDS: parts.QuotaBounds = { quota_window_s: 5, quota_overshoot: 0.1, quota_tolerance: 20 };
+const BOUNDS: quotaPart.QuotaBounds = { quota_window_s: 5, quota_overshoot: 0.1, quota_tolerance: 20 };
 
 /** One number of tenants, each with two keys. Microseconds and milliseconds are of the processor, by the mean. */
 export interface TenantRow {
@@ -71,7 +71,7 @@
 }
 
 /** An owner that always grants: fences are not what is measured. */
-class OpenTenure extends tenures.QuotaTenure {
+class OpenTenure extends quotaTenure.QuotaTenure {
   override isGranting(): boolean {
     return true;
   }
@@ -83,8 +83,8 @@
   }
 }
 
-function grantUs(world: types.World, list: Configured[], times: number): number {
-  const owner = new owners.QuotaOwner(world, "life", BOUNDS, new OpenTenure(world, { fenceMs: 1, lifeMs: 1 }));
+function grantUs(world: types.Clock, list: Configured[], times: number): number {
+  const owner = new quotaOwner.QuotaOwner(world, "life", BOUNDS, new OpenTenure(world, { fenceMs: 1, lifeMs: 1 }));
   owner.setLimits(new Map(list.map(({ name, rate_per_s: perS, burst }) => [name, { perS, burst }])));
   return meanOf(times, (index) => {
     const tenant = list[index % list.length].name;
@@ -93,15 +93,15 @@
 }
 
 /** Times one number of tenants. */
-export function measure(world: types.World, count: number, times: number): TenantRow {
+export function measure(world: types.Clock, count: number, times: number): TenantRow {
   const list = configured(count, 0);
   const splitter = new keys.Splitter();
   let items: ReadonlyMap<string, Buffer> = new Map();
   const firstSplitMs = timed(() => (items = splitter.split(valueOf(list)))) / MICROSECONDS;
   const nextSplitMs = timed(() => splitter.split(valueOf(configured(count, 1)))) / MICROSECONDS;
   const heapBefore = process.memoryUsage().heapUsed;
-  const table = new tenants.TenantTable();
-  table.amend(new tenants.DigestCache().tenantsOf(list), []);
+  const table = new tenant.TenantTable();
+  table.amend(new tenant.DigestCache().tenantsOf(list), []);
   const tableMb = Math.max(0, process.memoryUsage().heapUsed - heapBefore) / MEGA;
   const keyCheckUs = meanOf(times, (index) => table.find(list[index % count].api_keys[1]));
   const ask = { life: "0123456789ab", takings: [{ tenant: list[0].name, wanted: 1, unused: [] }] };
@@ -121,6 +121,6 @@
 }
 
 /** All numbers of tenants. */
-export function table(world: types.World, times: number): TenantRow[] {
+export function table(world: types.Clock, times: number): TenantRow[] {
   return COUNTS.map((count) => measure(world, count, times));
 }
--- a/src/experiment/window.ts
+++ b/src/experiment/window.ts
@@ -1,5 +1,5 @@
 /** Two readings of a process, and the rows of the window between them (design/experiment 3). */
-import type * as vitals from "../startup/vitals.js";
+import type * as vitals from "../runtime/vitals.js";
 import type * as counts from "../wire/counts.js";
 import type * as rows from "./rows.js";
 
--- a/src/feed/cuts.ts
+++ b/src/feed/cuts.ts
@@ -1,12 +1,12 @@
 // Which regions are cut off from a router that holds sessions with a few control nodes alone (design/members 4).
 import * as link from "../wire/link.js";
 import * as types from "../wire/types.js";
-import type * as dialers from "./dialer.js";
+import type * as dialer from "./dialer.js";
 
 const FRESH_MS = 3 * link.BEAT_MS;
 
 /** Own links' silence where it tells all; else the word of the own region's control nodes, when all of them agree. */
-export function cutRegions(dial: dialers.Dialer, own: string, now: types.SteadyMs): Set<string> {
+export function cutRegions(dial: dialer.Dialer, own: string, now: types.SteadyMs): Set<string> {
   const cut = new Set(dial.silentRegions());
   const words: Set<string>[] = [];
   for (const { node, beat, beatAt } of dial.controls.values()) {
@@ -19,14 +19,14 @@
 }
 
 /** Whether a link of this router's own to that region speaks still. */
-function isHeard(dial: dialers.Dialer, region: string, silent: ReadonlySet<string>): boolean {
+function isHeard(dial: dialer.Dialer, region: string, silent: ReadonlySet<string>): boolean {
   if (silent.has(region)) return false;
   for (const { node } of dial.controls.values()) if (node.region === region) return true;
   return false;
 }
 
 /** Whether links to all known control nodes of a region stand. */
-function isHeldWhole(dial: dialers.Dialer, region: string): boolean {
+function isHeldWhole(dial: dialer.Dialer, region: string): boolean {
   for (const [address, target] of dial.targets) {
     if (target.region === region && !dial.controls.has(address) && target.failures === 0) return false;
   }
--- a/src/feed/dialer.ts
+++ b/src/feed/dialer.ts
@@ -4,9 +4,9 @@
 import * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
-import type * as selectors from "./session-selector.js";
-import * as controlLinks from "./control-link.js";
+import * as log from "../runtime/log.js";
+import type * as sessionSelector from "./session-selector.js";
+import * as controlLink from "./control-link.js";
 import type { Control, Target } from "./control-link.js";
 
 export { isConfirmed, isFresh, isHeard, isHeardConfirmed, isLeaving, type Control, type Target } from "./control-link.js";
@@ -50,12 +50,12 @@
   private isOver = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly own: string,
     private readonly handlers: link.Handlers,
     private readonly describe: () => schema.NodeInfo,
     private readonly silentMs: number,
-    private readonly selector: selectors.SessionSelector | null = null,
+    private readonly selector: sessionSelector.SessionSelector | null = null,
   ) {
     super();
   }
@@ -72,7 +72,7 @@
   know(addresses: Iterable<string>): void {
     for (const address of addresses) {
       if (address === this.own || this.targets.has(address) || address === "") continue;
-      this.targets.set(address, controlLinks.newTarget(FIRST_PAUSE_MS));
+      this.targets.set(address, controlLink.newTarget(FIRST_PAUSE_MS));
     }
   }
 
--- a/src/feed/feed.ts
+++ b/src/feed/feed.ts
@@ -12,7 +12,7 @@
 import type * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as keyed from "./keyed.js";
 
 const MAX_TOMBSTONES = 512;
--- a/src/feed/follower.ts
+++ b/src/feed/follower.ts
@@ -5,8 +5,8 @@
 import * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
-import * as dialers from "./dialer.js";
+import * as log from "../runtime/log.js";
+import * as dialer from "./dialer.js";
 import * as feeds from "./feed.js";
 import * as mirrors from "./mirror.js";
 
@@ -29,17 +29,17 @@
  * heard lately first, then confirmed by a majority, then of the own region.
  */
 export class Follower {
-  main: dialers.Control | null = null;
+  main: dialer.Control | null = null;
   readonly mirror = new mirrors.Mirror(new Set([feeds.REGISTER_TOPIC]));
   private followed = new Set<string>();
   private readonly asking = new Set<string>();
-  private readonly noticed = new Map<dialers.Control, types.Stamp>();
+  private readonly noticed = new Map<dialer.Control, types.Stamp>();
   private isWaiting = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly region: string,
-    private readonly dial: dialers.Dialer,
+    private readonly dial: dialer.Dialer,
     handlers: link.Handlers,
     private readonly topics: () => Iterable<string>,
     private readonly taker: Taker,
@@ -51,18 +51,18 @@
     dial.on("down", this.down.bind(this));
   }
 
-  private up(control: dialers.Control): void {
+  private up(control: dialer.Control): void {
     this.ask(control, [this.mirror.wanted(feeds.REGISTER_TOPIC, "notices", control.place)]);
     this.elect();
   }
 
-  private down(control: dialers.Control): void {
+  private down(control: dialer.Control): void {
     this.noticed.delete(control);
     if (this.main === control) this.main = null;
     this.elect();
   }
 
-  private ask(control: dialers.Control, topics: schema.Wanted[]): void {
+  private ask(control: dialer.Control, topics: schema.Wanted[]): void {
     control.link.tell(calls.follow, { place: control.place, topics });
   }
 
@@ -71,21 +71,21 @@
     return null;
   }
 
-  private isFresh(control: dialers.Control): boolean {
+  private isFresh(control: dialer.Control): boolean {
     return control.link.isOpen && this.world.now() - control.beatAt < FRESH_MS;
   }
 
-  private rankOf(control: dialers.Control): number {
+  private rankOf(control: dialer.Control): number {
     let rank = control.node.region === this.region ? 0 : 1;
     // One that no majority confirmed lately says so: others come first.
-    if (!dialers.isConfirmed(control)) rank += 4;
+    if (!dialer.isConfirmed(control)) rank += 4;
     if (!this.isFresh(control)) rank += 8;
     return rank;
   }
 
   /** Follows the best control node; moves only when another is better by rank, and then asks for differences. */
   elect(): void {
-    let best: dialers.Control | null = this.main;
+    let best: dialer.Control | null = this.main;
     for (const control of this.dial.controls.values()) {
       if (!best || this.rankOf(control) < this.rankOf(best)) best = control;
     }
@@ -96,7 +96,7 @@
     this.refollow(new Set());
   }
 
-  private leave(control: dialers.Control): void {
+  private leave(control: dialer.Control): void {
     const topics: schema.Wanted[] = [];
     for (const topic of this.followed) {
       topics.push(this.mirror.wanted(topic, topic === feeds.REGISTER_TOPIC ? "notices" : "none", control.place));
@@ -132,7 +132,7 @@
     return true;
   }
 
-  private controlOf(from: link.Link): dialers.Control | null {
+  private controlOf(from: link.Link): dialer.Control | null {
     for (const control of this.dial.controls.values()) if (control.link === from) return control;
     return null;
   }
@@ -152,7 +152,7 @@
     if (this.asking.has(topic)) return;
     this.asking.add(topic);
     const again = this.again.bind(this, from, topic, isAll);
-    this.world.after(isAll ? MISMATCH_MS : GAP_MS, again);
+    this.world.schedule(isAll ? MISMATCH_MS : GAP_MS, again);
   }
 
   private again(from: link.Link, topic: string, isAll: boolean): void {
@@ -175,7 +175,7 @@
     if (this.isWaiting) return;
     this.isWaiting = true;
     const late = this.late.bind(this);
-    this.world.after(ms, late);
+    this.world.schedule(ms, late);
   }
 
   /** The main control node has not brought what another noticed: that one is asked, later the next one. */
--- a/src/feed/keyed.ts
+++ b/src/feed/keyed.ts
@@ -2,7 +2,7 @@
 import * as zlib from "node:zlib";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as digests from "./digest.js";
+import * as digest from "./digest.js";
 
 const PACK_BYTES = 2048;
 const PACK_LEVEL = 4;
@@ -27,7 +27,7 @@
 }
 
 function itemOf(key: string, body: Buffer): Item {
-  const [high, low] = digests.hash(key, body);
+  const [high, low] = digest.hash(key, body);
   // A copy of its own: a body kept for long must not hold on to the large buffer it was cut from.
   const kept = Buffer.allocUnsafeSlow(body.length);
   body.copy(kept);
--- a/src/feed/mirror.ts
+++ b/src/feed/mirror.ts
@@ -5,7 +5,7 @@
 //   wanted(topic, mode) -> what to ask a source for after a gap; wantedView(topic) after a mismatch
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as feeds from "./feed.js";
 import * as keyed from "./keyed.js";
 
--- a/src/feed/session-selector.ts
+++ b/src/feed/session-selector.ts
@@ -1,8 +1,8 @@
 // Which few control nodes a router holds sessions with, and when it dials or releases one (design/members 2, 3).
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
-import * as shares from "../shares/shares.js";
-import type * as links from "./control-link.js";
+import * as log from "../runtime/log.js";
+import * as shares from "../limits/shares.js";
+import type * as controlLink from "./control-link.js";
 
 /** Control nodes that a router holds sessions with. */
 export const MAX_SESSIONS = 3;
@@ -88,21 +88,21 @@
   hasEnough = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly self: Self,
   ) {}
 
   /** One that says it is not settled, or is silent, does not count toward its sessions. */
-  private isGood(control: links.Control, isLate: boolean): boolean {
+  private isGood(control: controlLink.Control, isLate: boolean): boolean {
     return this.isHeard(control, isLate) && (!control.beat || control.beat.isSettled);
   }
 
-  private isHeard(control: links.Control, isLate: boolean): boolean {
+  private isHeard(control: controlLink.Control, isLate: boolean): boolean {
     return control.link.isOpen && (isLate || control.link.silentMs() < FRESH_MS);
   }
 
   /** Sets when each target is due to be dialled; releases those that are held beyond what it needs. */
-  plan(targets: ReadonlyMap<string, links.Target>, controls: ReadonlyMap<string, links.Control>): void {
+  plan(targets: ReadonlyMap<string, controlLink.Target>, controls: ReadonlyMap<string, controlLink.Control>): void {
     const now = this.world.now();
     const isLate = now - this.plannedAt > LATE_MS;
     this.plannedAt = now;
@@ -133,7 +133,7 @@
   }
 
   /** Nobody was met yet: whoever replies first tells of all the others. */
-  private start(all: readonly Place[], targets: ReadonlyMap<string, links.Target>): void {
+  private start(all: readonly Place[], targets: ReadonlyMap<string, controlLink.Target>): void {
     if (this.startedAt < 0) this.startedAt = this.world.now();
     for (const [index, place] of rank(all, this.self, all).entries()) {
       const target = targets.get(place.address)!;
@@ -142,7 +142,7 @@
   }
 
   /** A target's urgency only grows while it is idle, so that each wait is drawn once. */
-  private setDue(target: links.Target, urgency: number): void {
+  private setDue(target: controlLink.Target, urgency: number): void {
     if (urgency === NOT_DUE) {
       this.forget(target);
       return;
@@ -157,18 +157,18 @@
   }
 
   /** Dialled, up or no longer wanted: the next wait is drawn anew. */
-  forget(target: links.Target): void {
+  forget(target: controlLink.Target): void {
     target.urgency = NOT_DUE;
     target.dueAt = Infinity;
   }
 
   private release(
-    targets: ReadonlyMap<string, links.Target>,
-    controls: ReadonlyMap<string, links.Control>,
+    targets: ReadonlyMap<string, controlLink.Target>,
+    controls: ReadonlyMap<string, controlLink.Control>,
     kept: ReadonlySet<string>,
     isAllowed: boolean,
   ): void {
-    const extra: links.Control[] = [];
+    const extra: controlLink.Control[] = [];
     for (const control of controls.values()) if (!kept.has(control.address)) extra.push(control);
     if (!isAllowed || extra.length === 0) {
       this.releaseAt = Infinity;
@@ -190,7 +190,7 @@
 }
 
 /** Not known to be down: never tried, let go while it was good, or being dialled for a short while. */
-function isFresh(target: links.Target, now: number): boolean {
+function isFresh(target: controlLink.Target, now: number): boolean {
   return target.failures === 0 && (target.state === "idle" || target.state === "up" || now - target.dialedAt < SLOW_MS);
 }
 
@@ -198,7 +198,7 @@
   return place.region !== "";
 }
 
-function isAllUp(goal: ReadonlySet<string>, controls: ReadonlyMap<string, links.Control>): boolean {
+function isAllUp(goal: ReadonlySet<string>, controls: ReadonlyMap<string, controlLink.Control>): boolean {
   for (const address of goal) if (!controls.has(address)) return false;
   return true;
 }
--- a/src/forecast/loads.ts
+++ b/src/forecast/loads.ts
@@ -5,7 +5,7 @@
 import type * as schema from "../wire/batch-schema.js";
 import type * as types from "../wire/types.js";
 import type * as errors from "./errors.js";
-import * as seriesOf from "./series.js";
+import * as series from "./series.js";
 
 /** A day. */
 export const DAY_MS = 24 * 3600 * 1000;
@@ -17,7 +17,7 @@
 const IDLE_STEPS = 720;
 
 interface Entry {
-  series: seriesOf.RateSeries;
+  series: series.RateSeries;
   /** Arrivals heard since the step began. */
   arrivals: number;
   idleSteps: number;
@@ -39,11 +39,11 @@
   readRate = 0;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly seasonMs = DAY_MS,
   ) {
     this.stepAt = world.now();
-    this.stepMs = seriesOf.stepMsOf(seasonMs);
+    this.stepMs = series.stepMsOf(seasonMs);
   }
 
   /** A report of this node or a sibling. */
@@ -63,7 +63,7 @@
     const key = `${region}|${route}`;
     let entry = this.entries.get(key);
     if (!entry && this.entries.size < MAX_SERIES) {
-      entry = { series: new seriesOf.RateSeries(this.seasonMs), arrivals: 0, idleSteps: 0 };
+      entry = { series: new series.RateSeries(this.seasonMs), arrivals: 0, idleSteps: 0 };
       this.entries.set(key, entry);
     }
     return entry ?? null;
@@ -93,8 +93,8 @@
   }
 
   /** The series of a region: all its routes. */
-  seriesIn(region: string): { route: string; series: seriesOf.RateSeries }[] {
-    const found: { route: string; series: seriesOf.RateSeries }[] = [];
+  seriesIn(region: string): { route: string; series: series.RateSeries }[] {
+    const found: { route: string; series: series.RateSeries }[] = [];
     for (const [key, { series }] of this.entries) {
       const [where, route] = [key.slice(0, key.indexOf("|")), key.slice(key.indexOf("|") + 1)];
       if (where === region) found.push({ route, series });
@@ -107,7 +107,7 @@
     const now = this.world.now();
     let present = 0;
     let future = 0;
-    let main: { weight: number; series: seriesOf.RateSeries } | null = null;
+    let main: { weight: number; series: series.RateSeries } | null = null;
     for (const { route, series } of this.seriesIn(region)) {
       const rate = series.expected(now);
       const weight = rate * weightOf(route);
--- a/src/forecast/series.ts
+++ b/src/forecast/series.ts
@@ -3,7 +3,7 @@
  * further away. Every step it is compared with what it said before, for several horizons.
  */
 import * as errors from "./errors.js";
-import * as seasons from "./season.js";
+import * as season from "./season.js";
 import * as smoothing from "./smoothing.js";
 
 /** Slots of a season; steps of a slot. */
@@ -23,14 +23,14 @@
   /** Milliseconds between two observations. */
   readonly stepMs: number;
   private readonly near = new smoothing.DampedTrend();
-  private readonly shape: seasons.SeasonShape;
+  private readonly shape: season.SeasonShape;
   private readonly errorsByHorizon = HORIZONS.map(() => new errors.RatioErrors());
   private pending: Pending[] = [];
   private lastAt = 0;
 
   constructor(seasonMs: number) {
     this.stepMs = stepMsOf(seasonMs);
-    this.shape = new seasons.SeasonShape(seasonMs, SLOTS);
+    this.shape = new season.SeasonShape(seasonMs, SLOTS);
   }
 
   /** The mean rate over the step that ended at this time. */
--- a/src/signs/batch.ts
+++ b/src/hints/batch.ts
@@ -3,7 +3,7 @@
  * entries are dropped beyond the bound. Signs are hints.
  */
 import * as schema from "../wire/schema.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 
 /** Entries of one frame, and keys of one entry (*ours*). */
 export const MAX_ENTRIES = 64;
--- a/src/signs/marks.ts
+++ b/src/hints/marks.ts
@@ -1,6 +1,6 @@
 /** Runners named by 32 bits: a hash of the id. Marks that two runners share name nobody (design/usage 2.1). */
-import * as log from "../startup/log.js";
-import * as shares from "../shares/shares.js";
+import * as log from "../runtime/log.js";
+import * as shares from "../limits/shares.js";
 
 /** The mark of an id, a signed 32-bit number. */
 export function markOf(id: string): number {
--- a/src/signs/relay.ts
+++ b/src/hints/relay.ts
@@ -6,10 +6,10 @@
 import * as calls from "../wire/calls.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as batches from "./batch.js";
 import * as marks from "./marks.js";
-import * as throttles from "./throttle.js";
+import * as throttle from "./throttle.js";
 
 /** What all routers of one control node are told of readings, bytes a second, and the bounds of one router's part (*ours*). */
 const TOTAL_BYTES_PER_S = 64_000;
@@ -55,13 +55,13 @@
   private regions: ReadonlyMap<types.RunnerId, string> = new Map();
   private readonly pending = new Map<Peer, PendingSigns>();
   private readonly buckets = new Map<Peer, TokenBucket>();
-  private readonly throttle: throttles.Throttle;
+  private readonly throttle: throttle.Throttle;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly targets: Targets,
   ) {
-    this.throttle = new throttles.Throttle(world, this.flush.bind(this));
+    this.throttle = new throttle.Throttle(world, this.flush.bind(this));
   }
 
   /** The regions of the runners listed. */
--- a/src/signs/sign-sender.ts
+++ b/src/hints/sign-sender.ts
@@ -3,10 +3,10 @@
 import type * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
-import * as batches from "./batch.js";
+import * as log from "../runtime/log.js";
+import * as batch from "./batch.js";
 import type * as marks from "./marks.js";
-import * as throttles from "./throttle.js";
+import * as throttle from "./throttle.js";
 
 /** Keys of one reading that are told (*ours*). */
 const MAX_KEYS = 8;
@@ -21,16 +21,16 @@
 
 /** Sends and takes the signs of one router. Runners whose mark is shared are left out. */
 export class SignSender {
-  private readonly batch = new batches.Batch();
-  private readonly throttle: throttles.Throttle;
+  private readonly batch = new batch.Batch();
+  private readonly throttle: throttle.Throttle;
 
   constructor(
-    world: types.World,
+    world: types.Clock,
     private readonly marks: marks.Marks<types.RunnerId>,
     private readonly handler: Hearer,
     private readonly publish: (signs: schema.Signs) => void,
   ) {
-    this.throttle = new throttles.Throttle(world, this.flush.bind(this));
+    this.throttle = new throttle.Throttle(world, this.flush.bind(this));
   }
 
   /** Hears signs from the links. */
--- a/src/signs/throttle.ts
+++ b/src/hints/throttle.ts
@@ -10,10 +10,10 @@
 /** Runs a function at most once a period, on request. */
 export class Throttle {
   private lastRunAt = -Infinity;
-  private timer: types.Tick | null = null;
+  private timer: types.Timer | null = null;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly run: () => void,
     private readonly periodMs = PERIOD_MS,
   ) {}
@@ -23,7 +23,7 @@
     if (this.timer) return;
     const waitMs = this.lastRunAt + this.periodMs - this.world.now();
     if (waitMs <= 0) this.fire();
-    else this.timer = this.world.after(waitMs, this.fire.bind(this));
+    else this.timer = this.world.schedule(waitMs, this.fire.bind(this));
   }
 
   private fire(): void {
--- a/src/shares/holdings.ts
+++ b/src/limits/holdings.ts
@@ -40,7 +40,7 @@
   /** Something was wanted and not there since needs were told last. */
   isShort = false;
 
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   /** Wanted now: counted whether it was there or not. */
   want(kind: leaseSchema.Kind, key: string, perS: number): void {
--- a/src/shares/owner.ts
+++ b/src/limits/owner.ts
@@ -2,8 +2,8 @@
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
 import * as parts from "./parts.js";
-import * as pools from "./pool.js";
-import type * as tenures from "./tenure.js";
+import * as pool from "./pool.js";
+import type * as tenure from "./tenure.js";
 
 /** Lives of leases (*ours*): tries may wait for a failure, sends to a cold runner soon follow or are better used elsewhere. */
 export const TRIES_MS = 1800;
@@ -24,7 +24,7 @@
 }
 
 interface Holding {
-  pool: pools.Pool;
+  pool: pool.Pool;
   perS: number;
   perSAt: number;
 }
@@ -38,10 +38,10 @@
   private readonly holdings = new Map<string, Holding>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     readonly life: string,
     private bounds: parts.Bounds,
-    private readonly tenure: tenures.Tenure,
+    private readonly tenure: tenure.Tenure,
   ) {}
 
   resettle(bounds: parts.Bounds): void {
@@ -120,7 +120,7 @@
     let holding = this.holdings.get(key);
     if (!holding) {
       const memoryMs = need.kind === leaseSchema.COLD ? COLD_MEMORY_MS : this.bounds.retry_window_s * 1000;
-      holding = { pool: new pools.Pool(this.partOf(key, need.perS), this.earnedSince(), now, memoryMs), perS: need.perS, perSAt: now };
+      holding = { pool: new pool.Pool(this.partOf(key, need.perS), this.earnedSince(), now, memoryMs), perS: need.perS, perSAt: now };
       this.holdings.set(key, holding);
     }
     if (need.perS < holding.perS || (need.perS > holding.perS && now - holding.perSAt > LOWER_MS)) {
--- a/src/shares/parts.ts
+++ b/src/limits/parts.ts
@@ -1,6 +1,6 @@
 // The fixed part of each bound that one slot of the voters holds (design/shares 3): a burst of whole units
 // and a refill, so that burst + refill over any window, summed over all slots, stays within the bound.
-import * as hashes from "./hash.js";
+import * as hash from "./hash.js";
 
 /** The figures that bounds are made from. */
 export interface Bounds {
@@ -42,10 +42,10 @@
 
 /** The place of a slot among all by rendezvous on the key; 0 is the first. */
 export function placeOf(slots: number, slot: number, key: string): number {
-  const own = hashes.hash(`${slot}|${key}`);
+  const own = hash.hash(`${slot}|${key}`);
   let place = 0;
   for (let other = 0; other < slots; other += 1) {
-    const mark = hashes.hash(`${other}|${key}`);
+    const mark = hash.hash(`${other}|${key}`);
     if (mark > own || (mark === own && other < slot)) place += 1;
   }
   return place;
--- a/src/shares/shares.ts
+++ b/src/limits/shares.ts
@@ -30,7 +30,7 @@
   readonly held: holdings.Holdings;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private bounds: Bounds,
   ) {
     this.held = new holdings.Holdings(world);
--- a/src/shares/tenure.ts
+++ b/src/limits/tenure.ts
@@ -46,7 +46,7 @@
   round = 0;
 
   constructor(
-    protected readonly world: types.World,
+    protected readonly world: types.Clock,
     protected readonly terms = LEASES,
   ) {
     this.startedAt = world.now();
--- a/src/usage/interest.ts
+++ b/src/load/interest.ts
@@ -9,7 +9,7 @@
   private readonly lastUsedAt = new Map<string, types.SteadyMs>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly ownRegion: string,
   ) {}
 
--- a/src/usage/publisher.ts
+++ b/src/load/publisher.ts
@@ -3,11 +3,11 @@
  * topics `cell:REGION`, and in short in the topic `summary`.
  */
 import * as feeds from "../feed/feed.js";
-import * as marks from "../signs/marks.js";
+import * as marks from "../hints/marks.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as regionReports from "./region-reports.js";
-import * as resolutions from "./resolution.js";
+import * as resolution from "./resolution.js";
 import * as summaries from "./summary.js";
 
 /** Summaries are told together so often, if anything moved (*ours*). */
@@ -30,7 +30,7 @@
   private summarisedAt = -Infinity;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly feed: Pick<feeds.Feed, "publish" | "amend">,
   ) {}
 
@@ -77,7 +77,7 @@
 
   private items(reports: readonly schema.Report[]): Map<string, Buffer> {
     const items = new Map<string, Buffer>();
-    for (const report of reports) items.set(keyOf(this.marks, report.id), resolutions.bodyOf(report));
+    for (const report of reports) items.set(keyOf(this.marks, report.id), resolution.bodyOf(report));
     return items;
   }
 
--- a/src/usage/reader.ts
+++ b/src/load/reader.ts
@@ -1,14 +1,14 @@
 /** The router's side of usage (design/usage 3, 4): which topics it follows, and what it takes from them. */
 import * as feeds from "../feed/feed.js";
 import type * as mirrors from "../feed/mirror.js";
-import * as marks from "../signs/marks.js";
+import * as marks from "../hints/marks.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
-import * as interests from "./interest.js";
-import * as publishers from "./publisher.js";
+import * as log from "../runtime/log.js";
+import * as interest from "./interest.js";
+import * as publisher from "./publisher.js";
 import type * as reported from "./reported.js";
-import * as resolutions from "./resolution.js";
+import * as resolution from "./resolution.js";
 import * as summaries from "./summary.js";
 
 /** A runner whose load is read. */
@@ -39,7 +39,7 @@
 
 /** Keeps the load of the fleet's runners by what control nodes publish. Owned by the router's program. */
 export class Reader {
-  private readonly interest: interests.Interest;
+  private readonly interest: interest.Interest;
   private listVersion = 0;
   /** Estimates by summary are renewed when a summary, the list or what is followed has changed. */
   private isEstimateDue = true;
@@ -49,12 +49,12 @@
   private readonly followed = new Map<string, FollowedRegion>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly fleet: ReadFleet,
     ownRegion: string,
     private readonly onPeriod: (region: string) => void,
   ) {
-    this.interest = new interests.Interest(world, ownRegion);
+    this.interest = new interest.Interest(world, ownRegion);
   }
 
   /** A request went to a runner of the region. */
@@ -84,7 +84,7 @@
     const reports: schema.Report[] = [];
     for (const [key, body] of items) {
       const id = this.idsByKey.get(key);
-      if (id !== undefined) reports.push(resolutions.reportOf(id, body));
+      if (id !== undefined) reports.push(resolution.reportOf(id, body));
     }
     this.fleet.takeReport({ region, reports });
   }
@@ -97,7 +97,7 @@
     for (const { id } of this.fleet.all()) ids.push(id);
     this.marks.takeList(ids);
     this.idsByKey = new Map();
-    for (const id of ids) this.idsByKey.set(publishers.keyOf(this.marks, id), id);
+    for (const id of ids) this.idsByKey.set(publisher.keyOf(this.marks, id), id);
     for (const region of this.interest.regions()) {
       if (!this.followed.get(region)?.isStale) this.takeItems(region, mirror.bodies(feeds.cellTopic(region)));
     }
--- a/src/metrics/prometheus.ts
+++ b/src/metrics/prometheus.ts
@@ -5,11 +5,11 @@
 import * as nodeHttp from "node:http";
 import * as client from "prom-client";
 import * as result from "true-myth/result";
-import type * as supervisor from "../supervisor/tree.js";
-import * as listening from "../wire/listen.js";
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
-import * as vitals from "../startup/vitals.js";
+import type * as tree from "../supervisor/tree.js";
+import * as listen from "../wire/listen.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
+import * as vitals from "../runtime/vitals.js";
 
 const PREFIX = "cranewind_";
 const MAX_PORT = 65_535;
@@ -53,7 +53,7 @@
 }
 
 /** Serves the figures at the address. */
-export function metricsChild(host: string, endpoint: Endpoint): supervisor.Child {
+export function metricsChild(host: string, endpoint: Endpoint): tree.Child {
   const server = nodeHttp.createServer((incoming, outgoing) => {
     if (incoming.url !== endpoint.path) {
       outgoing.writeHead(404, { "Content-Length": 0 }).end();
@@ -67,7 +67,7 @@
   return {
     name: "metrics",
     start(): Promise<void> {
-      return listening.listen(server, `${host}:${endpoint.port}`);
+      return listen.listen(server, `${host}:${endpoint.port}`);
     },
     stop(): void {
       server.close();
--- a/src/plots/plot.ts
+++ b/src/plots/plot.ts
@@ -4,7 +4,7 @@
  */
 import type * as vega from "vega";
 import type * as vegaLite from "vega-lite";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 
 /** One point of a line. */
 export interface Series {
--- a/src/register/batch.ts
+++ b/src/register/batch.ts
@@ -7,7 +7,7 @@
  * is known to be chosen, a denial too: it was judged by that value or by one that led to it in the same change.
  */
 import * as result from "true-myth/result";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
 import type * as proposers from "./proposer.js";
@@ -28,7 +28,7 @@
   step: proposers.Step;
   until: number;
   isUrgent: boolean;
-  timer: types.Tick;
+  timer: types.Timer;
   isAnswered: boolean;
   resolve(outcome: proposers.Outcome): void;
   reject(cause: unknown): void;
@@ -43,7 +43,7 @@
   private isRunning = false;
 
   constructor(
-    private readonly clock: types.World,
+    private readonly clock: types.Clock,
     private readonly propose: Propose,
   ) {}
 
@@ -63,7 +63,7 @@
       step,
       isUrgent,
       until: this.clock.now() + withinMs,
-      timer: this.clock.after(withinMs, expire),
+      timer: this.clock.schedule(withinMs, expire),
       isAnswered: false,
       resolve,
       reject,
--- a/src/register/confirmation.ts
+++ b/src/register/confirmation.ts
@@ -22,7 +22,7 @@
 export class Confirmation {
   private readonly answers = new Map<string, Answer[]>();
 
-  constructor(protected readonly world: types.World) {}
+  constructor(protected readonly world: types.Clock) {}
 
   /** Takes a voter's answer. One that is ahead of the value counts once the value has caught up. */
   take(disk: string, answer: Answer): void {
--- a/src/register/contention.ts
+++ b/src/register/contention.ts
@@ -9,7 +9,7 @@
  */
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as world from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 import * as registers from "./value.js";
 
 /** How long a change takes, until one was measured, and the bounds on what is believed of it. */
@@ -45,7 +45,7 @@
   private ownAt: number = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly clock: types.World,
+    private readonly clock: types.Clock,
     private readonly own: string,
   ) {}
 
@@ -98,8 +98,8 @@
     const latest = Math.min(until, this.clock.now() + this.shortened(this.changeMs * MAX_WAIT_CHANGES, since));
     let isWaiting = this.isHogging() || this.isBusy();
     while (isWaiting && this.clock.now() < latest) {
-      while (this.isBusy() && this.clock.now() < latest) await world.sleep(this.clock, LISTEN_MS);
-      await world.sleep(this.clock, this.pauseMs(since));
+      while (this.isBusy() && this.clock.now() < latest) await timers.sleep(this.clock, LISTEN_MS);
+      await timers.sleep(this.clock, this.pauseMs(since));
       isWaiting = this.isBusy();
     }
   }
--- a/src/register/driver.ts
+++ b/src/register/driver.ts
@@ -41,7 +41,7 @@
   private isBusy = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly register: Register,
   ) {}
 
--- a/src/register/learner.ts
+++ b/src/register/learner.ts
@@ -3,12 +3,12 @@
 import type * as types from "../wire/types.js";
 import type * as proposers from "./proposer.js";
 import type * as roundTrips from "./round-trips.js";
-import * as rounds from "./round.js";
+import * as round from "./round.js";
 import * as registers from "./value.js";
 
 /** What the proposer at work lends. */
 export interface Teacher {
-  readonly clock: types.World;
+  readonly clock: types.Clock;
   /** The life of this process, which its ballots name. */
   readonly life: string;
   readonly reach: proposers.Reach;
@@ -29,10 +29,10 @@
   return synced.granted.size > 0;
 }
 
-async function askOne({ clock, roundTrips }: Teacher, voter: schema.Voter, send: rounds.Send): Promise<rounds.Votes> {
-  const votes = new rounds.Votes();
+async function askOne({ clock, roundTrips }: Teacher, voter: schema.Voter, send: round.Send): Promise<round.Votes> {
+  const votes = new round.Votes();
   const isEnough = (): boolean => votes.granted.size > 0;
   const isPossible = (disks: ReadonlySet<string>): boolean => disks.size > 0;
-  await rounds.run(clock, { voters: [voter], send, votes, withinMs: rounds.JOINER_MS, roundTrips, isEnough, isPossible });
+  await round.run(clock, { voters: [voter], send, votes, withinMs: round.JOINER_MS, roundTrips, isEnough, isPossible });
   return votes;
 }
