--- a/src/register/proposer.ts
+++ b/src/register/proposer.ts
@@ -1,15 +1,15 @@
 // Proposer of the register: changes the value in two phases at a majority of the voters, with no log and no leader.
 // Every control node runs one (design 5.2). Why it is safe: hardening 0.
 import * as result from "true-myth/result";
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as world from "../wire/world.js";
-import * as contentions from "./contention.js";
-import * as learners from "./learner.js";
+import * as timers from "../runtime/timers.js";
+import * as contention from "./contention.js";
+import * as learner from "./learner.js";
 import * as roundTrips from "./round-trips.js";
-import * as rounds from "./round.js";
+import * as round from "./round.js";
 import * as registers from "./value.js";
 
 /** Reaches one voter; null when it stays silent. */
@@ -38,21 +38,21 @@
   private last: Promise<unknown> = Promise.resolve();
   private readonly roundTrips = new roundTrips.RoundTrips();
   /** What other proposers do, as this node's voter sees it. */
-  readonly contention: contentions.Contention;
+  readonly contention: contention.Contention;
   /** The newest value known to be chosen. */
   private known: schema.Value;
   /** An accepted value newer than `known`, not known to be chosen: its voters are asked as well, nothing else follows from it. */
   private hint: schema.Value | null = null;
 
   constructor(
-    private readonly clock: types.World,
+    private readonly clock: types.Clock,
     private readonly life: string,
     private readonly reach: Reach,
     first: schema.Value,
     private readonly onChosen: (value: schema.Value) => void,
   ) {
     this.known = first;
-    this.contention = new contentions.Contention(clock, life);
+    this.contention = new contention.Contention(clock, life);
   }
 
   /** Takes a value that was chosen, as heard from another node. */
@@ -87,7 +87,7 @@
   /** Has a disk without a vote store the newest chosen value: see `learners.teach`. */
   teach(joiner: schema.Voter): Promise<boolean> {
     const { clock, life, reach, roundTrips } = this;
-    return learners.teach({ clock, life, reach, roundTrips }, joiner, this.known);
+    return learner.teach({ clock, life, reach, roundTrips }, joiner, this.known);
   }
 
   private async attempt(step: Step, until: number, isPatient: () => boolean): Promise<Outcome> {
@@ -102,7 +102,7 @@
         return outcome;
       }
       log.count("register.again");
-      await world.sleep(this.clock, pause * (0.2 + 1.6 * this.clock.random()));
+      await timers.sleep(this.clock, pause * (0.2 + 1.6 * this.clock.random()));
       const isKeptApart = isPatient() && this.contention.isActive();
       pause = Math.min(isKeptApart ? MAX_CONTENDED_PAUSE_MS : MAX_PAUSE_MS, pause * 2);
     }
@@ -129,7 +129,7 @@
   }
 
   /** The newest value that the promises show, if they come from a quorum of that very value's voters. */
-  private readFrom(promises: rounds.Votes): schema.Value | null {
+  private readFrom(promises: round.Votes): schema.Value | null {
     if (promises.newest) this.learnAccepted(promises.newest.value);
     const read = promises.newest ? promises.newest.value : this.firstOnly();
     if (!read || !registers.isQuorum(read, promises.granted)) return null;
@@ -142,7 +142,7 @@
   }
 
   /** Whether a quorum has accepted the value at one ballot, and no voter that replied shows another that should be overwritten. */
-  private isStanding(read: schema.Value, promises: rounds.Votes): boolean {
+  private isStanding(read: schema.Value, promises: round.Votes): boolean {
     if (!registers.isQuorum(read, promises.holders)) return false;
     return !promises.shown.some(isStray);
     function isStray(value: schema.Value): boolean {
@@ -162,12 +162,12 @@
     this.onChosen(chosen);
   }
 
-  private async prepare(ballot: schema.Ballot): Promise<rounds.Votes> {
+  private async prepare(ballot: schema.Ballot): Promise<round.Votes> {
     const { reach } = this;
-    const votes = new rounds.Votes();
+    const votes = new round.Votes();
     const isEnough = this.isRead.bind(this, votes);
     const isPossible = this.isReadable.bind(this, votes);
-    await rounds.run(this.clock, {
+    await round.run(this.clock, {
       voters: this.targets(this.known).values(),
       send,
       votes,
@@ -182,13 +182,13 @@
     }
   }
 
-  private isRead(votes: rounds.Votes): boolean {
+  private isRead(votes: round.Votes): boolean {
     const read = votes.newest ? votes.newest.value : this.firstOnly();
     return read !== null && registers.isQuorum(read, votes.granted);
   }
 
   /** Voters still to reply may show another set: the phase is in vain once none of those known can come together. */
-  private isReadable(votes: rounds.Votes, disks: ReadonlySet<string>): boolean {
+  private isReadable(votes: round.Votes, disks: ReadonlySet<string>): boolean {
     const sets = [this.known, this.hint, votes.newest ? votes.newest.value : null];
     return sets.some(isPossible);
     function isPossible(value: schema.Value | null): boolean {
@@ -200,19 +200,19 @@
   private async accept(ballot: schema.Ballot, read: schema.Value, proposed: schema.Value): Promise<boolean> {
     const { reach, clock } = this;
     const isSetChosen = proposed.former.length === 0 && (read.former.length === 0 || this.isSetChosen(read));
-    const votes = new rounds.Votes();
+    const votes = new round.Votes();
     const roundTrips = proposed.config.length <= MAX_RESENT_BYTES ? this.roundTrips : undefined;
     const others = this.targets(read, proposed);
     const joiners = registers.joinersOf(read, proposed);
     for (const voter of joiners) others.delete(voter.disk);
     // A former voter accepts new voters only once each joiner has them on its synced disk.
     if (joiners.length > 0) {
-      const withinMs = rounds.JOINER_MS;
-      await rounds.run(clock, { voters: joiners, send, votes, withinMs, roundTrips, isEnough: hasJoiners, isPossible: areAllIn });
+      const withinMs = round.JOINER_MS;
+      await round.run(clock, { voters: joiners, send, votes, withinMs, roundTrips, isEnough: hasJoiners, isPossible: areAllIn });
       this.take(votes);
       if (!hasJoiners()) return false;
     }
-    await rounds.run(clock, { voters: others.values(), send, votes, roundTrips, isThorough: true, isEnough, isPossible });
+    await round.run(clock, { voters: others.values(), send, votes, roundTrips, isThorough: true, isEnough, isPossible });
     this.take(votes);
     return isEnough();
     function send(voter: schema.Voter): Promise<schema.Vote | null> {
@@ -237,7 +237,7 @@
     return registers.allVoters(...(this.hint ? [this.hint] : []), ...values);
   }
 
-  private take(votes: rounds.Votes): void {
+  private take(votes: round.Votes): void {
     this.highestBallot = Math.max(this.highestBallot, votes.highestDenied);
     for (const value of votes.shown) this.learnAccepted(value);
   }
--- a/src/register/round.ts
+++ b/src/register/round.ts
@@ -1,7 +1,7 @@
 // One phase of a round: sends a request to a set of voters and collects their votes (design 5.2).
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as roundTrips from "./round-trips.js";
 import * as registers from "./value.js";
 
@@ -68,7 +68,7 @@
 }
 
 /** Resolves once the votes suffice, once they can't any more, or after the phase's time. Later replies are dropped. */
-export function run(clock: types.World, phase: Phase): Promise<void> {
+export function run(clock: types.Clock, phase: Phase): Promise<void> {
   return new Promise(function start(resolve) {
     new PhaseRun(clock, phase, resolve).start();
   });
@@ -80,7 +80,7 @@
   /** Requests sent, and those of them that may still be replied to. */
   sends: number;
   outstanding: number;
-  resend: types.Tick | null;
+  resend: types.Timer | null;
 }
 
 /**
@@ -90,15 +90,15 @@
  */
 class PhaseRun {
   private readonly open = new Map<string, Asked>();
-  private readonly timer: types.Tick;
+  private readonly timer: types.Timer;
   private isOver = false;
 
   constructor(
-    private readonly clock: types.World,
+    private readonly clock: types.Clock,
     private readonly phase: Phase,
     private readonly resolve: () => void,
   ) {
-    this.timer = clock.after(phase.withinMs ?? PHASE_MS, this.end.bind(this));
+    this.timer = clock.schedule(phase.withinMs ?? PHASE_MS, this.end.bind(this));
   }
 
   start(): void {
@@ -120,7 +120,7 @@
     const { roundTrips } = this.phase;
     if (!roundTrips || asked.sends >= MAX_SENDS) return;
     const waitMs = roundTrips.resendMs(asked.voter.disk) * RESEND_GROWTH ** (asked.sends - 1);
-    asked.resend = this.clock.after(waitMs, this.askAgain.bind(this, asked));
+    asked.resend = this.clock.schedule(waitMs, this.askAgain.bind(this, asked));
   }
 
   private askAgain(asked: Asked): void {
--- a/src/register/voter.ts
+++ b/src/register/voter.ts
@@ -2,7 +2,7 @@
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as value from "./value.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 
 /** Where the voter keeps its record; the ring in use, a simulated disk in tests. */
 export interface Keep {
--- a/src/router/account.ts
+++ b/src/router/account.ts
@@ -1,12 +1,12 @@
 // A router's account of itself for `status` (design 9.1): counters first.
-import * as log from "../startup/log.js";
-import * as vitals from "../startup/vitals.js";
+import * as log from "../runtime/log.js";
+import * as vitals from "../runtime/vitals.js";
 import * as counts from "../wire/counts.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
-import type * as shares from "../shares/shares.js";
+import type * as shares from "../limits/shares.js";
 import type * as choosers from "./chooser.js";
-import type * as serveGates from "./serve-gate.js";
+import type * as serveGate from "./serve-gate.js";
 import type * as fleets from "./runners/fleet.js";
 
 /** What a router goes by now. */
@@ -20,7 +20,7 @@
 export interface Accountable {
   node: schema.NodeInfo;
   following: string | null;
-  configuration: serveGates.GateStatus;
+  configuration: serveGate.GateStatus;
   share: shares.Shares;
   chooser: choosers.Chooser;
   fleet: fleets.Fleet;
--- a/src/router/attempt.ts
+++ b/src/router/attempt.ts
@@ -2,10 +2,10 @@
 // back (design 7.8).
 import type * as undici from "undici";
 import type * as tickets from "../admission/ticket.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as http from "../wire/http.js";
 import * as types from "../wire/types.js";
-import * as answers from "./answer.js";
+import * as answer from "./answer.js";
 import type * as connections from "./runners/connections.js";
 import type * as fleets from "./runners/fleet.js";
 import * as idle from "./runners/idle.js";
@@ -25,9 +25,9 @@
 /** Hears of one attempt. */
 export interface Owner {
   /** False: the head is not taken, and the attempt is over as broken. */
-  onHead(attempt: Attempt, head: answers.Head): boolean;
+  onHead(attempt: Attempt, head: answer.Head): boolean;
   onPiece(attempt: Attempt, chunk: Buffer): boolean;
-  onEnd(attempt: Attempt, ending: Ending, head: answers.Head | null): void;
+  onEnd(attempt: Attempt, ending: Ending, head: answer.Head | null): void;
 }
 
 /** A request as one attempt sends it. */
@@ -47,9 +47,9 @@
   isSent = false;
   isOver = false;
   receivedAt = 0;
-  head: answers.Head | null = null;
+  head: answer.Head | null = null;
   isPassing = false;
-  private connectTimer: types.Tick | null = null;
+  private connectTimer: types.Timer | null = null;
   private startedAt = 0;
   private tokens = 0;
   private pieces = 0;
@@ -61,7 +61,7 @@
   private resumeRead: (() => void) | null = null;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     readonly runner: fleets.Runner,
     private readonly connection: connections.Connection,
     private readonly owner: Owner,
@@ -71,7 +71,7 @@
   /** `tokens`: of its prompt, those that the runner has to read. */
   start(tokens = 0): void {
     this.isFirst = this.connection.isFresh;
-    if (this.isFirst) this.connectTimer = this.world.after(CONNECT_MS, this.tooLate.bind(this));
+    if (this.isFirst) this.connectTimer = this.world.schedule(CONNECT_MS, this.tooLate.bind(this));
     this.runner.inflight += 1;
     this.receivedAt = this.startedAt = this.world.now();
     this.tokens = tokens;
@@ -115,14 +115,14 @@
     this.received();
     this.resumeRead = resume;
     const head = { status, raw, headers: http.headerMap(raw) };
-    if (!answers.isOf(head, this.what.requestId)) {
+    if (!answer.isOf(head, this.what.requestId)) {
       // An answer too many, of an earlier request, or no runner's answer: nothing on this connection can be trusted.
       log.count("router.foreign_answer");
       this.spoiled("broken");
       return true;
     }
     this.head = head;
-    if (answers.isNotExecuted(head)) {
+    if (answer.isNotExecuted(head)) {
       this.isHandedBack = true;
       return true;
     }
@@ -194,7 +194,7 @@
 
   /** A body that ends with its connection is whole only if that ended in order (RFC 9112, 8). */
   private isCutOff(): boolean {
-    return this.connection.hasFailed && this.head !== null && answers.endsWithConnection(this.head, this.what.method);
+    return this.connection.hasFailed && this.head !== null && answer.endsWithConnection(this.head, this.what.method);
   }
 
   private judge(): void {
--- a/src/router/chooser.ts
+++ b/src/router/chooser.ts
@@ -3,8 +3,8 @@
 import * as returns from "../admission/returns.js";
 import type * as tickets from "../admission/ticket.js";
 import * as routes from "../config/routes.js";
-import * as log from "../startup/log.js";
-import * as shares from "../shares/shares.js";
+import * as log from "../runtime/log.js";
+import * as shares from "../limits/shares.js";
 import * as types from "../wire/types.js";
 import type * as connections from "./runners/connections.js";
 import type * as fleets from "./runners/fleet.js";
@@ -12,9 +12,9 @@
 import * as admitting from "./policies/admission.js";
 import * as cells from "./policies/cells.js";
 import * as homes from "./policies/homes.js";
-import * as runners from "./policies/runner.js";
+import * as runner from "./policies/runner.js";
 import type * as readings from "./runners/readings.js";
-import type * as requests from "./request.js";
+import type * as request from "./request.js";
 import type * as rotations from "./runners/rotation.js";
 
 /** Where a request goes, and by which connection. */
@@ -42,7 +42,7 @@
   readonly admission: admissions.Admission;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     fleet: fleets.Fleet,
     rotation: rotations.Rotation,
     private readonly share: shares.Shares,
@@ -53,7 +53,7 @@
     this.chain = [
       new homes.HomesPolicy(fleet, rotation),
       new cells.CellPolicy(ownRegion, fleet.summaries),
-      new runners.RunnerPolicy(known),
+      new runner.RunnerPolicy(known),
       new admitting.AdmissionPolicy(this.admission),
     ];
     function routers(): number {
@@ -62,12 +62,12 @@
   }
 
   /** Requests of clients earn further tries of their service; items of batches take and earn none. */
-  countRequest(request: requests.Request): void {
+  countRequest(request: request.Request): void {
     if (!request.isBatch) this.share.countRequest(request.service);
   }
 
   /** Runners that one try may be sent to. */
-  mostSends(request: requests.Request): number {
+  mostSends(request: request.Request): number {
     return request.isBatch ? 1 : Math.max(1, request.entry.route.max_attempts ?? 1);
   }
 
@@ -80,7 +80,7 @@
     return Math.max(MIN_PATIENCE_MS, usual);
   }
 
-  choose(request: requests.Request, tried: ReadonlySet<string>, sends: number): Choice | plans.Rejection {
+  choose(request: request.Request, tried: ReadonlySet<string>, sends: number): Choice | plans.Rejection {
     const shared = request.parts.slice(0, -1);
     let sharedTokens = 0;
     for (const part of shared) sharedTokens += part.tokens;
--- a/src/router/client/client-reply.ts
+++ b/src/router/client/client-reply.ts
@@ -1,7 +1,7 @@
 // The answer to one client: its head, its body as it arrives from a runner, and its end (design 7.8, 7.9). An answer
 // that is not whole never looks complete: its connection is destroyed, so nothing else is ever sent over it.
 import type * as nodeHttp from "node:http";
-import type * as answers from "../answer.js";
+import type * as answer from "../answer.js";
 import * as events from "./events.js";
 import * as headers from "../headers.js";
 import * as replies from "./replies.js";
@@ -23,7 +23,7 @@
   }
 
   /** Sends on the head of a runner's answer. A resumable body is passed on in whole events. */
-  begin(head: answers.Head, isResumable: boolean, onDrain: () => void): void {
+  begin(head: answer.Head, isResumable: boolean, onDrain: () => void): void {
     const raw = headers.forClient(head.raw, head.headers.get("connection"));
     if (this.isLeaving()) raw.push("Connection", "close");
     if (isResumable) this.cutter = new events.EventCutter();
--- a/src/router/client/pending.ts
+++ b/src/router/client/pending.ts
@@ -20,7 +20,7 @@
 
   /** `most`: how many may wait at once. */
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly most: number,
   ) {}
 
@@ -36,7 +36,7 @@
       outcomes.late();
       return;
     }
-    const tick = this.world.after(leftMs, late);
+    const tick = this.world.schedule(leftMs, late);
     waiting.add(go);
     outgoing.once("close", gone);
     function late(): void {
--- a/src/router/client/proper.ts
+++ b/src/router/client/proper.ts
@@ -1,7 +1,7 @@
 // What is no proper request, beyond what the parser denies, is told before its body is read (design/edge 7.12).
 import type * as nodeHttp from "node:http";
 import type * as net from "node:net";
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 import * as names from "../../wire/names.js";
 
 /** Why a request is no proper HTTP. */
--- a/src/router/client/server.ts
+++ b/src/router/client/server.ts
@@ -2,17 +2,17 @@
 import * as nodeHttp from "node:http";
 import type * as net from "node:net";
 import type * as check from "../../config/check.js";
-import * as log from "../../startup/log.js";
-import * as listening from "../../wire/listen.js";
+import * as log from "../../runtime/log.js";
+import * as listen from "../../wire/listen.js";
 import * as types from "../../wire/types.js";
 import * as names from "../../wire/names.js";
 import type * as batches from "../batches.js";
-import * as bodies from "./body.js";
-import type * as contexts from "../context.js";
-import * as pendings from "./pending.js";
+import * as body from "./body.js";
+import type * as context from "../context.js";
+import * as pending from "./pending.js";
 import * as proper from "./proper.js";
 import * as replies from "./replies.js";
-import * as requests from "../request.js";
+import * as request from "../request.js";
 import type * as tenancies from "../tenancy.js";
 import * as transactions from "../transaction.js";
 
@@ -38,22 +38,22 @@
 export class RouterServer {
   private readonly server: nodeHttp.Server;
   private readonly active = new Set<transactions.Transaction>();
-  private readonly pending: pendings.PendingRequests;
+  private readonly pending: pending.PendingRequests;
   private limits = DEFAULTS;
-  private readonly held: bodies.HeldBytes;
+  private readonly held: body.HeldBytes;
   isLeaving = false;
 
   constructor(
-    private readonly world: types.World,
-    private readonly chooser: contexts.Context["chooser"],
+    private readonly world: types.Clock,
+    private readonly chooser: context.Context["chooser"],
     private readonly isReady: () => boolean,
-    private readonly sending: contexts.Context["sending"],
+    private readonly sending: context.Context["sending"],
     machine: Machine,
     private readonly batches: batches.RouterBatches,
     private readonly tenancy: tenancies.Tenancy,
   ) {
-    this.held = new bodies.HeldBytes(machine.memory_mb * 1024 * 1024 * HELD_SHARE);
-    this.pending = new pendings.PendingRequests(world, Math.floor(machine.memory_mb * PENDING_PER_MB));
+    this.held = new body.HeldBytes(machine.memory_mb * 1024 * 1024 * HELD_SHARE);
+    this.pending = new pending.PendingRequests(world, Math.floor(machine.memory_mb * PENDING_PER_MB));
     this.server = nodeHttp.createServer(
       { connectionsCheckingInterval: CHECK_MS, maxHeaderSize: DEFAULTS.max_header_bytes, requireHostHeader: false },
       this.take.bind(this),
@@ -78,12 +78,12 @@
   }
 
   listen(address: string): Promise<void> {
-    return listening.listen(this.server, address);
+    return listen.listen(this.server, address);
   }
 
   /** The port in use, also when 0 was asked for. */
   get port(): number {
-    return types.portOf(listening.bound(this.server));
+    return types.portOf(listen.bound(this.server));
   }
 
   close(): void {
@@ -119,9 +119,9 @@
 
   private read(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number): void {
     const entry = this.chooser.table?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    const timer = this.world.after(requests.mostHeldMs(incoming, entry), this.denyTooSlow.bind(this, incoming, outgoing));
+    const timer = this.world.schedule(request.mostHeldMs(incoming, entry), this.denyTooSlow.bind(this, incoming, outgoing));
     outgoing.once("close", () => timer.stop());
-    bodies.readBody(incoming, this.limits.max_body_bytes, this.held, {
+    body.readBody(incoming, this.limits.max_body_bytes, this.held, {
       whole: (body) => {
         timer.stop();
         if (!outgoing.headersSent) this.begin(incoming, outgoing, arrivedAt, body);
@@ -155,7 +155,7 @@
       this.deny(outgoing, 404, "no route has this host and path; see Config.Describe for the routes", null, false);
       return;
     }
-    const requestId = requests.idOf(incoming);
+    const requestId = request.idOf(incoming);
     if (requestId === "") {
       this.deny(outgoing, 400, "X-Cranewind-Request-Id is missing; send one id a try", null, false);
       return;
@@ -167,12 +167,12 @@
     }
     const isBatch = this.batches.isItem(incoming.headers[names.HEADER.batchPass]);
     if (!isBatch) this.batches.countArrival(entry.route.name);
-    this.admit(requests.requestOf(incoming, { requestId, entry, tenant, body, arrivedAt, isBatch }), incoming, outgoing);
+    this.admit(request.requestOf(incoming, { requestId, entry, tenant, body, arrivedAt, isBatch }), incoming, outgoing);
   }
 
   private wait(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number, body: Buffer | null): void {
     const entry = this.chooser.table?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    this.pending.add(outgoing, arrivedAt, requests.mostHeldMs(incoming, entry), {
+    this.pending.add(outgoing, arrivedAt, request.mostHeldMs(incoming, entry), {
       go: () => this.begin(incoming, outgoing, arrivedAt, body),
       late: () => this.deny(outgoing, 503, "this node has no configuration yet; come back shortly", 0.3, true),
     });
@@ -184,7 +184,7 @@
   }
 
   /** Waits for a unit of the tenant's quota where there is a limit; a client that leaves meanwhile takes none. */
-  private admit(request: requests.Request, incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
+  private admit(request: request.Request, incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
     const { tenancy } = this;
     const claim = tenancy.admit(
       request.tenant,
@@ -198,7 +198,7 @@
   }
 
   private run(
-    request: requests.Request,
+    request: request.Request,
     incoming: nodeHttp.IncomingMessage,
     outgoing: nodeHttp.ServerResponse,
     admitted: tenancies.Admitted,
--- a/src/router/context.ts
+++ b/src/router/context.ts
@@ -1,16 +1,16 @@
 // What one transaction needs from around it (design 7.1).
 import type * as types from "../wire/types.js";
 import type * as choosers from "./chooser.js";
-import type * as requests from "./request.js";
+import type * as request from "./request.js";
 
 /** Made once for each transaction. */
 export interface Context {
-  world: types.World;
+  world: types.Clock;
   chooser: choosers.Chooser;
   /** Called once, when the transaction is done. */
   finished(): void;
   /** A prompt is about to be read by this runner: the tokens that it has to read. The other routers learn of it. */
-  sending(request: requests.Request, runner: types.RunnerId): number;
+  sending(request: request.Request, runner: types.RunnerId): number;
   /** Whether each answer is the last on its connection. */
   readonly isLeaving: () => boolean;
 }
--- a/src/router/leases.ts
+++ b/src/router/leases.ts
@@ -2,8 +2,8 @@
 import * as calls from "../wire/calls.js";
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
-import type * as dialers from "../feed/dialer.js";
-import type * as shares from "../shares/shares.js";
+import type * as dialer from "../feed/dialer.js";
+import type * as shares from "../limits/shares.js";
 
 /** With nothing to tell, an owner is asked so often whether it grants. */
 const QUIET_MS = 900;
@@ -31,9 +31,9 @@
   private askedAt = -Infinity;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly life: string,
-    private readonly dial: dialers.Dialer,
+    private readonly dial: dialer.Dialer,
     private readonly share: shares.Shares,
   ) {}
 
@@ -61,11 +61,11 @@
   }
 
   /** One that was not asked yet may be an owner. */
-  private isOwner(control: dialers.Control): boolean {
+  private isOwner(control: dialer.Control): boolean {
     return this.sources.get(control.node.life)?.isGranting ?? true;
   }
 
-  private ask(control: dialers.Control, needs: leaseSchema.Need[], now: number): void {
+  private ask(control: dialer.Control, needs: leaseSchema.Need[], now: number): void {
     const { life } = control.node;
     const done = this.share.held.done(life);
     const source = this.sources.get(life) ?? { isGranting: true, askedAt: -Infinity };
@@ -81,10 +81,10 @@
   }
 }
 
-function lifeOf(control: dialers.Control): string {
+function lifeOf(control: dialer.Control): string {
   return control.node.life;
 }
 
-function byAddress(left: dialers.Control, right: dialers.Control): number {
+function byAddress(left: dialer.Control, right: dialer.Control): number {
   return left.address < right.address ? -1 : 1;
 }
--- a/src/router/plan.ts
+++ b/src/router/plan.ts
@@ -1,6 +1,6 @@
 // What the chain of policies works on, and their one interface (design 7.2).
 import type * as routes from "../config/routes.js";
-import type * as tenants from "../tenants/tenant.js";
+import type * as tenant from "../tenants/tenant.js";
 import type * as types from "../wire/types.js";
 import type * as fleet from "./runners/fleet.js";
 
@@ -25,7 +25,7 @@
   readonly isBatch: boolean;
   readonly entry: routes.RouteEntry;
   /** Whose request it is; null where no key is needed. */
-  readonly tenant: tenants.Tenant | null;
+  readonly tenant: tenant.Tenant | null;
   readonly service: string;
   /** The parts of the prompt that others share: all but the last. */
   readonly shared: readonly Part[];
--- a/src/router/policies/cells.ts
+++ b/src/router/policies/cells.ts
@@ -1,7 +1,7 @@
 // Cell selection (design 7.3): deterministic by the key of the kept prompt where reading it again is dear,
 // else priority order: the own region, then the others in one fixed order.
-import * as shares from "../../shares/shares.js";
-import * as summaries from "../../usage/summary.js";
+import * as shares from "../../limits/shares.js";
+import * as summary from "../../load/summary.js";
 import type * as fleets from "../runners/fleet.js";
 import * as plans from "../plan.js";
 import * as rotations from "../runners/rotation.js";
@@ -69,7 +69,7 @@
   private readonly states = new Map<string, CellState>();
   constructor(
     private readonly ownRegion: string,
-    private readonly known = new summaries.Summaries(),
+    private readonly known = new summary.Summaries(),
   ) {}
 
   apply(plan: plans.Plan): plans.Rejection | null {
--- a/src/router/policies/runner.ts
+++ b/src/router/policies/runner.ts
@@ -1,6 +1,6 @@
 // Runner selection (design 7.4): each runner is weighed by what the request would wait for there: readings
 // ahead of it, parts of its prompt to read, its batch, the way to another cell. Ties go by the prompt's key.
-import * as shares from "../../shares/shares.js";
+import * as shares from "../../limits/shares.js";
 import type * as fleets from "../runners/fleet.js";
 import * as plans from "../plan.js";
 import type * as readings from "../runners/readings.js";
--- a/src/router/program.ts
+++ b/src/router/program.ts
@@ -4,30 +4,30 @@
 import * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
 import * as parts from "../config/parts.js";
 import * as cuts from "../feed/cuts.js";
-import * as dialers from "../feed/dialer.js";
+import * as dialer from "../feed/dialer.js";
 import * as feeds from "../feed/feed.js";
-import * as selectors from "../feed/session-selector.js";
+import * as sessionSelector from "../feed/session-selector.js";
 import * as followers from "../feed/follower.js";
 import type * as mirrors from "../feed/mirror.js";
-import * as shares from "../shares/shares.js";
-import * as supervisor from "../supervisor/tree.js";
-import * as usages from "../usage/reader.js";
-import * as accounts from "./account.js";
+import * as shares from "../limits/shares.js";
+import * as tree from "../supervisor/tree.js";
+import * as reader from "../load/reader.js";
+import * as account from "./account.js";
 import * as batches from "./batches.js";
 import * as choosers from "./chooser.js";
 import * as fleets from "./runners/fleet.js";
 import * as leases from "./leases.js";
 import * as leaving from "./leaving.js";
 import * as readiness from "./readiness.js";
-import * as prompts from "./runners/prompt-readings.js";
+import * as promptReadings from "./runners/prompt-readings.js";
 import * as readings from "./runners/readings.js";
 import * as rotations from "./runners/rotation.js";
 import * as servers from "./client/server.js";
-import * as serveGates from "./serve-gate.js";
+import * as serveGate from "./serve-gate.js";
 import * as tenancies from "./tenancy.js";
 import * as topics from "./topics.js";
 
@@ -40,8 +40,8 @@
 export class RouterProgram implements followers.Taker {
   private readonly life = crypto.randomBytes(6).toString("hex");
   private readonly handlers = new link.Handlers();
-  private readonly dial: dialers.Dialer;
-  private readonly gate: serveGates.ServeGate;
+  private readonly dial: dialer.Dialer;
+  private readonly gate: serveGate.ServeGate;
   private readonly follower: followers.Follower;
   private readonly fleet: fleets.Fleet;
   private readonly rotation: rotations.Rotation;
@@ -49,29 +49,29 @@
   private readonly config = new parts.ConfigParts();
   private readonly borrower: leases.Borrower;
   private readonly known = new readings.Readings();
-  readonly usage: usages.Reader;
-  private readonly prompts: prompts.PromptReadings;
+  readonly usage: reader.Reader;
+  private readonly prompts: promptReadings.PromptReadings;
   private readonly chooser: choosers.Chooser;
   private readonly server: servers.RouterServer;
   private readonly batches: batches.RouterBatches;
   private readonly tenancy: tenancies.Tenancy;
   private epoch = types.NO_EPOCH;
-  readonly root: supervisor.Supervisor;
+  readonly root: tree.Supervisor;
 
   constructor(
-    private readonly clock: types.World,
+    private readonly clock: types.Clock,
     private startup: settings.Settings,
   ) {
     this.fleet = new fleets.Fleet(clock, new Map(Object.entries(startup.zones)));
     this.rotation = new rotations.Rotation(clock);
     this.share = new shares.Shares(clock, startup.bounds);
     this.chooser = new choosers.Chooser(clock, this.fleet, this.rotation, this.share, startup.region, this.known);
-    this.usage = new usages.Reader(clock, this.fleet, startup.region, this.reported.bind(this));
-    this.prompts = new prompts.PromptReadings(clock, this.fleet, this.known, this.usage, this.tellSigns.bind(this));
+    this.usage = new reader.Reader(clock, this.fleet, startup.region, this.reported.bind(this));
+    this.prompts = new promptReadings.PromptReadings(clock, this.fleet, this.known, this.usage, this.tellSigns.bind(this));
     const sending = this.prompts.sending.bind(this.prompts);
-    const selector = new selectors.SessionSelector(clock, { name: startup.node_name, region: startup.region });
-    this.dial = new dialers.Dialer(clock, "", this.handlers, this.describe.bind(this), link.SILENT_MS, selector);
-    this.gate = new serveGates.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, this.opened.bind(this));
+    const selector = new sessionSelector.SessionSelector(clock, { name: startup.node_name, region: startup.region });
+    this.dial = new dialer.Dialer(clock, "", this.handlers, this.describe.bind(this), link.SILENT_MS, selector);
+    this.gate = new serveGate.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, this.opened.bind(this));
     this.dial.on("beat", this.judgeStart.bind(this));
     this.batches = new batches.RouterBatches(this.life, this.known, this.chooser.admission);
     this.batches.register(this.handlers);
@@ -84,7 +84,7 @@
     this.dial.register(this.handlers);
     this.prompts.signSender.register(this.handlers);
     this.chooser.admission.isOn = startup.admission === "on";
-    this.root = new supervisor.Supervisor("router", clock, []);
+    this.root = new tree.Supervisor("router", clock, []);
     this.plan();
   }
 
@@ -215,7 +215,7 @@
   }
 
   private status(): unknown {
-    return accounts.account({
+    return account.account({
       node: this.describe(),
       following: this.standing().following,
       configuration: this.gate.status(),
@@ -227,7 +227,7 @@
   }
 
   /** What it goes by now, for watchers in the same process (docs/experiment.md). */
-  standing(): accounts.Standing {
+  standing(): account.Standing {
     return { epoch: this.epoch, revision: this.config.revision, following: this.follower.main?.node.name ?? null };
   }
 
--- a/src/router/readiness.ts
+++ b/src/router/readiness.ts
@@ -1,10 +1,10 @@
 // A router's answers to the platform's checks and to its operators: ready or not, and its own account (design 9.1).
 import * as nodeHttp from "node:http";
-import * as listening from "../wire/listen.js";
-import type * as supervisor from "../supervisor/tree.js";
+import * as listen from "../wire/listen.js";
+import type * as tree from "../supervisor/tree.js";
 
 /** Answers the platform's checks and `status`. */
-export function readinessChild(address: string, isReady: () => boolean, status: () => unknown): supervisor.Child {
+export function readinessChild(address: string, isReady: () => boolean, status: () => unknown): tree.Child {
   const server = nodeHttp.createServer(reply);
   function reply(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
     if (incoming.url === "/-/ready") outgoing.writeHead(isReady() ? 200 : 503, { "Content-Length": 0 }).end();
@@ -14,7 +14,7 @@
   return {
     name: "readiness",
     start(): Promise<void> {
-      return listening.listen(server, address);
+      return listen.listen(server, address);
     },
     stop(): void {
       server.close();
--- a/src/router/request.ts
+++ b/src/router/request.ts
@@ -2,9 +2,9 @@
 import type * as nodeHttp from "node:http";
 import type * as tickets from "../admission/ticket.js";
 import * as routes from "../config/routes.js";
-import * as shares from "../shares/shares.js";
+import * as shares from "../limits/shares.js";
 import * as names from "../wire/names.js";
-import type * as tenants from "../tenants/tenant.js";
+import type * as tenant from "../tenants/tenant.js";
 import * as types from "../wire/types.js";
 import type * as attempts from "./attempt.js";
 import * as headers from "./headers.js";
@@ -20,7 +20,7 @@
   requestId: types.RequestId;
   entry: routes.RouteEntry;
   /** Whose request it is; null where no key is needed. */
-  tenant: tenants.Tenant | null;
+  tenant: tenant.Tenant | null;
   service: string;
   /** 0 is the most urgent. */
   rank: number;
@@ -54,7 +54,7 @@
 export interface Received {
   requestId: types.RequestId;
   entry: routes.RouteEntry;
-  tenant: tenants.Tenant | null;
+  tenant: tenant.Tenant | null;
   body: Buffer | null;
   arrivedAt: number;
   isBatch: boolean;
--- a/src/router/runners/cohort.ts
+++ b/src/router/runners/cohort.ts
@@ -1,6 +1,6 @@
 // The runners of one service in one cell, compared with each other: what most of them show is no fault of one
 // (design/status 4, 5).
-import * as decays from "./decaying.js";
+import * as decaying from "./decaying.js";
 import type * as health from "./health.js";
 
 /** At most this part of a cohort is ejected by outcomes, and never the last one. */
@@ -43,8 +43,8 @@
 /** The runners that one runner is compared with. */
 export class Cohort {
   private readonly medians = new Map<string, Median>();
-  private readonly score = new decays.Decaying(HALF_LIFE_MS);
-  private readonly sent = new decays.Decaying(HALF_LIFE_MS);
+  private readonly score = new decaying.Decaying(HALF_LIFE_MS);
+  private readonly sent = new decaying.Decaying(HALF_LIFE_MS);
   private size = 0;
   private ejected = 0;
   private suspected = 0;
--- a/src/router/runners/fleet.ts
+++ b/src/router/runners/fleet.ts
@@ -1,10 +1,10 @@
 // The runners as this router sees them: the pushed list and reports, and its own signs (design 7.4).
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as summaries from "../../usage/summary.js";
+import * as summary from "../../load/summary.js";
 import * as cohorts from "./cohort.js";
 import * as connections from "./connections.js";
-import * as departures from "./gone.js";
+import * as gone from "./gone.js";
 import * as idle from "./idle.js";
 import * as runners from "./runner.js";
 
@@ -13,17 +13,17 @@
 /** All runners that one router knows. */
 export class Fleet {
   private readonly runners = new Map<string, runners.Runner>();
-  private readonly gone = new departures.GoneRunners();
+  private readonly gone = new gone.GoneRunners();
   private readonly byService = new Map<string, runners.Runner[]>();
   private readonly byRegion = new Map<string, Set<runners.Runner>>();
-  readonly summaries = new summaries.Summaries();
+  readonly summaries = new summary.Summaries();
   /** Grows with each runner that comes or goes. */
   listing = 0;
   private readonly limits: idle.IdleLimits;
   readonly cohorts = new cohorts.Cohorts();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly regionOf: ReadonlyMap<string, string>,
   ) {
     this.limits = new idle.IdleLimits(world, connections.IDLE_MS);
--- a/src/router/runners/idle.ts
+++ b/src/router/runners/idle.ts
@@ -1,6 +1,6 @@
 // How long a kept connection may have been idle (design/edge 7.13): what runners tell, and what is learned a service
 // from connections that were forgotten sooner.
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 import type * as types from "../../wire/types.js";
 
 /** Told in whole seconds, and counted from another moment than ours: so much sooner a connection is let go. */
@@ -30,7 +30,7 @@
   private learnedAt = 0;
 
   constructor(
-    readonly world: types.World,
+    readonly world: types.Clock,
     private readonly usualMs: number,
   ) {}
 
@@ -57,7 +57,7 @@
   private readonly byService = new Map<string, IdleLimit>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly usualMs: number,
   ) {}
 
--- a/src/router/runners/outcomes.ts
+++ b/src/router/runners/outcomes.ts
@@ -1,8 +1,8 @@
 // The status of a runner from what became of the requests sent to it, from here and elsewhere (design/status 3).
-import * as log from "../../startup/log.js";
+import * as log from "../../runtime/log.js";
 import type * as types from "../../wire/types.js";
 import * as cohorts from "./cohort.js";
-import * as decays from "./decaying.js";
+import * as decaying from "./decaying.js";
 import * as health from "./health.js";
 import * as rotations from "./rotation.js";
 import * as signs from "./signs.js";
@@ -44,13 +44,13 @@
   private current: health.State = "good";
   private since = 0;
   private until = 0;
-  private readonly score = new decays.Decaying(cohorts.HALF_LIFE_MS);
-  private readonly own = new decays.Decaying(cohorts.HALF_LIFE_MS);
-  private readonly bad = new decays.Decaying(RATE_HALF_LIFE_MS);
-  private readonly all = new decays.Decaying(RATE_HALF_LIFE_MS);
-  private readonly slow = new decays.Decaying(RATE_HALF_LIFE_MS);
-  private readonly timed = new decays.Decaying(RATE_HALF_LIFE_MS);
-  private readonly ejections = new decays.Decaying(EJECTIONS_HALF_LIFE_MS);
+  private readonly score = new decaying.Decaying(cohorts.HALF_LIFE_MS);
+  private readonly own = new decaying.Decaying(cohorts.HALF_LIFE_MS);
+  private readonly bad = new decaying.Decaying(RATE_HALF_LIFE_MS);
+  private readonly all = new decaying.Decaying(RATE_HALF_LIFE_MS);
+  private readonly slow = new decaying.Decaying(RATE_HALF_LIFE_MS);
+  private readonly timed = new decaying.Decaying(RATE_HALF_LIFE_MS);
+  private readonly ejections = new decaying.Decaying(EJECTIONS_HALF_LIFE_MS);
   private cohort = new cohorts.Cohort();
   private streak = 0;
   private failedUntil = 0;
--- a/src/router/runners/prompt-readings.ts
+++ b/src/router/runners/prompt-readings.ts
@@ -1,32 +1,32 @@
 // Which prompts are read where, by this router's own sends and by what other routers tell (design 7.4).
-import * as signSenders from "../../signs/sign-sender.js";
-import type * as reader from "../../usage/reader.js";
+import * as signSender from "../../hints/sign-sender.js";
+import type * as reader from "../../load/reader.js";
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
 import type * as fleets from "./fleet.js";
 import type * as readings from "./readings.js";
-import type * as requests from "../request.js";
+import type * as request from "../request.js";
 
 /** The other routers learn of readings from so many tokens on. */
 const MIN_TOKENS = 1000;
 
 /** Joins what is read here and elsewhere. */
-export class PromptReadings implements signSenders.Hearer {
-  readonly signSender: signSenders.SignSender;
+export class PromptReadings implements signSender.Hearer {
+  readonly signSender: signSender.SignSender;
 
   /** `send`: brings signs to the other routers, by way of a control node. */
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly fleet: fleets.Fleet,
     private readonly known: readings.Readings,
     private readonly usage: reader.Reader,
     send: (signs: schema.Signs) => void,
   ) {
-    this.signSender = new signSenders.SignSender(world, usage.marks, this, send);
+    this.signSender = new signSender.SignSender(world, usage.marks, this, send);
   }
 
   /** A request goes to a runner: the tokens of its prompt that the runner has to read. */
-  sending(request: requests.Request, runner: types.RunnerId): number {
+  sending(request: request.Request, runner: types.RunnerId): number {
     this.usage.sent(this.fleet.regionFor(runner));
     if (request.parts.length === 0) return 0;
     const unread = Math.round(this.known.unread(runner, request.parts, request.keys));
--- a/src/router/runners/readings.ts
+++ b/src/router/runners/readings.ts
@@ -1,7 +1,7 @@
 // What the routers know together of the runners' readings (design 7.4): who has read which parts, and how long
 // each still reads. Told among routers as it happens, kept in memory, lost with the process.
 import type * as plans from "../plan.js";
-import * as shares from "../../shares/shares.js";
+import * as shares from "../../limits/shares.js";
 
 const FIRST_RATE = 40;
 const FASTER = 0.3;
--- a/src/router/runners/rotation.ts
+++ b/src/router/runners/rotation.ts
@@ -1,6 +1,6 @@
 // Zones in and out of rotation by percentage steps (design 7.5): drain goes down at once in steps well inside
 // the bound; failback goes up slowly, since what comes back may be cold.
-import * as shares from "../../shares/shares.js";
+import * as shares from "../../limits/shares.js";
 import * as types from "../../wire/types.js";
 
 const DRAIN_MS = 800;
@@ -18,7 +18,7 @@
 /** Zones out of use, and those that come back. */
 export class Rotation {
   private readonly zones = new Map<string, ZoneState>();
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   /** The zones under evacuation as the register has them; the ones just taken back are returned. */
   take(evacuated: readonly string[], isFirst: boolean): string[] {
--- a/src/router/runners/runner.ts
+++ b/src/router/runners/runner.ts
@@ -1,9 +1,9 @@
 // One runner as this router sees it: what the list, the reports and this router's own sends say of it (design 7.4).
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
-import * as shares from "../../shares/shares.js";
-import * as log from "../../startup/log.js";
-import * as reports from "../../usage/reported.js";
+import * as shares from "../../limits/shares.js";
+import * as log from "../../runtime/log.js";
+import * as reported from "../../load/reported.js";
 import * as connections from "./connections.js";
 import * as idle from "./idle.js";
 import * as outcomes from "./outcomes.js";
@@ -22,7 +22,7 @@
 const READING_SLACK_MS = 200;
 
 /** One life of a runner. */
-export class Runner extends reports.Reported {
+export class Runner extends reported.Reported {
   status: Status = "ready";
   coldUntil = 0;
   leavesAt = Infinity;
--- a/src/router/serve-gate.ts
+++ b/src/router/serve-gate.ts
@@ -4,8 +4,8 @@
  * its operators allow without the word of a confirmed control node.
  */
 import type * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
-import * as dialers from "../feed/dialer.js";
+import * as log from "../runtime/log.js";
+import * as dialer from "../feed/dialer.js";
 
 /** After so long with a configuration that nobody confirmed, it serves: its region may be cut off (*ours*). */
 export const UNCONFIRMED_WAIT_MS = 1200;
@@ -31,8 +31,8 @@
    * onOpen: called whenever it begins to allow requests.
    */
   constructor(
-    private readonly world: types.World,
-    private readonly controls: ReadonlyMap<string, dialers.Control>,
+    private readonly world: types.Clock,
+    private readonly controls: ReadonlyMap<string, dialer.Control>,
     private readonly unconfirmedMs: number,
     private readonly onOpen: () => void,
   ) {}
@@ -98,8 +98,8 @@
     return false;
   }
 
-  private isConfirmedBy(control: dialers.Control, epoch: types.Epoch): boolean {
+  private isConfirmedBy(control: dialer.Control, epoch: types.Epoch): boolean {
     const known = control.beat?.epoch ?? control.node.epoch;
-    return dialers.isFresh(control, this.world.now()) && dialers.isConfirmed(control) && known <= epoch;
+    return dialer.isFresh(control, this.world.now()) && dialer.isConfirmed(control) && known <= epoch;
   }
 }
--- a/src/router/tenancy.ts
+++ b/src/router/tenancy.ts
@@ -3,14 +3,14 @@
  * that was read whole becomes a transaction. Public routes, and configurations without tenants, need no key.
  */
 import type * as check from "../config/check.js";
-import type * as dialers from "../feed/dialer.js";
-import * as log from "../startup/log.js";
-import * as keyLeases from "../tenants/key-lease.js";
+import type * as dialer from "../feed/dialer.js";
+import * as log from "../runtime/log.js";
+import * as keyLease from "../tenants/key-lease.js";
 import * as outages from "../tenants/outage.js";
-import type * as claims from "../tenants/quota-claim.js";
-import * as quotaClients from "../tenants/quota-client.js";
-import * as sources from "../tenants/quota-sources.js";
-import * as tenants from "../tenants/tenant.js";
+import type * as quotaClaim from "../tenants/quota-claim.js";
+import * as quotaClient from "../tenants/quota-client.js";
+import * as quotaSources from "../tenants/quota-sources.js";
+import * as tenant from "../tenants/tenant.js";
 import type * as types from "../wire/types.js";
 
 /** When a machine that does not know enough about keys, or reaches nobody who counts, may do so again (*ours*). */
@@ -27,31 +27,31 @@
 }
 
 /** What a request that was admitted holds; handed back when it was never sent. */
-export type Admitted = claims.Unit | null;
+export type Admitted = quotaClaim.Unit | null;
 
 /** One for each router. */
 export class Tenancy {
-  private table = new tenants.TenantTable();
-  private readonly lease: keyLeases.KeyLease;
-  private readonly quota: quotaClients.QuotaClient;
+  private table = new tenant.TenantTable();
+  private readonly lease: keyLease.KeyLease;
+  private readonly quota: quotaClient.QuotaClient;
   private readonly unknowing: outages.Outage;
   private readonly unreached: outages.Outage;
 
-  constructor(world: types.World, region: string, controls: ReadonlyMap<string, dialers.Control>, bounds: keyLeases.RevocationBounds) {
-    this.lease = new keyLeases.KeyLease(world, bounds);
+  constructor(world: types.Clock, region: string, controls: ReadonlyMap<string, dialer.Control>, bounds: keyLease.RevocationBounds) {
+    this.lease = new keyLease.KeyLease(world, bounds);
     this.unknowing = new outages.Outage(world, UNKNOWING_MS);
     this.unreached = new outages.Outage(world, UNREACHED_MS);
-    const owners = new sources.Sources(world, region, controls);
-    this.quota = new quotaClients.QuotaClient(world, owners, this.lease.hear.bind(this.lease));
+    const owners = new quotaSources.Sources(world, region, controls);
+    this.quota = new quotaClient.QuotaClient(world, owners, this.lease.hear.bind(this.lease));
   }
 
   /** The settings were read again. */
-  resettle(bounds: keyLeases.RevocationBounds): void {
+  resettle(bounds: keyLease.RevocationBounds): void {
     this.lease.resettle(bounds);
   }
 
   /** A configuration is in force, with these tenants. */
-  take(epoch: types.Epoch, table: tenants.TenantTable): void {
+  take(epoch: types.Epoch, table: tenant.TenantTable): void {
     this.table = table;
     this.lease.take(epoch);
     this.turn();
@@ -68,7 +68,7 @@
   }
 
   /** The tenant that holds the key, null where the route needs none, or why the request is refused. */
-  identify(key: string | string[] | undefined, route: check.Route): tenants.Tenant | null | Refusal {
+  identify(key: string | string[] | undefined, route: check.Route): tenant.Tenant | null | Refusal {
     if (this.table.isEmpty || route.public === true) return null;
     const tenant = typeof key === "string" && key !== "" ? this.table.find(key) : null;
     if (tenant && this.lease.mayHonour()) {
@@ -83,7 +83,7 @@
    * Asks for a unit of the tenant's quota. One of the two is called once, perhaps before this returns; the claim's
    * cancel() ends the wait.
    */
-  admit(tenant: tenants.Tenant | null, go: (admitted: Admitted) => void, refuse: (refusal: Refusal) => void): claims.Claim | null {
+  admit(tenant: tenant.Tenant | null, go: (admitted: Admitted) => void, refuse: (refusal: Refusal) => void): quotaClaim.Claim | null {
     if (!tenant?.isLimited) {
       go(null);
       return null;
@@ -95,7 +95,7 @@
     });
   }
 
-  private refusalOf(verdict: Exclude<claims.Verdict, { kind: "granted" }>): Refusal {
+  private refusalOf(verdict: Exclude<quotaClaim.Verdict, { kind: "granted" }>): Refusal {
     if (verdict.kind === "unreached")
       return this.refuse(503, "no control node counts the tenant's requests now; come back shortly", this.unreached.met() / MS_PER_S);
     return this.refuse(429, "the tenant is over its rate_per_s and burst", Math.max(MIN_RETRY_S, verdict.waitMs / MS_PER_S));
@@ -107,7 +107,7 @@
   }
 
   /** The request was never sent: its unit serves another. */
-  giveBack(tenant: tenants.Tenant | null, admitted: Admitted): void {
+  giveBack(tenant: tenant.Tenant | null, admitted: Admitted): void {
     if (tenant && admitted) this.quota.hold(tenant.name, admitted);
   }
 }
--- a/src/router/transaction.ts
+++ b/src/router/transaction.ts
@@ -1,15 +1,15 @@
 // One request through the router: explicit states, one function for every change (design 7.1).
 import type * as nodeHttp from "node:http";
 import type * as tallies from "../admission/tally.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
-import * as answers from "./answer.js";
+import * as answer from "./answer.js";
 import * as attempts from "./attempt.js";
 import type * as choosers from "./chooser.js";
-import * as clientReplies from "./client/client-reply.js";
-import type * as contexts from "./context.js";
+import * as clientReply from "./client/client-reply.js";
+import type * as context from "./context.js";
 import type * as plans from "./plan.js";
-import * as requests from "./request.js";
+import * as request from "./request.js";
 import * as states from "./states.js";
 
 const MIN_MS = 10;
@@ -23,19 +23,19 @@
   private sends = 0;
   private unsent = 0;
   private attempt: attempts.Attempt | null = null;
-  private deadlineTimer: types.Tick | null = null;
+  private deadlineTimer: types.Timer | null = null;
   private reading: { tokens: number; since: number } | null = null;
   private hasRun = false;
   private nextLookAt = 0;
-  private readonly reply: clientReplies.ClientReply;
+  private readonly reply: clientReply.ClientReply;
 
   constructor(
-    private readonly context: contexts.Context,
-    readonly request: requests.Request,
+    private readonly context: context.Context,
+    readonly request: request.Request,
     private readonly incoming: nodeHttp.IncomingMessage,
     outgoing: nodeHttp.ServerResponse,
   ) {
-    this.reply = new clientReplies.ClientReply(outgoing, context.isLeaving);
+    this.reply = new clientReply.ClientReply(outgoing, context.isLeaving);
     this.reply.onClose(this.clientGone.bind(this));
   }
 
@@ -49,7 +49,10 @@
   }
 
   start(): void {
-    this.deadlineTimer = this.context.world.after(Math.max(0, this.request.deadline - this.context.world.now()), this.expired.bind(this));
+    this.deadlineTimer = this.context.world.schedule(
+      Math.max(0, this.request.deadline - this.context.world.now()),
+      this.expired.bind(this),
+    );
     this.context.chooser.countRequest(this.request);
     this.move("choosing");
     this.choose();
@@ -77,7 +80,7 @@
       choice.runner,
       choice.connection,
       this,
-      requests.sendable(this.request, this.incoming, sending, choice.ticket),
+      request.sendable(this.request, this.incoming, sending, choice.ticket),
     );
     this.move("sent");
     this.reading = { tokens: this.context.sending(this.request, choice.runner.id), since: this.context.world.now() };
@@ -114,13 +117,13 @@
     this.move("done", end);
   }
 
-  onHead(_attempt: attempts.Attempt, head: answers.Head): boolean {
+  onHead(_attempt: attempts.Attempt, head: answer.Head): boolean {
     const { entry } = this.request;
-    const isSuccess = answers.isSuccess(head);
-    if (isSuccess && !answers.isSealed(head)) return false;
+    const isSuccess = answer.isSuccess(head);
+    if (isSuccess && !answer.isSealed(head)) return false;
     if (this.reply.isHeadOut) return this.isSameStream(head);
     // What doesn't say that the request has not run must not reach the client as a promise that it has not.
-    if (answers.isPromise(head)) return false;
+    if (answer.isPromise(head)) return false;
     if (head.status >= 500 && entry.isRepeatable && this.mayRepeat()) return false;
     const isResumable = entry.route.route_type === "streaming" && isSuccess && entry.isRepeatable && !head.headers.has("content-length");
     this.reply.begin(head, isResumable, () => this.attempt?.resume());
@@ -128,7 +131,7 @@
     return true;
   }
 
-  private isSameStream(head: answers.Head): boolean {
+  private isSameStream(head: answer.Head): boolean {
     const isSame = head.status === 200 && this.reply.isResumable;
     if (isSame) this.move("passing");
     return isSame;
@@ -145,7 +148,7 @@
     return this.sends < this.context.chooser.mostSends(this.request);
   }
 
-  onEnd(attempt: attempts.Attempt, ending: attempts.Ending, head: answers.Head | null): void {
+  onEnd(attempt: attempts.Attempt, ending: attempts.Ending, head: answer.Head | null): void {
     if (this.state === "done" || attempt !== this.attempt) return;
     if (ending === "complete") this.complete();
     else if (ending === "not_sent") this.notSent();
@@ -169,7 +172,7 @@
     else this.again();
   }
 
-  private handedBack(attempt: attempts.Attempt, head: answers.Head): void {
+  private handedBack(attempt: attempts.Attempt, head: answer.Head): void {
     log.count("router.handed_back");
     attempt.runner.denied(this.context.world.now(), head.status === 421);
     if (head.status === 400) {
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -6,7 +6,7 @@
 import * as superstruct from "superstruct";
 import * as result from "true-myth/result";
 import * as types from "../wire/types.js";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 
 const text = superstruct.nonempty(superstruct.string());
 const address = superstruct.pattern(superstruct.string(), /^[0-9a-zA-Z.-]+:\d{1,5}$/);
--- a/src/store/conversion.ts
+++ b/src/store/conversion.ts
@@ -4,7 +4,7 @@
  * record of the new set is durable, and before the voter is entered. So there is always one whole record, and never a
  * moment at which an older one could be taken for the newest.
  */
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as files from "./files.js";
 import * as format from "./format.js";
 import * as unversioned from "./unversioned.js";
--- a/src/store/files.ts
+++ b/src/store/files.ts
@@ -3,8 +3,8 @@
  */
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
 
 /** One open file. Positions and lengths are in bytes. */
 export interface StoreFile {
--- a/src/store/format.ts
+++ b/src/store/format.ts
@@ -3,7 +3,7 @@
  * record after it. Both carry a version and checksums; a record names the set that it belongs to.
  */
 import * as zlib from "node:zlib";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 
 /** Version of the files' layout; another one is an error, never a guess. */
 export const FORMAT_VERSION = 1;
--- a/src/store/inspection.ts
+++ b/src/store/inspection.ts
@@ -1,8 +1,8 @@
 /**
  * Judges the files of a folder at start: whether they are one whole set, and which record is the newest.
  */
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
 import * as format from "./format.js";
 
 /** The newest whole record of a set. */
--- a/src/store/owner.ts
+++ b/src/store/owner.ts
@@ -3,8 +3,8 @@
  * has ended, however it ended, owns nothing, so the file never needs to be removed.
  */
 import * as fs from "node:fs/promises";
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
 import type * as files from "./files.js";
 
 const OWNER_FILE = "owner";
--- a/src/store/remedies.ts
+++ b/src/store/remedies.ts
@@ -1,7 +1,7 @@
 /**
  * Puts a failure of the file system into words for operators: what failed and what to do.
  */
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 
 const REMEDIES = new Map<string, string>([
   ["EACCES", "let the user of this process read and write data_dir"],
--- a/src/store/ring.ts
+++ b/src/store/ring.ts
@@ -3,7 +3,7 @@
  * file after the newest one's and is synced before `write` resolves; a failed write is repeated, whole, into the same
  * file. So a torn write hurts a record that was never acknowledged, and never the newest acknowledged one.
  */
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as conversion from "./conversion.js";
 import * as files from "./files.js";
 import * as format from "./format.js";
--- a/src/supervisor/tree.ts
+++ b/src/supervisor/tree.ts
@@ -1,9 +1,9 @@
 /**
  * A supervisor tree: children start in order, stop in reverse, and one that fails is logged and goes on (design 9.2).
  */
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import * as types from "../wire/types.js";
-import * as world from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 
 /** A part of a process that can be started and stopped. */
 export interface Child {
@@ -25,7 +25,7 @@
 
   constructor(
     readonly name: string,
-    private readonly clock: types.World,
+    private readonly clock: types.Clock,
     private readonly children: Child[],
   ) {}
 
@@ -49,11 +49,11 @@
   turns(name: string, intervalMs: number, task: () => void): Child {
     const clock = this.clock;
     const runGuarded = this.runGuarded.bind(this);
-    let timer: types.Tick | null = null;
+    let timer: types.Timer | null = null;
     return {
       name,
       start(): void {
-        timer = world.every(clock, intervalMs, onTimer);
+        timer = timers.runPeriodically(clock, intervalMs, onTimer);
       },
       stop(): void {
         timer?.stop();
--- a/src/tallies/acknowledgements.ts
+++ b/src/tallies/acknowledgements.ts
@@ -2,7 +2,7 @@
  * Says when an add may be acknowledged (design/tallies 2): once so many disks hold it that the loss of as many as may be
  * lost at once leaves one, or, while this node is cut off from that many, once all disks in reach hold it.
  */
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
 import * as peers from "./peers.js";
 import type * as stores from "./store.js";
@@ -12,7 +12,7 @@
 
 /** What decides on acknowledgements. */
 export interface AcknowledgementParts {
-  world: types.World;
+  world: types.Clock;
   store: stores.TallyStore;
   peers: peers.Peers;
   /** Whether the loss of this node is counted: only then does its disk count. */
@@ -32,7 +32,7 @@
   stream: string;
   position: number;
   resolve(outcome: Outcome): void;
-  timer: types.Tick;
+  timer: types.Timer;
 }
 
 /** Adds that wait to be acknowledged. */
@@ -52,7 +52,7 @@
   /** Resolves once the stream is held up to the position by enough disks, or after the time. */
   wait(stream: string, position: number, withinMs: number): Promise<Outcome> {
     return new Promise((resolve) => {
-      const timer = this.parts.world.after(withinMs, () => this.end(item, "unknown"));
+      const timer = this.parts.world.schedule(withinMs, () => this.end(item, "unknown"));
       const item: Waiting = { stream, position, resolve, timer };
       this.waiting.add(item);
       this.judge(item, this.isApart());
--- a/src/tallies/calls.ts
+++ b/src/tallies/calls.ts
@@ -3,9 +3,9 @@
  * cut. 503 and 429 promise that nothing was done; 504 promises nothing.
  */
 import type * as serve from "../wire/serve.js";
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
-import * as requests from "./request.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
+import * as request from "./request.js";
 import type * as tallies from "./tallies.js";
 
 /** All paths begin so. */
@@ -35,16 +35,16 @@
   }
 
   private async update(encoded: string, body: Buffer): Promise<serve.Told> {
-    const name = requests.parseName(encoded);
+    const name = request.parseName(encoded);
     if (name.isErr) return denied(400, name.error);
-    const add = requests.parseAdd(body);
+    const add = request.parseAdd(body);
     if (add.isErr) return denied(400, add.error);
     const added = await this.tallies.add(name.value, add.value);
     return ANSWERS[added]();
   }
 
   private async describe(encoded: string): Promise<serve.Told> {
-    const name = requests.parseName(encoded);
+    const name = request.parseName(encoded);
     if (name.isErr) return denied(400, name.error);
     const total = await this.tallies.total(name.value);
     return total === null ? notReady() : { status: 200, json: { total } };
--- a/src/tallies/eras.ts
+++ b/src/tallies/eras.ts
@@ -19,7 +19,7 @@
   private since: types.SteadyMs;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly store: stores.TallyStore,
   ) {
     this.since = world.now();
--- a/src/tallies/frame.ts
+++ b/src/tallies/frame.ts
@@ -2,9 +2,9 @@
  * Frames of the tallies' log: each has its place in the file and two checksums, so that a torn end, and bytes of an older
  * generation behind it, are told from whole frames.
  */
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 import * as format from "../store/format.js";
-import * as schema from "../wire/tally-schema.js";
+import * as tallySchema from "../wire/tally-schema.js";
 
 /** Version of the layout; another one is an error, never a guess. */
 export const VERSION = 1;
@@ -25,14 +25,14 @@
 
 /** A whole frame, and how many bytes of the file it takes. */
 export interface ReadFrame extends FramePlace {
-  frame: schema.TallyFrame;
+  frame: tallySchema.TallyFrame;
   bytes: number;
 }
 
 // magic u32, version u32, generation u64, salt u32, index u32, length u32, checksum of the body u32, checksum u32
 /** A frame as it is written. */
-export function encode({ generation, salt, index }: FramePlace, frame: schema.TallyFrame): Buffer {
-  const body = schema.tallyFrame.toBuffer(frame);
+export function encode({ generation, salt, index }: FramePlace, frame: tallySchema.TallyFrame): Buffer {
+  const body = tallySchema.tallyFrame.toBuffer(frame);
   const head = Buffer.alloc(HEAD_BYTES);
   head.writeUInt32BE(MAGIC, 0);
   head.writeUInt32BE(VERSION, 4);
@@ -59,7 +59,7 @@
     generation: Number(head.readBigUInt64BE(8)),
     salt: head.readUInt32BE(16),
     index: head.readUInt32BE(20),
-    frame: schema.tallyFrame.fromBuffer(body),
+    frame: tallySchema.tallyFrame.fromBuffer(body),
     bytes: end - at,
   };
 }
--- a/src/tallies/generation.ts
+++ b/src/tallies/generation.ts
@@ -1,7 +1,7 @@
 /** One file of the tallies' log: a snapshot, and behind it the frames that were appended since (design/tallies 5). */
 import * as files from "../store/files.js";
 import type { TallyRecord } from "../wire/tally-schema.js";
-import * as frames from "./frame.js";
+import * as frame from "./frame.js";
 
 /** Room is made ahead of need in steps of so many bytes, so that a disk that fills up still takes the next frames. */
 export const STEP_BYTES = 1024 * 1024;
@@ -19,10 +19,10 @@
 export async function read(file: files.StoreFile): Promise<GenerationContent> {
   const content = await file.read();
   const records: TallyRecord[] = [];
-  const first = frames.decode(content, 0);
+  const first = frame.decode(content, 0);
   let hasSnapshot = false;
   let at = 0;
-  for (let next = first, index = 0; next && follows(next, first!, index); next = frames.decode(content, at), index += 1) {
+  for (let next = first, index = 0; next && follows(next, first!, index); next = frame.decode(content, at), index += 1) {
     hasSnapshot ||= next.frame.endsSnapshot;
     for (const record of next.frame.records) records.push(record);
     at += next.bytes;
@@ -30,7 +30,7 @@
   return { generation: hasSnapshot ? first!.generation : 0, records: hasSnapshot ? records : [], capacity: content.length };
 }
 
-function follows(frame: frames.FramePlace, first: frames.FramePlace, index: number): boolean {
+function follows(frame: frame.FramePlace, first: frame.FramePlace, index: number): boolean {
   return frame.index === index && frame.generation === first.generation && frame.salt === first.salt;
 }
 
@@ -41,7 +41,7 @@
 
   constructor(
     private readonly file: files.StoreFile,
-    private readonly place: Omit<frames.FramePlace, "index">,
+    private readonly place: Omit<frame.FramePlace, "index">,
     private room: number,
   ) {}
 
@@ -57,7 +57,7 @@
 
   /** Resolves once the frame is written; `sync` makes it durable. */
   async write(records: TallyRecord[], endsSnapshot: boolean): Promise<void> {
-    const bytes = frames.encode({ ...this.place, index: this.index }, { endsSnapshot, records });
+    const bytes = frame.encode({ ...this.place, index: this.index }, { endsSnapshot, records });
     await this.reserve(this.end + bytes.length);
     await files.writeWhole(this.file, bytes, this.end);
     this.index += 1;
--- a/src/tallies/log.ts
+++ b/src/tallies/log.ts
@@ -4,12 +4,12 @@
  * become the older. What is read at a start is written as a new generation before anybody hears of it, since a sync says
  * nothing of what an earlier process wrote. A disk that refuses is tried again for ever; `append` never rejects.
  */
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as files from "../store/files.js";
 import * as remedies from "../store/remedies.js";
 import type { TallyRecord } from "../wire/tally-schema.js";
 import * as types from "../wire/types.js";
-import * as worlds from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 import * as generations from "./generation.js";
 
 const FILES = ["tallies-0", "tallies-1"];
@@ -55,7 +55,7 @@
   private source: SnapshotSource | null = null;
 
   private constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly opened: files.StoreFile[],
     private readonly capacities: number[],
     private newest: number,
@@ -63,7 +63,7 @@
   ) {}
 
   /** The log and the records that it held. Rejects if the disk refuses; `start` must follow. */
-  static async open(world: types.World, folder: files.StoreFolder): Promise<{ log: TallyLog; records: TallyRecord[] }> {
+  static async open(world: types.Clock, folder: files.StoreFolder): Promise<{ log: TallyLog; records: TallyRecord[] }> {
     await folder.make();
     const opened: files.StoreFile[] = [];
     try {
@@ -76,7 +76,7 @@
     }
   }
 
-  private static async read(world: types.World, opened: files.StoreFile[]): Promise<{ log: TallyLog; records: TallyRecord[] }> {
+  private static async read(world: types.Clock, opened: files.StoreFile[]): Promise<{ log: TallyLog; records: TallyRecord[] }> {
     const contents: generations.GenerationContent[] = [];
     for (const file of opened) contents.push(await generations.read(file));
     const newest = contents[1].generation > contents[0].generation ? 1 : 0;
@@ -194,7 +194,7 @@
       } catch (cause) {
         this.failed(cause);
       }
-      await worlds.sleep(this.world, RETRY_MS);
+      await timers.sleep(this.world, RETRY_MS);
     }
   }
 
--- a/src/tallies/peers.ts
+++ b/src/tallies/peers.ts
@@ -30,7 +30,7 @@
 export class Peers {
   private readonly peers = new Map<string, Peer>();
 
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   all(): Iterable<Peer> {
     return this.peers.values();
--- a/src/tallies/readiness.ts
+++ b/src/tallies/readiness.ts
@@ -3,7 +3,7 @@
  * what enough others hold that every acknowledged add is among it.
  */
 import * as events from "node:events";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
 import * as peers from "./peers.js";
 import type * as stores from "./store.js";
@@ -17,7 +17,7 @@
 
 /** What decides on readiness. */
 export interface ReadinessParts {
-  world: types.World;
+  world: types.Clock;
   store: stores.TallyStore;
   peers: peers.Peers;
   /** Disks that must hold an add. */
@@ -63,7 +63,7 @@
         this.removeListener("ready", end);
         resolve(this.isReady);
       };
-      const timer = this.parts.world.after(ms, end);
+      const timer = this.parts.world.schedule(ms, end);
       this.once("ready", end);
     });
   }
--- a/src/tallies/replication.ts
+++ b/src/tallies/replication.ts
@@ -4,13 +4,13 @@
  * around a cut between two nodes. Nothing in here needs a majority.
  */
 import * as events from "node:events";
-import type * as dialers from "../feed/dialer.js";
+import type * as dialer from "../feed/dialer.js";
 import * as calls from "../wire/calls.js";
 import * as features from "../wire/features.js";
 import type * as link from "../wire/link.js";
 import type { TallyBeat, TallyHeard, TallyKept, TallyPush } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
-import type * as peerTypes from "./peers.js";
+import type * as peers from "./peers.js";
 import * as sessions from "./session.js";
 import * as snapshots from "./snapshots.js";
 import type * as stores from "./store.js";
@@ -22,18 +22,18 @@
 const RELAY_STEP_MS = 150;
 
 /** The links to other control nodes, as a dialer keeps them. */
-export interface ControlLinks extends events.EventEmitter<dialers.DialerEvents> {
-  readonly controls: ReadonlyMap<string, dialers.Control>;
+export interface ControlLinks extends events.EventEmitter<dialer.DialerEvents> {
+  readonly controls: ReadonlyMap<string, dialer.Control>;
 }
 
 /** What replication needs of its node. */
 export interface ReplicationParts {
-  world: types.World;
+  world: types.Clock;
   self: sessions.Self;
   /** Name of the own stream. */
   life: string;
   store: stores.TallyStore;
-  peers: peerTypes.Peers;
+  peers: peers.Peers;
   dial: ControlLinks;
 }
 
@@ -44,7 +44,7 @@
 
 /** Sends, takes and passes on adds. */
 export class Replication extends events.EventEmitter<ReplicationEvents> {
-  private readonly sessions = new Map<dialers.Control, sessions.Session>();
+  private readonly sessions = new Map<dialer.Control, sessions.Session>();
   /** Links on which a peer told all that it holds. */
   private readonly full = new WeakSet<link.Link>();
   /** Since when a peer lacks adds of a stream: by peer and stream. */
@@ -79,7 +79,7 @@
     for (const session of this.sessions.values()) session.push(this.parts.life);
   }
 
-  private meet(control: dialers.Control): void {
+  private meet(control: dialer.Control): void {
     const { world, self, store, peers } = this.parts;
     if (this.sessions.has(control) || !control.beat || !features.hasFeature(control.beat, features.TALLIES)) return;
     const peer = peers.of(control.address);
@@ -109,7 +109,7 @@
   }
 
   /** Whether this node has folded adds that the peer lacks. A peer that was not told the answer asks with its next beat. */
-  private isBehind(peer: peerTypes.Peer): boolean {
+  private isBehind(peer: peers.Peer): boolean {
     const { ledger } = this.parts.store;
     for (const stream of ledger.streamNames()) if (ledger.folded(stream) > (peer.held.get(stream) ?? 0)) return true;
     return false;
@@ -145,7 +145,7 @@
   }
 
   /** Nodes pass a stream on one after the other, by address: mostly one of them is enough. */
-  private rank(to: peerTypes.Peer): number {
+  private rank(to: peers.Peer): number {
     const { peers, self } = this.parts;
     let rank = 0;
     for (const peer of peers.all()) if (peer !== to && peer.address < self.address && peers.isInTouch(peer)) rank += 1;
--- a/src/tallies/request.ts
+++ b/src/tallies/request.ts
@@ -1,7 +1,7 @@
 /** Checks of the calls on tallies: names, ids, amounts (docs/tallies.md). */
 import * as superstruct from "superstruct";
 import * as result from "true-myth/result";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 
 /** The longest name of a tally, and the longest id, in characters. */
 export const MAX_NAME = 200;
--- a/src/tallies/session.ts
+++ b/src/tallies/session.ts
@@ -1,5 +1,5 @@
 /** What was told and sent to one other node over one link (design/tallies 4). A new link begins anew. */
-import type * as dialers from "../feed/dialer.js";
+import type * as dialer from "../feed/dialer.js";
 import * as calls from "../wire/calls.js";
 import type { StreamPosition } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
@@ -37,11 +37,11 @@
   private beatAt = -Infinity;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly self: Self,
     private readonly store: stores.TallyStore,
     private readonly peers: peers.Peers,
-    readonly control: dialers.Control,
+    readonly control: dialer.Control,
     readonly peer: peers.Peer,
   ) {}
 
--- a/src/tallies/snapshots.ts
+++ b/src/tallies/snapshots.ts
@@ -6,7 +6,7 @@
 import type * as link from "../wire/link.js";
 import type { TallyRecord, TallySnapshotAsk, TallySnapshotPart } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as stores from "./store.js";
 
 const PART_RECORDS = 512;
@@ -18,7 +18,7 @@
 interface Snapshot {
   records: Iterator<TallyRecord>;
   next: number;
-  expiry: types.Tick;
+  expiry: types.Timer;
 }
 
 const GONE: TallySnapshotPart = { token: "", isLast: true, records: [] };
@@ -30,7 +30,7 @@
   private isTaking = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly store: stores.TallyStore,
   ) {}
 
@@ -40,7 +40,7 @@
     const snapshot = this.open.get(token);
     if (!snapshot || snapshot.next !== ask.part) return GONE;
     snapshot.expiry.stop();
-    snapshot.expiry = this.world.after(KEPT_MS, this.end.bind(this, token));
+    snapshot.expiry = this.world.schedule(KEPT_MS, this.end.bind(this, token));
     snapshot.next += 1;
     const told: TallyRecord[] = [];
     let isLast = false;
@@ -57,7 +57,7 @@
     if (this.open.size >= MAX_SNAPSHOTS || !this.store.isOpen) return "";
     this.lastToken += 1;
     const token = String(this.lastToken);
-    const expiry = this.world.after(KEPT_MS, this.end.bind(this, token));
+    const expiry = this.world.schedule(KEPT_MS, this.end.bind(this, token));
     this.open.set(token, { records: this.store.begin()[Symbol.iterator](), next: 0, expiry });
     return token;
   }
--- a/src/tallies/store.ts
+++ b/src/tallies/store.ts
@@ -2,7 +2,7 @@
  * One node's tallies with their disk: the ledger in memory, the log behind it, and how much of each stream is durable
  * (design/tallies 5). Changes count at once; whoever promises anything waits until they are durable.
  */
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as files from "../store/files.js";
 import * as remedies from "../store/remedies.js";
 import type { StreamPosition, TallyAdd, TallyRecord } from "../wire/tally-schema.js";
@@ -29,7 +29,7 @@
   private snapshots = 0;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly newStore: () => string,
   ) {}
 
@@ -52,7 +52,7 @@
     } catch (cause) {
       log.count("tallies.disk_refused");
       log.state(`tallies: the disk can't be opened: ${remedies.describe(cause)}`);
-      if (!this.isClosed) this.world.after(logs.RETRY_MS, () => void this.open(folder));
+      if (!this.isClosed) this.world.schedule(logs.RETRY_MS, () => void this.open(folder));
     }
   }
 
--- a/src/tallies/tallies.ts
+++ b/src/tallies/tallies.ts
@@ -2,17 +2,17 @@
  * Tallies at one control node, put together (design/tallies): counts that are kept on both sides of any cut and agree
  * afterwards. Nothing in here needs a majority or the register; the register only tells who the members are.
  */
-import * as log from "../startup/log.js";
+import * as log from "../runtime/log.js";
 import type * as files from "../store/files.js";
 import type * as link from "../wire/link.js";
 import type * as types from "../wire/types.js";
-import * as worlds from "../wire/world.js";
+import * as timers from "../runtime/timers.js";
 import * as acknowledgements from "./acknowledgements.js";
 import * as eras from "./eras.js";
 import * as peers from "./peers.js";
 import * as readinesses from "./readiness.js";
-import * as replications from "./replication.js";
-import type * as requests from "./request.js";
+import * as replication from "./replication.js";
+import type * as request from "./request.js";
 import * as stores from "./store.js";
 
 /** A caller waits so long for an acknowledgement; it may have called another node by then. */
@@ -30,7 +30,7 @@
   /** Internal address of this node. */
   readonly address: string;
   readonly isCounted: boolean;
-  readonly dial: replications.ControlLinks;
+  readonly dial: replication.ControlLinks;
   readonly handlers: link.Handlers;
   newStore(): string;
   /** How many machines may lose their disks at once. */
@@ -47,7 +47,7 @@
 export class Tallies {
   private readonly store: stores.TallyStore;
   private readonly peers: peers.Peers;
-  private readonly replication: replications.Replication;
+  private readonly replication: replication.Replication;
   private readonly acknowledgements: acknowledgements.Acknowledgements;
   private readonly readiness: readinesses.Readiness;
   private readonly eras: eras.Eras;
@@ -56,7 +56,7 @@
   private wasApart = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly host: Host,
   ) {
     const { life, address, isCounted, dial } = host;
@@ -64,7 +64,7 @@
     this.store = new stores.TallyStore(world, host.newStore.bind(host));
     this.peers = new peers.Peers(world);
     const { store, peers: known } = this;
-    this.replication = new replications.Replication({ world, self: { address, isCounted }, life, store, peers: known, dial });
+    this.replication = new replication.Replication({ world, self: { address, isCounted }, life, store, peers: known, dial });
     const required = this.required.bind(this);
     const expected = this.expected.bind(this);
     const hearsZone = host.hearsZone.bind(host);
@@ -91,7 +91,7 @@
   }
 
   /** Adds to a tally; an id that was added before is acknowledged once more and counts once. */
-  async add(tally: string, { id, amount }: requests.AskedAdd): Promise<Added> {
+  async add(tally: string, { id, amount }: request.AskedAdd): Promise<Added> {
     const { store, host } = this;
     if (this.isLeaving || !store.isOpen || !store.isWhole) return "busy";
     const known = store.ledger.find(tally, id);
@@ -159,7 +159,7 @@
   }
 
   async stop(): Promise<void> {
-    await worlds.endsWithin(this.world, CLOSE_MS, this.store.close());
+    await timers.endsWithin(this.world, CLOSE_MS, this.store.close());
   }
 
   private moved(): void {
--- a/src/tenants/key-lease.ts
+++ b/src/tenants/key-lease.ts
@@ -31,7 +31,7 @@
   private provedAt = -Infinity;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private bounds: RevocationBounds,
   ) {}
 
--- a/src/tenants/outage.ts
+++ b/src/tenants/outage.ts
@@ -19,7 +19,7 @@
   private metAt: number = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly bounds: OutageBounds,
   ) {}
 
--- a/src/tenants/quota-bucket.ts
+++ b/src/tenants/quota-bucket.ts
@@ -1,5 +1,5 @@
 /** What one slot's owner holds of one tenant's quota: a token bucket whose refill never runs twice (design/tenants 4.3). */
-import type * as parts from "./quota-part.js";
+import type * as quotaPart from "./quota-part.js";
 
 /** A unit may come back unused for so long after its grant, in ms: its life, and the way of the report (*ours*). */
 export const RETURN_MS = 700;
@@ -30,7 +30,7 @@
 
   /** at: when the slot's owner began, with what its part starts with; ms of the own clock. */
   constructor(
-    private part: parts.QuotaPart,
+    private part: quotaPart.QuotaPart,
     private at: number,
     now: number,
   ) {
@@ -40,7 +40,7 @@
   }
 
   /** Another limit is in force: what was earned under the former one is kept, up to the new burst. */
-  resize(part: parts.QuotaPart, now: number): void {
+  resize(part: quotaPart.QuotaPart, now: number): void {
     this.refill(now);
     this.part = part;
     this.refill(now);
--- a/src/tenants/quota-claim.ts
+++ b/src/tenants/quota-claim.ts
@@ -1,11 +1,11 @@
 /** A request that waits for a unit of its tenant's quota, and what became of it (design/tenants 4.4). */
 import type * as types from "../wire/types.js";
-import type * as sources from "./quota-sources.js";
+import type * as quotaSources from "./quota-sources.js";
 
 /** One unit of a tenant's quota; nobody may use it after its time, on the router's own clock. */
 export interface Unit {
   /** The owner that granted it. */
-  source: sources.Source;
+  source: quotaSources.Source;
   /** Of its grant. */
   id: number;
   until: types.SteadyMs;
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -6,9 +6,9 @@
 import * as calls from "../wire/calls.js";
 import type * as tenantSchema from "../wire/tenant-schema.js";
 import * as types from "../wire/types.js";
-import * as log from "../startup/log.js";
-import * as claims from "./quota-claim.js";
-import * as sources from "./quota-sources.js";
+import * as log from "../runtime/log.js";
+import * as quotaClaim from "./quota-claim.js";
+import * as quotaSources from "./quota-sources.js";
 
 /** A unit lives so long from when it was asked for; the owner counts it as used from its grant. */
 export const UNIT_MS = 300;
@@ -26,19 +26,19 @@
 /** One for each router. */
 export class QuotaClient {
   /** Units at hand by tenant. */
-  private readonly held = new Map<string, claims.Unit[]>();
+  private readonly held = new Map<string, quotaClaim.Unit[]>();
   private wordAt = -Infinity;
   private turns = 0;
 
   constructor(
-    private readonly world: types.World,
-    private readonly owners: sources.Sources,
+    private readonly world: types.Clock,
+    private readonly owners: quotaSources.Sources,
     private readonly onWord: OnWord,
   ) {}
 
   /** Asks for one unit; `tell` may be called before this returns. */
-  take(tenant: string, tell: (verdict: claims.Verdict) => void): claims.Claim {
-    const claim = new claims.Claim(tenant, tell);
+  take(tenant: string, tell: (verdict: quotaClaim.Verdict) => void): quotaClaim.Claim {
+    const claim = new quotaClaim.Claim(tenant, tell);
     const unit = this.takeHeld(tenant);
     if (unit) claim.settle({ kind: "granted", unit });
     else this.askNext(claim);
@@ -46,13 +46,13 @@
   }
 
   /** A unit whose request was never sent: it serves the tenant's next one, or goes back to its owner. */
-  hold(tenant: string, unit: claims.Unit): void {
+  hold(tenant: string, unit: quotaClaim.Unit): void {
     const held = this.held.get(tenant);
     if (held) held.push(unit);
     else this.held.set(tenant, [unit]);
   }
 
-  private takeHeld(tenant: string): claims.Unit | null {
+  private takeHeld(tenant: string): quotaClaim.Unit | null {
     const held = this.held.get(tenant);
     if (!held) return null;
     const now = this.world.now();
@@ -64,7 +64,7 @@
   }
 
   /** The next owner that may have a unit; without one, the claim waits for replies that are out, or ends. */
-  private askNext(claim: claims.Claim): void {
+  private askNext(claim: quotaClaim.Claim): void {
     let shortestMs = claim.waitMs;
     for (const source of this.owners.ordered()) {
       if (claim.asked.has(source.life) || source.isResting()) continue;
@@ -80,12 +80,12 @@
     else claim.settle({ kind: "unreached" });
   }
 
-  private ask(claim: claims.Claim, source: sources.Source): void {
+  private ask(claim: quotaClaim.Claim, source: quotaSources.Source): void {
     const { tenant } = claim;
     claim.asked.add(source.life);
     claim.pending += 1;
     const patienceMs = Math.min(MAX_PATIENCE_MS, PATIENCE_MS + TRIPS * source.control.tripMs);
-    const tick = this.world.after(patienceMs, () => this.late(claim, source));
+    const tick = this.world.schedule(patienceMs, () => this.late(claim, source));
     void this.call(source, [{ tenant, wanted: 1, unused: source.takeUnused(tenant) }]).then((reply) => {
       tick.stop();
       claim.pending -= 1;
@@ -94,13 +94,13 @@
   }
 
   /** Another owner is asked beside; the late one's reply still counts. */
-  private late(claim: claims.Claim, source: sources.Source): void {
+  private late(claim: quotaClaim.Claim, source: quotaSources.Source): void {
     log.count("quota.owner_late");
     source.isLate = true;
     if (claim.isWaiting) this.askNext(claim);
   }
 
-  private replied(claim: claims.Claim, source: sources.Source, reply: Replied | null): void {
+  private replied(claim: quotaClaim.Claim, source: quotaSources.Source, reply: Replied | null): void {
     const { tenant } = claim;
     const given = reply?.given[0];
     if (given && given.amount > 0) {
@@ -115,7 +115,7 @@
     if (claim.isWaiting) this.askNext(claim);
   }
 
-  private async call(source: sources.Source, takings: tenantSchema.Taking[]): Promise<Replied | null> {
+  private async call(source: quotaSources.Source, takings: tenantSchema.Taking[]): Promise<Replied | null> {
     const sentAt = this.world.now();
     const reply = await source.control.link.call(calls.quota, { life: source.life, takings }, UNIT_MS);
     if (!reply) return null;
@@ -152,7 +152,7 @@
   /** Units that nobody used in their time are reported to the owners that granted them. */
   private expire(now: number): void {
     for (const [tenant, held] of this.held) {
-      const kept: claims.Unit[] = [];
+      const kept: quotaClaim.Unit[] = [];
       for (const unit of held) {
         if (unit.until > now) kept.push(unit);
         else unit.source.returnUnused(tenant, unit.id);
--- a/src/tenants/quota-owner.ts
+++ b/src/tenants/quota-owner.ts
@@ -5,10 +5,10 @@
  */
 import type * as tenantSchema from "../wire/tenant-schema.js";
 import * as types from "../wire/types.js";
-import * as buckets from "./quota-bucket.js";
-import * as parts from "./quota-part.js";
-import type * as tenures from "./quota-tenure.js";
-import * as uses from "./quota-use.js";
+import * as quotaBucket from "./quota-bucket.js";
+import * as quotaPart from "./quota-part.js";
+import type * as quotaTenure from "./quota-tenure.js";
+import * as quotaUse from "./quota-use.js";
 
 /** The longest wait that is told, in milliseconds; also of quotas that this slot holds nothing of. */
 const MAX_WAIT_MS = 3000;
@@ -21,27 +21,27 @@
   private version = -1;
   private sweptAt = 0;
   private nextId = 1;
-  private limits: ReadonlyMap<string, parts.Limit> = new Map();
-  private readonly buckets = new Map<string, buckets.QuotaBucket>();
-  private readonly uses: uses.QuotaUses;
+  private limits: ReadonlyMap<string, quotaPart.Limit> = new Map();
+  private readonly buckets = new Map<string, quotaBucket.QuotaBucket>();
+  private readonly uses: quotaUse.QuotaUses;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     readonly life: string,
-    private bounds: parts.QuotaBounds,
-    private readonly tenure: tenures.QuotaTenure,
+    private bounds: quotaPart.QuotaBounds,
+    private readonly tenure: quotaTenure.QuotaTenure,
   ) {
-    this.uses = new uses.QuotaUses(world);
+    this.uses = new quotaUse.QuotaUses(world);
   }
 
   /** The settings were read again. */
-  resettle(bounds: parts.QuotaBounds): void {
+  resettle(bounds: quotaPart.QuotaBounds): void {
     this.bounds = bounds;
     this.resizeAll();
   }
 
   /** The limits of the chosen configuration, by tenant. */
-  setLimits(limits: ReadonlyMap<string, parts.Limit>): void {
+  setLimits(limits: ReadonlyMap<string, quotaPart.Limit>): void {
     this.limits = limits;
     this.resizeAll();
   }
@@ -54,8 +54,8 @@
     }
   }
 
-  private partOf(tenant: string, limit: parts.Limit): parts.QuotaPart {
-    return parts.leastPart(this.bounds, limit, this.tenure.places(), tenant);
+  private partOf(tenant: string, limit: quotaPart.Limit): quotaPart.QuotaPart {
+    return quotaPart.leastPart(this.bounds, limit, this.tenure.places(), tenant);
   }
 
   /** accepted: the newest voter epoch on the own disk. Null: this node grants nothing now. */
@@ -80,10 +80,10 @@
     return { amount, id, waitMs: amount < taking.wanted ? Math.min(MAX_WAIT_MS, bucket.waitMs(now)) : 0 };
   }
 
-  private bucketOf(tenant: string, limit: parts.Limit, now: number): buckets.QuotaBucket {
+  private bucketOf(tenant: string, limit: quotaPart.Limit, now: number): quotaBucket.QuotaBucket {
     let bucket = this.buckets.get(tenant);
     if (!bucket) {
-      bucket = new buckets.QuotaBucket(this.partOf(tenant, limit), this.earnedSince(), now);
+      bucket = new quotaBucket.QuotaBucket(this.partOf(tenant, limit), this.earnedSince(), now);
       this.buckets.set(tenant, bucket);
     }
     return bucket;
--- a/src/tenants/quota-part.ts
+++ b/src/tenants/quota-part.ts
@@ -2,8 +2,8 @@
  * The fixed part of a tenant's quota that one slot of the voters holds (design/tenants 4.2): a burst of whole units and
  * a refill, so that burst + refill over any window, summed over all slots, stays within the bound on the window.
  */
-import * as parts from "../shares/parts.js";
-import type * as tenures from "../shares/tenure.js";
+import * as parts from "../limits/parts.js";
+import type * as tenure from "../limits/tenure.js";
 
 /** The figures of the settings that the bound on a window is made from. */
 export interface QuotaBounds {
@@ -61,7 +61,7 @@
 }
 
 /** The part that may be granted by one that holds several places at once: the least of each figure. */
-export function leastPart(bounds: QuotaBounds, limit: Limit, places: readonly tenures.Place[], tenant: string): QuotaPart {
+export function leastPart(bounds: QuotaBounds, limit: Limit, places: readonly tenure.Place[], tenant: string): QuotaPart {
   const found = places.map(({ slots, slot }) => quotaPart(bounds, limit, slots, slot, tenant));
   return {
     burst: Math.min(...found.map((part) => part.burst)),
--- a/src/tenants/quota-sources.ts
+++ b/src/tenants/quota-sources.ts
@@ -1,5 +1,5 @@
 /** The owners of quotas as one router knows them: which grant, and whose part of a tenant's quota is spent (design/tenants 4.4). */
-import type * as dialers from "../feed/dialer.js";
+import type * as dialer from "../feed/dialer.js";
 import type * as tenantSchema from "../wire/tenant-schema.js";
 import type * as types from "../wire/types.js";
 
@@ -19,8 +19,8 @@
   private readonly unused = new Map<string, number[]>();
 
   constructor(
-    private readonly world: types.World,
-    readonly control: dialers.Control,
+    private readonly world: types.Clock,
+    readonly control: dialer.Control,
   ) {}
 
   get life(): string {
@@ -75,9 +75,9 @@
   private readonly byLife = new Map<string, Source>();
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly region: string,
-    private readonly controls: ReadonlyMap<string, dialers.Control>,
+    private readonly controls: ReadonlyMap<string, dialer.Control>,
   ) {}
 
   /** Those that reply go before those that are late; the own region's first, then the nearest by their hellos. */
@@ -91,7 +91,7 @@
     return control.node.region === this.region ? -1 : control.tripMs;
   }
 
-  private sourceOf(control: dialers.Control): Source {
+  private sourceOf(control: dialer.Control): Source {
     const known = this.byLife.get(control.node.life);
     if (known?.control === control) return known;
     const source = new Source(this.world, control);
--- a/src/tenants/quota-use.ts
+++ b/src/tenants/quota-use.ts
@@ -27,7 +27,7 @@
 export class QuotaUses {
   private readonly counts = new Map<string, Count>();
 
-  constructor(private readonly world: types.World) {}
+  constructor(private readonly world: types.Clock) {}
 
   /** So many requests of the tenant got a unit, and so many none. */
   add(tenant: string, granted: number, denied: number): void {
--- a/src/whatif/batch-cells.ts
+++ b/src/whatif/batch-cells.ts
@@ -1,7 +1,7 @@
 /** Cells of a batch day (design/batch 12): interactive requests as counts, a second at a time. */
 import * as loads from "../forecast/loads.js";
 import type * as types from "../wire/types.js";
-import type * as batchScenarios from "./batch-scenario.js";
+import type * as batchScenario from "./batch-scenario.js";
 
 const SECOND_MS = 1000;
 const DAY_HOURS = 24;
@@ -9,7 +9,7 @@
 const STRAY_KEPT = 0.9995;
 
 /** A draw of the standard normal distribution (Box and Muller). */
-export function normal(world: types.World): number {
+export function normal(world: types.Clock): number {
   return Math.sqrt(-2 * Math.log(1 - world.random())) * Math.cos(2 * Math.PI * world.random());
 }
 
@@ -27,9 +27,9 @@
   arrivals = 0;
 
   constructor(
-    readonly region: batchScenarios.BatchRegion,
-    private readonly scenario: Pick<batchScenarios.BatchScenario, "held_ms" | "noise">,
-    private readonly world: types.World,
+    readonly region: batchScenario.BatchRegion,
+    private readonly scenario: Pick<batchScenario.BatchScenario, "held_ms" | "noise">,
+    private readonly world: types.Clock,
   ) {}
 
   /** Requests a second by the hour of the day and the stray. */
--- a/src/whatif/batch-day.ts
+++ b/src/whatif/batch-day.ts
@@ -2,17 +2,17 @@
  * Plays batches beside interactive load and compares projected with seen waits (design/batch 12). Forecast, projection,
  * worklist and table are those of the control nodes; cells, arrivals and the register's rounds are models.
  */
-import * as outlooks from "../batch/outlook.js";
-import type * as projections from "../batch/projection.js";
+import * as outlook from "../batch/outlook.js";
+import type * as projection from "../batch/projection.js";
 import * as quotes from "../batch/quote.js";
 import * as items from "../batch/items.js";
 import * as steps from "../batch/steps.js";
 import * as tables from "../batch/table.js";
-import * as worklists from "../batch/worklist.js";
+import * as worklist from "../batch/worklist.js";
 import * as loads from "../forecast/loads.js";
 import type * as schema from "../wire/batch-schema.js";
-import * as fleets from "./batch-cells.js";
-import type * as batchScenarios from "./batch-scenario.js";
+import * as batchCells from "./batch-cells.js";
+import type * as batchScenario from "./batch-scenario.js";
 import * as worlds from "./world.js";
 
 const SECOND_MS = 1000;
@@ -41,25 +41,25 @@
 export class BatchDay {
   private readonly world: worlds.PlannedWorld;
   private readonly forecast: loads.LoadForecast;
-  private readonly cells: fleets.ModelCell[];
-  private readonly atWork = new Map<string, worklists.AtWork>();
+  private readonly cells: batchCells.ModelCell[];
+  private readonly atWork = new Map<string, worklist.AtWork>();
   private readonly ended: steps.EndedAttempt[] = [];
-  private readonly worklist: worklists.Worklist;
+  private readonly worklist: worklist.Worklist;
   private readonly heldMs = new Map<string, number>();
   private table: schema.BatchTable = { ...tables.EMPTY, owner: LIFE, term: 1 };
   private changedAt = 0;
-  constructor(private readonly scenario: batchScenarios.BatchScenario) {
+  constructor(private readonly scenario: batchScenario.BatchScenario) {
     this.world = new worlds.PlannedWorld(scenario.seed);
     this.forecast = new loads.LoadForecast(this.world);
-    this.cells = scenario.batch_regions.map((region) => new fleets.ModelCell(region, scenario, this.world));
-    this.worklist = new worklists.Worklist(this.world, {
+    this.cells = scenario.batch_regions.map((region) => new batchCells.ModelCell(region, scenario, this.world));
+    this.worklist = new worklist.Worklist(this.world, {
       serviceOf: () => SERVICE,
       roomsOf: (batch) => this.rooms(batch.homes),
       unreadOf: () => 0,
     });
   }
 
-  private rooms(homes: readonly string[]): outlooks.Room[] {
+  private rooms(homes: readonly string[]): outlook.Room[] {
     const here = this.cells.filter(({ region }) => homes.length === 0 || homes.includes(region.name));
     return here.map(({ region, reportedUse, batchItems }) => ({
       region: region.name,
@@ -74,9 +74,9 @@
   /** Plays the learning days, then every submission to the end of its batch. */
   async play(): Promise<BatchRecord[]> {
     const learningMs = this.scenario.learning_days * loads.DAY_MS;
-    this.world.after(0, this.second.bind(this, 0));
-    this.world.after(0, this.report.bind(this));
-    const planned: { atMs: number; kind: batchScenarios.BatchScenario["batches"][number] }[] = [];
+    this.world.schedule(0, this.second.bind(this, 0));
+    this.world.schedule(0, this.report.bind(this));
+    const planned: { atMs: number; kind: batchScenario.BatchScenario["batches"][number] }[] = [];
     for (const kind of this.scenario.batches) {
       for (let turn = 0; turn < kind.times; turn += 1)
         planned.push({ atMs: learningMs + (kind.first_s + turn * kind.every_s) * SECOND_MS, kind });
@@ -99,12 +99,12 @@
     record.endedMs = batch.endedMs - batch.submittedMs;
   }
 
-  private async submit(kind: batchScenarios.BatchScenario["batches"][number]): Promise<BatchRecord> {
+  private async submit(kind: batchScenario.BatchScenario["batches"][number]): Promise<BatchRecord> {
     this.change([]);
     // All cells count: batches before this one may run in others.
     const rooms = this.rooms([]);
-    const works: projections.Work[] = tables.openBatches(this.table).map((batch) => this.workOf(batch));
-    const pastErrors = outlooks.pastErrors(this.table);
+    const works: projection.Work[] = tables.openBatches(this.table).map((batch) => this.workOf(batch));
+    const pastErrors = outlook.pastErrors(this.table);
     const own = {
       count: kind.count,
       heldMs: kind.item_held_ms,
@@ -112,7 +112,7 @@
       regions: new Set(this.rooms(kind.homes).map((room) => room.region)),
     };
     const quote = await quotes.answer({
-      cells: outlooks.cellsOf(rooms, this.forecast, () => this.scenario.held_ms),
+      cells: outlook.cellsOf(rooms, this.forecast, () => this.scenario.held_ms),
       works: [...works, own],
       withinMs: 0,
       pastErrors,
@@ -125,14 +125,14 @@
     return { number, atMs: this.world.now(), count: kind.count, load: this.load(), quote, beganMs: 0, endedMs: 0 };
   }
 
-  private workOf(batch: schema.Batch): projections.Work {
+  private workOf(batch: schema.Batch): projection.Work {
     const counts = items.tally(batch.items);
     const regions = new Set(this.rooms(batch.homes).map((room) => room.region));
     const count = (counts.get("waiting") ?? 0) + (counts.get("sent") ?? 0);
     return { count, heldMs: this.heldMs.get(batch.digest)!, unread: 0, regions };
   }
 
-  private take(kind: batchScenarios.BatchScenario["batches"][number], quote: quotes.Quote, number: number): void {
+  private take(kind: batchScenario.BatchScenario["batches"][number], quote: quotes.Quote, number: number): void {
     const { end, begin, modelMs } = quote;
     const projected = {
       beginMs: begin.p50 ?? Infinity,
@@ -156,7 +156,7 @@
     const outcome = steps.submit(this.table, submission);
     if (outcome.isErr) throw outcome.error;
     this.table = outcome.value;
-    this.world.after(CHANGE_MS, this.work.bind(this));
+    this.world.schedule(CHANGE_MS, this.work.bind(this));
   }
 
   /** Interactive load over all places. */
@@ -170,7 +170,7 @@
     return held / places;
   }
 
-  private change(sends: worklists.Send[]): void {
+  private change(sends: worklist.Send[]): void {
     const now = this.world.now();
     const outcome = steps.advance(this.table, LIFE, { term: 1, elapsedMs: now - this.changedAt, ended: this.ended.splice(0), sends });
     if (outcome.isErr) throw outcome.error;
@@ -187,20 +187,20 @@
       this.change(sends);
       for (const send of sends) this.send(send);
       this.isWorking = tables.openBatches(this.table).length > 0;
-      if (this.isWorking) this.world.after(CHANGE_MS, turn);
+      if (this.isWorking) this.world.schedule(CHANGE_MS, turn);
     };
     turn();
   }
 
   private isWorking = false;
 
-  private send(send: worklists.Send): void {
+  private send(send: worklist.Send): void {
     const cell = this.cells.find(({ region }) => region.name === send.region)!;
-    const key = worklists.keyOf(send);
+    const key = worklist.keyOf(send);
     this.atWork.set(key, { ...send, sentAt: this.world.now() });
     cell.batchItems += 1;
-    const heldMs = this.heldMs.get(String(send.number))! * Math.exp(ITEM_SPREAD * fleets.normal(this.world) - ITEM_SPREAD ** 2 / 2);
-    this.world.after(heldMs, () => {
+    const heldMs = this.heldMs.get(String(send.number))! * Math.exp(ITEM_SPREAD * batchCells.normal(this.world) - ITEM_SPREAD ** 2 / 2);
+    this.world.schedule(heldMs, () => {
       cell.batchItems -= 1;
       this.atWork.delete(key);
       this.ended.push({ ...send, end: "done" });
@@ -211,7 +211,7 @@
   private second(index: number): void {
     for (const cell of this.cells) cell.second();
     if (index % LOAD_REPORT_S === 0) this.tellLoads();
-    this.world.after(SECOND_MS, this.second.bind(this, index + 1));
+    this.world.schedule(SECOND_MS, this.second.bind(this, index + 1));
   }
 
   private tellLoads(): void {
@@ -224,6 +224,6 @@
 
   private report(): void {
     for (const cell of this.cells) cell.reportedUse = cell.interactive + cell.batchItems;
-    this.world.after(REPORT_MS, this.report.bind(this));
+    this.world.schedule(REPORT_MS, this.report.bind(this));
   }
 }
--- a/src/whatif/batch-table.ts
+++ b/src/whatif/batch-table.ts
@@ -1,7 +1,7 @@
 /** Projected beside seen waits as rows, lines and a plot (design/batch 12). */
 import * as statistics from "simple-statistics";
 import type * as plot from "../plots/plot.js";
-import type * as days from "./batch-day.js";
+import type * as batchDay from "./batch-day.js";
 
 /** A row of the output; with --json these names are printed. Seconds; load is the part of places taken by others. */
 export interface Row {
@@ -24,7 +24,7 @@
   return ms === null ? null : Math.round(ms / 100) / 10;
 }
 
-function rowOf(record: days.BatchRecord): Row {
+function rowOf(record: batchDay.BatchRecord): Row {
   const { p05, p50, p95 } = record.quote.end;
   return {
     batch: record.number,
@@ -40,7 +40,7 @@
 }
 
 /** One row a batch. */
-export function rows(records: readonly days.BatchRecord[]): Row[] {
+export function rows(records: readonly batchDay.BatchRecord[]): Row[] {
   return records.map(rowOf);
 }
 
--- a/src/whatif/batch.ts
+++ b/src/whatif/batch.ts
@@ -43,7 +43,7 @@
     readonly id: string,
     readonly region: string,
     private readonly figures: scenarios.Scenario["runner"],
-    private readonly world: types.World,
+    private readonly world: types.Clock,
   ) {}
 
   private tokensOf(job: Job): number {
@@ -95,8 +95,8 @@
     const firstAt = this.readingUntil + eventMs;
     const endAt = firstAt + (job.events - 1) * eventMs;
     const isWhole = endAt <= job.deadline;
-    if (firstAt <= job.deadline) this.world.after(firstAt - now, job.first.bind(job));
-    this.world.after(Math.min(endAt, job.deadline) - now, ended.bind(this));
+    if (firstAt <= job.deadline) this.world.schedule(firstAt - now, job.first.bind(job));
+    this.world.schedule(Math.min(endAt, job.deadline) - now, ended.bind(this));
     function ended(this: BatchRunner): void {
       this.active -= 1;
       this.kvUsed -= tokens;
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -2,11 +2,11 @@
 import type * as fleets from "../router/runners/fleet.js";
 import type * as plans from "../router/plan.js";
 import type * as tickets from "../admission/ticket.js";
-import type * as requests from "../router/request.js";
+import type * as request from "../router/request.js";
 import type * as types from "../wire/types.js";
-import type * as batches from "./batch.js";
+import type * as batch from "./batch.js";
 import type * as scenarios from "./scenario.js";
-import * as systems from "./system.js";
+import * as system from "./system.js";
 
 /** Tries of one request, and sends to runners within a try. */
 const MAX_TRIES = 4;
@@ -44,25 +44,25 @@
 
 /** What the clients meet; the overload day is it. */
 export interface OverloadedFleet {
-  readonly world: types.World;
-  readonly runners: ReadonlyMap<string, batches.BatchRunner>;
-  readonly routers: readonly systems.ModelRouter[];
+  readonly world: types.Clock;
+  readonly runners: ReadonlyMap<string, batch.BatchRunner>;
+  readonly routers: readonly system.ModelRouter[];
   /** The router of one try, by chance. */
-  pickRouter(): systems.ModelRouter;
+  pickRouter(): system.ModelRouter;
   /** Milliseconds by which the router's loop is late. */
-  lagOf(router: systems.ModelRouter): number;
+  lagOf(router: system.ModelRouter): number;
   /** The part of all places that is free. */
   unused(): number;
 }
 
 /** A request on its way from a router to a runner. */
 interface Send {
-  readonly router: systems.ModelRouter;
+  readonly router: system.ModelRouter;
   /** The runner as the router sees it, and the model that does the work. */
   readonly runner: fleets.Runner;
-  readonly model: batches.BatchRunner;
+  readonly model: batch.BatchRunner;
   readonly ticket: tickets.Ticket;
-  readonly request: requests.Request;
+  readonly request: request.Request;
   /** Ids of the runners that handed this try back. */
   readonly tried: Set<string>;
   /** Milliseconds between the two, one way. */
@@ -91,13 +91,13 @@
     this.startedAt = this.fleet.world.now();
     this.record.tries += 1;
     const router = this.fleet.pickRouter();
-    this.fleet.world.after(this.fleet.lagOf(router), this.send.bind(this, router, new Set<string>()));
+    this.fleet.world.schedule(this.fleet.lagOf(router), this.send.bind(this, router, new Set<string>()));
   }
 
-  private send(router: systems.ModelRouter, tried: Set<string>): void {
+  private send(router: system.ModelRouter, tried: Set<string>): void {
     const entry = router.chooser.table!.find("whatif", `/${this.kind.name}/`)!;
     this.ids += 1;
-    const request = systems.requestOf(entry, `r-${this.record.at}-${this.ids}`, this.parts, this.deadline, this.events);
+    const request = system.requestOf(entry, `r-${this.record.at}-${this.ids}`, this.parts, this.deadline, this.events);
     router.chooser.countRequest(request);
     const choice = router.chooser.choose(request, tried, tried.size);
     if ("status" in choice) {
@@ -109,13 +109,13 @@
     choice.runner.inflight += 1;
     const tripMs = router.region === model.region ? SAME_REGION_TRIP_MS : this.scenario.trip_ms;
     const send: Send = { router, runner: choice.runner, model, ticket: choice.ticket, request, tried, tripMs };
-    this.fleet.world.after(tripMs, this.submit.bind(this, send));
+    this.fleet.world.schedule(tripMs, this.submit.bind(this, send));
   }
 
   private submit(send: Send): void {
     const { fleet, kind } = this;
     const { router, runner, model, ticket } = send;
-    const tokens = systems.publishReading(fleet.world, fleet.routers, router, model.id, send.request);
+    const tokens = system.publishReading(fleet.world, fleet.routers, router, model.id, send.request);
     const sentAt = fleet.world.now();
     const recordFirstEvent = this.first.bind(this, send.tripMs);
     const recordEnd = this.ended.bind(this);
@@ -172,6 +172,6 @@
     const left = this.deadline - world.now();
     const waitMs = Math.min(retryAfterS * 1000, left * HONOURED_SHARE);
     if (this.record.tries >= MAX_TRIES || left - waitMs < MIN_TIME_LEFT_MS) this.record.outcome = "refused";
-    else world.after(waitMs, this.start.bind(this));
+    else world.schedule(waitMs, this.start.bind(this));
   }
 }
--- a/src/whatif/outcome.ts
+++ b/src/whatif/outcome.ts
@@ -1,5 +1,5 @@
 /** An overload day counted a kind at a time, with and without admission (design/admission 7). */
-import type * as clients from "./client.js";
+import type * as client from "./client.js";
 import * as overload from "./overload.js";
 import type * as scenarios from "./scenario.js";
 
@@ -40,15 +40,15 @@
   return left - right;
 }
 
-function bySize(left: clients.RequestRecord, right: clients.RequestRecord): number {
+function bySize(left: client.RequestRecord, right: client.RequestRecord): number {
   return right.size - left.size;
 }
 
-function isServed(item: clients.RequestRecord): boolean {
+function isServed(item: client.RequestRecord): boolean {
   return item.outcome === "in_aim" || item.outcome === "late";
 }
 
-function shareServed(items: readonly clients.RequestRecord[]): number {
+function shareServed(items: readonly client.RequestRecord[]): number {
   return items.length === 0 ? 1 : Math.round((1000 * items.filter(isServed).length) / items.length) / 1000;
 }
 
@@ -58,12 +58,12 @@
   return values.length === 0 ? 0 : Math.round((1000 * sum) / values.length) / 1000;
 }
 
-function worthOf(item: clients.RequestRecord): number {
+function worthOf(item: client.RequestRecord): number {
   return item.worth;
 }
 
 /** Counts the requests of one kind. */
-export function rowOf(kind: string, isOn: boolean, items: readonly clients.RequestRecord[]): Row {
+export function rowOf(kind: string, isOn: boolean, items: readonly client.RequestRecord[]): Row {
   const times = items.flatMap(refusedOf).sort(byNumber);
   const sorted = [...items].sort(bySize);
   const tenth = Math.round(items.length * TENTH);
@@ -96,11 +96,11 @@
   };
 }
 
-function refusedOf(item: clients.RequestRecord): number[] {
+function refusedOf(item: client.RequestRecord): number[] {
   return item.refusedMs;
 }
 
-function unusedOf(item: clients.RequestRecord): number[] {
+function unusedOf(item: client.RequestRecord): number[] {
   return item.unused;
 }
 
@@ -114,7 +114,7 @@
   return made;
 }
 
-function isOf(kind: string, item: clients.RequestRecord): boolean {
+function isOf(kind: string, item: client.RequestRecord): boolean {
   return item.kind === kind;
 }
 
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -3,11 +3,11 @@
  * (design/admission 7): clients with deadlines that return as told, surges, slowed runners and routers.
  */
 import * as plans from "../router/plan.js";
-import * as batches from "./batch.js";
-import * as clients from "./client.js";
-import * as owners from "./owner.js";
+import * as batch from "./batch.js";
+import * as client from "./client.js";
+import * as owner from "./owner.js";
 import type * as scenarios from "./scenario.js";
-import * as systems from "./system.js";
+import * as system from "./system.js";
 import * as worlds from "./world.js";
 
 const REPORT_MS = 600;
@@ -16,14 +16,14 @@
 const LONGEST_SIZE = 3;
 
 /** One day; to be played once. The same scenario and seed give the same records. */
-export class OverloadDay implements clients.OverloadedFleet {
+export class OverloadDay implements client.OverloadedFleet {
   /** One record a request, in the order of arrival. */
-  readonly records: clients.RequestRecord[] = [];
+  readonly records: client.RequestRecord[] = [];
   readonly world: worlds.PlannedWorld;
-  readonly runners = new Map<string, batches.BatchRunner>();
-  readonly routers: systems.ModelRouter[] = [];
-  private readonly lags = new Map<systems.ModelRouter, number>();
-  private readonly owner: owners.SoleOwner;
+  readonly runners = new Map<string, batch.BatchRunner>();
+  readonly routers: system.ModelRouter[] = [];
+  private readonly lags = new Map<system.ModelRouter, number>();
+  private readonly owner: owner.SoleOwner;
   private runnersStarted = 0;
   /** Chance of its own, so that the same clients come whatever the routers do. */
   private readonly chance: worlds.PlannedWorld;
@@ -33,35 +33,35 @@
     isOn: boolean,
   ) {
     this.world = new worlds.PlannedWorld(scenario.seed);
-    this.owner = new owners.SoleOwner(this.world, systems.BOUNDS);
+    this.owner = new owner.SoleOwner(this.world, system.BOUNDS);
     this.chance = new worlds.PlannedWorld(scenario.seed + 1);
-    const table = systems.tableOf(scenario);
+    const table = system.tableOf(scenario);
     const regions = scenario.regions.map(nameOf);
     for (const region of scenario.regions) {
       for (let count = 0; count < region.runners; count += 1) {
         this.runnersStarted += 1;
-        const runner = new batches.BatchRunner(`${region.name}-${this.runnersStarted}`, region.name, scenario.runner, this.world);
+        const runner = new batch.BatchRunner(`${region.name}-${this.runnersStarted}`, region.name, scenario.runner, this.world);
         this.runners.set(runner.id, runner);
       }
       for (let count = 0; count < region.routers; count += 1)
-        this.addRouter(new systems.ModelRouter(region.name, this.world, regions, table), isOn);
+        this.addRouter(new system.ModelRouter(region.name, this.world, regions, table), isOn);
     }
   }
 
-  private addRouter(router: systems.ModelRouter, isOn: boolean): void {
+  private addRouter(router: system.ModelRouter, isOn: boolean): void {
     router.chooser.admission.isOn = isOn;
     this.routers.push(router);
   }
 
   /** Plays the day to the end of its last request. */
-  play(): clients.RequestRecord[] {
-    const list = systems.instancesOf([...this.runners.values()].map(standing), this.scenario.runner.capacity, new Map());
+  play(): client.RequestRecord[] {
+    const list = system.instancesOf([...this.runners.values()].map(standing), this.scenario.runner.capacity, new Map());
     for (const router of this.routers) router.fleet.takeList(list);
     this.deal();
     this.report();
     this.onTimer();
-    for (const fault of this.scenario.faults) this.world.after(fault.at_s * 1000, this.injectFault.bind(this, fault));
-    for (const kind of this.scenario.kinds) this.world.after(this.gap(kind), this.arrive.bind(this, kind));
+    for (const fault of this.scenario.faults) this.world.schedule(fault.at_s * 1000, this.injectFault.bind(this, fault));
+    for (const kind of this.scenario.kinds) this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
     this.world.play(this.scenario.length_s * 1000);
     // What is at work at the end is played to its end; nobody new arrives.
     this.world.play(this.scenario.length_s * 2000 + 60_000);
@@ -77,13 +77,13 @@
       router.share.deal(this.routers.length);
       this.owner.serve(`router-${index}`, router.share);
     }
-    this.world.after(DEAL_MS, this.deal.bind(this));
+    this.world.schedule(DEAL_MS, this.deal.bind(this));
   }
 
   private report(): void {
     for (const region of this.scenario.regions) {
       const reports = [...this.runners.values()].filter(isHere).map(reportOf);
-      function isHere(runner: batches.BatchRunner): boolean {
+      function isHere(runner: batch.BatchRunner): boolean {
         return runner.region === region.name;
       }
       for (const router of this.routers) {
@@ -91,12 +91,12 @@
         router.chooser.admission.takeReport({ region: region.name, reports });
       }
     }
-    this.world.after(REPORT_MS, this.report.bind(this));
+    this.world.schedule(REPORT_MS, this.report.bind(this));
   }
 
   private onTimer(): void {
     for (const [router, ms] of this.lags) router.chooser.admission.recordLag(ms);
-    this.world.after(TIMER_MS, this.onTimer.bind(this));
+    this.world.schedule(TIMER_MS, this.onTimer.bind(this));
   }
 
   private injectFault(fault: scenarios.Fault): void {
@@ -106,7 +106,7 @@
       const router = this.routers.find(isThere);
       if (!router) return;
       lags.set(router, fault.factor * TIMER_MS);
-      this.world.after(end, quick);
+      this.world.schedule(end, quick);
       function quick(): void {
         lags.delete(router!);
       }
@@ -115,7 +115,7 @@
     const runner = [...this.runners.values()].find(isThere);
     if (!runner) return;
     runner.slow = fault.factor;
-    this.world.after(end, healed);
+    this.world.schedule(end, healed);
     function isThere(item: { region: string }): boolean {
       return item.region === fault.region;
     }
@@ -139,7 +139,7 @@
 
   private arrive(kind: scenarios.Kind): void {
     if (this.isOver()) return;
-    this.world.after(this.gap(kind), this.arrive.bind(this, kind));
+    this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
     const session = `${kind.name}-${Math.floor(this.chance.random() * kind.sessions)}`;
     const size = Math.min(LONGEST_SIZE, 0.5 - 0.5 * Math.log(1 - this.chance.random()));
     const parts: plans.Part[] = [
@@ -148,7 +148,7 @@
       { id: `t-${this.records.length}`, tokens: Math.max(1, Math.round(kind.turn_tokens * size)) },
     ];
     const events = Math.max(1, Math.round(kind.events * size));
-    const record: clients.RequestRecord = {
+    const record: client.RequestRecord = {
       kind: kind.name,
       at: this.world.now(),
       size,
@@ -162,14 +162,14 @@
       session,
     };
     this.records.push(record);
-    new clients.ClientRequest(this, this.scenario, kind, parts, events, record).start();
+    new client.ClientRequest(this, this.scenario, kind, parts, events, record).start();
   }
 
-  pickRouter(): systems.ModelRouter {
+  pickRouter(): system.ModelRouter {
     return this.routers[Math.floor(this.world.random() * this.routers.length)];
   }
 
-  lagOf(router: systems.ModelRouter): number {
+  lagOf(router: system.ModelRouter): number {
     return this.lags.get(router) ?? 0;
   }
 
@@ -180,11 +180,11 @@
   }
 }
 
-function standing(runner: batches.BatchRunner): systems.Standing {
+function standing(runner: batch.BatchRunner): system.Standing {
   return { id: runner.id, region: runner.region, isUp: true };
 }
 
-function reportOf(runner: batches.BatchRunner): ReturnType<batches.BatchRunner["report"]> {
+function reportOf(runner: batch.BatchRunner): ReturnType<batch.BatchRunner["report"]> {
   return runner.report();
 }
 
--- a/src/whatif/owner.ts
+++ b/src/whatif/owner.ts
@@ -2,24 +2,24 @@
 import * as registers from "../register/value.js";
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
-import * as owners from "../shares/owner.js";
-import type * as shares from "../shares/shares.js";
-import * as tenures from "../shares/tenure.js";
+import * as owner from "../limits/owner.js";
+import type * as shares from "../limits/shares.js";
+import * as tenures from "../limits/tenure.js";
 
 const LIFE = "whatif";
 const ADDRESS = "127.0.0.1:9";
 
 /** Grants leases at once, with no link and no voter between. */
 export class SoleOwner {
-  private readonly owner: owners.LeaseOwner;
+  private readonly owner: owner.LeaseOwner;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     bounds: shares.Bounds,
   ) {
     const tenure = new tenures.Tenure(world);
     tenure.take(registers.firstValue([ADDRESS]), registers.firstDisk(ADDRESS));
-    this.owner = new owners.LeaseOwner(world, LIFE, bounds, tenure);
+    this.owner = new owner.LeaseOwner(world, LIFE, bounds, tenure);
   }
 
   /** What a router's turn of asking comes to, without a way between. */
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -1,10 +1,10 @@
 /** Plays a what-if day and counts it by phase: before, during and after the faults (design 11.2). */
 import * as plans from "../router/plan.js";
 import type * as fleets from "../router/runners/fleet.js";
-import * as owners from "./owner.js";
+import * as owner from "./owner.js";
 import * as models from "./runner.js";
 import type * as scenarios from "./scenario.js";
-import * as systems from "./system.js";
+import * as system from "./system.js";
 import * as worlds from "./world.js";
 
 /** Where a request lies to the faults of the day. */
@@ -25,7 +25,7 @@
 interface Turn {
   readonly kind: scenarios.Kind;
   readonly session: string;
-  readonly router: systems.ModelRouter;
+  readonly router: system.ModelRouter;
   /** Common part, session's part, and the turn's own. */
   readonly parts: plans.Part[];
   readonly startedAt: number;
@@ -44,8 +44,8 @@
   readonly records: RequestRecord[] = [];
   private readonly world: worlds.PlannedWorld;
   private readonly runners = new Map<string, models.ModelRunner>();
-  private readonly routers: systems.ModelRouter[] = [];
-  private readonly owner: owners.SoleOwner;
+  private readonly routers: system.ModelRouter[] = [];
+  private readonly owner: owner.SoleOwner;
   private readonly lastRunner = new Map<string, string>();
   private readonly coldMs = new Map<string, number>();
   private readonly evacuated = new Set<string>();
@@ -54,13 +54,13 @@
 
   constructor(private readonly scenario: scenarios.Scenario) {
     this.world = new worlds.PlannedWorld(scenario.seed);
-    this.owner = new owners.SoleOwner(this.world, systems.BOUNDS);
-    const table = systems.tableOf(scenario);
+    this.owner = new owner.SoleOwner(this.world, system.BOUNDS);
+    const table = system.tableOf(scenario);
     const regions = scenario.regions.map(nameOf);
     for (const region of scenario.regions) {
       for (let count = 0; count < region.runners; count += 1) this.addRunner(region.name);
       for (let count = 0; count < region.routers; count += 1)
-        this.routers.push(new systems.ModelRouter(region.name, this.world, regions, table));
+        this.routers.push(new system.ModelRouter(region.name, this.world, regions, table));
     }
   }
 
@@ -75,14 +75,14 @@
   play(): RequestRecord[] {
     this.pushList();
     this.deal();
-    for (const fault of this.scenario.faults) this.world.after(fault.at_s * 1000, this.injectFault.bind(this, fault));
-    for (const kind of this.scenario.kinds) this.world.after(this.gap(kind), this.arrive.bind(this, kind));
+    for (const fault of this.scenario.faults) this.world.schedule(fault.at_s * 1000, this.injectFault.bind(this, fault));
+    for (const kind of this.scenario.kinds) this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
     this.world.play(this.scenario.length_s * 1000);
     return this.records;
   }
 
   private pushList(): void {
-    const list = systems.instancesOf(this.runners.values(), this.scenario.runner.capacity, this.coldMs);
+    const list = system.instancesOf(this.runners.values(), this.scenario.runner.capacity, this.coldMs);
     for (const router of this.routers) router.fleet.takeList(list);
     this.coldMs.clear();
   }
@@ -92,7 +92,7 @@
       router.share.deal(this.routers.length);
       this.owner.serve(`router-${index}`, router.share);
     }
-    this.world.after(DEAL_MS, this.deal.bind(this));
+    this.world.schedule(DEAL_MS, this.deal.bind(this));
   }
 
   private injectFault(fault: scenarios.Fault): void {
@@ -100,17 +100,17 @@
     if (fault.kind === "drain") {
       this.evacuated.add(fault.region);
       this.pushRotation();
-      this.world.after(end, this.takeBack.bind(this, fault.region));
+      this.world.schedule(end, this.takeBack.bind(this, fault.region));
       return;
     }
     for (const runner of [...this.runners.values()]) {
       if (runner.region !== fault.region || !runner.isUp) continue;
       runner.lose();
-      this.world.after(end, this.replaceRunner.bind(this, runner));
+      this.world.schedule(end, this.replaceRunner.bind(this, runner));
       if (fault.kind === "lose_runner") break;
     }
     // Routers hear of it when the report stays out; until then sends there fail and go on.
-    this.world.after(LOSS_DETECTED_MS, this.pushList.bind(this));
+    this.world.schedule(LOSS_DETECTED_MS, this.pushList.bind(this));
   }
 
   private takeBack(region: string): void {
@@ -134,7 +134,7 @@
   }
 
   private arrive(kind: scenarios.Kind): void {
-    this.world.after(this.gap(kind), this.arrive.bind(this, kind));
+    this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
     const session = `${kind.name}-${Math.floor(this.world.random() * kind.sessions)}`;
     const router = this.routers[Math.floor(this.world.random() * this.routers.length)];
     this.requests += 1;
@@ -149,7 +149,7 @@
   private send(turn: Turn): void {
     const { kind, router, tried } = turn;
     const entry = router.chooser.table!.find("whatif", `/${kind.name}/`)!;
-    const request = systems.requestOf(entry, `r-${this.requests}`, turn.parts, turn.startedAt + DEADLINE_MS);
+    const request = system.requestOf(entry, `r-${this.requests}`, turn.parts, turn.startedAt + DEADLINE_MS);
     router.chooser.countRequest(request);
     const choice = router.chooser.choose(request, tried, tried.size);
     if ("status" in choice) {
@@ -161,14 +161,14 @@
     if (!model.isUp || model.isFull()) {
       tried.add(model.id);
       choice.runner.suspect(this.world.now());
-      this.world.after(2 * this.tripMs(router, model), this.send.bind(this, turn));
+      this.world.schedule(2 * this.tripMs(router, model), this.send.bind(this, turn));
       return;
     }
-    systems.publishReading(this.world, this.routers, router, model.id, request);
+    system.publishReading(this.world, this.routers, router, model.id, request);
     this.run(turn, choice.runner, model);
   }
 
-  private tripMs(router: systems.ModelRouter, model: models.ModelRunner): number {
+  private tripMs(router: system.ModelRouter, model: models.ModelRunner): number {
     return router.region === model.region ? SAME_REGION_TRIP_MS : this.scenario.trip_ms;
   }
 
@@ -180,7 +180,7 @@
     runner.inflight += 1;
     runner.received(now);
     this.count(turn, now - turn.startedAt + 2 * tripMs + firstMs, unread, model.id);
-    this.world.after(endMs, ended);
+    this.world.schedule(endMs, ended);
     function ended(): void {
       model.active -= 1;
       runner.inflight -= 1;
--- a/src/whatif/scenario.ts
+++ b/src/whatif/scenario.ts
@@ -2,7 +2,7 @@
 import * as result from "true-myth/result";
 import * as superstruct from "superstruct";
 import * as check from "../config/check.js";
-import * as errors from "../startup/errors.js";
+import * as errors from "../runtime/errors.js";
 
 const count = superstruct.min(superstruct.integer(), 1);
 const above = superstruct.min(superstruct.number(), 0, { exclusive: true });
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -6,10 +6,10 @@
 import * as plans from "../router/plan.js";
 import * as readings from "../router/runners/readings.js";
 import * as rotations from "../router/runners/rotation.js";
-import * as shares from "../shares/shares.js";
+import * as shares from "../limits/shares.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import type * as requests from "../router/request.js";
+import type * as request from "../router/request.js";
 import type * as scenarios from "./scenario.js";
 import * as worlds from "./world.js";
 
@@ -111,7 +111,7 @@
   parts: plans.Part[],
   deadline: number,
   mostOut = 0,
-): requests.Request {
+): request.Request {
   const asked = { ...plans.readAsked(undefined, parts), mostOut };
   return {
     requestId: types.small(requestId),
@@ -131,15 +131,15 @@
 
 /** Notes a reading where it is sent from, and tells the other routers a moment later, as signs do. */
 export function publishReading(
-  world: types.World,
+  world: types.Clock,
   routers: readonly ModelRouter[],
   from: ModelRouter,
   runner: string,
-  request: requests.Request,
+  request: request.Request,
 ): number {
   const unread = Math.round(from.known.unread(runner, request.parts, request.keys));
   from.read(runner, unread, request.keys, world.now());
-  world.after(SIGN_MS, deliver);
+  world.schedule(SIGN_MS, deliver);
   return unread;
   function deliver(): void {
     for (const router of routers) if (router !== from) router.read(runner, unread, request.keys, world.now());
--- a/src/whatif/world.ts
+++ b/src/whatif/world.ts
@@ -8,7 +8,7 @@
 }
 
 /** A `World` whose events run in order of time, then of scheduling; the same seed gives the same run. */
-export class PlannedWorld implements types.World {
+export class PlannedWorld implements types.Clock {
   private clock = 0;
   private order = 0;
   private readonly heap: ScheduledEvent[] = [];
@@ -32,7 +32,7 @@
   }
 
   /** Schedules a run; one that is stopped is skipped. */
-  after(ms: number, run: () => void): types.Tick {
+  schedule(ms: number, run: () => void): types.Timer {
     const item: ScheduledEvent = { at: this.clock + Math.max(0, ms), order: (this.order += 1), run };
     this.heap.push(item);
     this.siftUp(this.heap.length - 1);
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -2,11 +2,11 @@
 import * as events from "node:events";
 import * as net from "node:net";
 import * as calls from "./calls.js";
-import * as releases from "./release.js";
+import * as release from "./release.js";
 import * as counts from "./counts.js";
 import * as types from "./types.js";
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
 
 const HEAD_BYTES = 10; // length u32, kind u8, code u8, call id u32
 /** The bound on a frame's body. */
@@ -36,7 +36,7 @@
 interface Waiting {
   pair: calls.Pair<unknown, unknown>;
   resolve(reply: unknown): void;
-  tick: types.Tick;
+  tick: types.Timer;
 }
 
 /** `end`: it is over, for this cause. */
@@ -51,13 +51,13 @@
   private held = 0;
   private wanted = HEAD_BYTES;
   private lastCallId: number;
-  private readonly opening: releases.Opening;
+  private readonly opening: release.Opening;
   heardAt: types.SteadyMs;
   isOpen = true;
 
   /** `firstCallId`: of the calls from this side; any will do, since the ids of the two sides are apart. */
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     readonly socket: net.Socket,
     private readonly handlers: Handlers,
     firstCallId = 1,
@@ -66,7 +66,7 @@
     this.lastCallId = (firstCallId - 1) >>> 0;
     this.heardAt = world.now();
     socket.setNoDelay(true);
-    this.opening = new releases.Opening(world, socket, SILENT_MS, this.over.bind(this));
+    this.opening = new release.Opening(world, socket, SILENT_MS, this.over.bind(this));
     socket.on("data", this.read.bind(this));
     socket.on("error", (cause) => this.end(cause.message));
     socket.on("close", () => this.end("closed"));
@@ -125,7 +125,7 @@
         waiting.delete(id);
         resolve(null);
       }
-      const tick = world.after(withinMs, late);
+      const tick = world.schedule(withinMs, late);
       waiting.set(id, { pair, resolve, tick });
       write(CALL, pair.code, id, body);
     });
@@ -220,11 +220,11 @@
 }
 
 /** Dials; null where nothing came up in time. */
-export function connect(world: types.World, address: string, handlers: Handlers, withinMs: number): Promise<Link | null> {
+export function connect(world: types.Clock, address: string, handlers: Handlers, withinMs: number): Promise<Link | null> {
   log.count("link.dials");
   return new Promise(function start(resolve) {
     const socket = net.connect({ host: types.hostOf(address), port: types.portOf(address) });
-    const tick = world.after(withinMs, giveUp);
+    const tick = world.schedule(withinMs, giveUp);
     function giveUp(): void {
       socket.destroy();
       resolve(null);
--- a/src/wire/release.ts
+++ b/src/wire/release.ts
@@ -1,8 +1,8 @@
 // The first bytes of a link tell the release of its frames' layout (design/edge 3.4). Their own layout never changes:
 // four bytes of magic, then the release as u32, big-endian.
 import type * as net from "node:net";
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
 import * as schema from "./schema.js";
 import type * as types from "./types.js";
 
@@ -36,18 +36,18 @@
 export class Opening {
   isOver = false;
   private held: Buffer = Buffer.alloc(0);
-  private readonly tick: types.Tick;
+  private readonly tick: types.Timer;
   private readonly host: string;
 
   /** deny ends the link for the reason told. */
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly socket: net.Socket,
     withinMs: number,
     private readonly deny: (cause: string) => void,
   ) {
     this.host = socket.remoteAddress ?? "an unknown host";
-    this.tick = world.after(withinMs, this.late.bind(this));
+    this.tick = world.schedule(withinMs, this.late.bind(this));
     socket.write(preamble(schema.RELEASE));
   }
 
@@ -107,8 +107,8 @@
 }
 
 /** Ends the own side and reads on for a moment: a reset would take the preamble from the other side. */
-function linger(world: types.World, socket: net.Socket): void {
-  const tick = world.after(LINGER_MS, socket.destroy.bind(socket));
+function linger(world: types.Clock, socket: net.Socket): void {
+  const tick = world.schedule(LINGER_MS, socket.destroy.bind(socket));
   socket.once("close", tick.stop.bind(tick));
   socket.end();
 }
--- a/src/wire/serve.ts
+++ b/src/wire/serve.ts
@@ -1,9 +1,9 @@
 // Small JSON servers of the control plane and the directory (design 6.2, 4.3).
 import * as http from "node:http";
-import * as errors from "../startup/errors.js";
-import * as log from "../startup/log.js";
-import type * as supervisor from "../supervisor/tree.js";
-import * as listening from "./listen.js";
+import * as errors from "../runtime/errors.js";
+import * as log from "../runtime/log.js";
+import type * as tree from "../supervisor/tree.js";
+import * as listen from "./listen.js";
 
 const MAX_BODY = 16 * 1024 * 1024;
 
@@ -65,7 +65,7 @@
       response.destroy();
     }
   }
-  await listening.listen(server, address);
+  await listen.listen(server, address);
   return { close };
   function close(): Promise<void> {
     return new Promise(function ending(done) {
@@ -109,7 +109,7 @@
 }
 
 /** A server as a child of the supervisor. */
-export function child(name: string, address: string | undefined, reply: Reply): supervisor.Child {
+export function child(name: string, address: string | undefined, reply: Reply): tree.Child {
   let open: Server | null = null;
   return {
     name,
--- a/src/wire/types.ts
+++ b/src/wire/types.ts
@@ -36,14 +36,14 @@
 }
 
 /** Time, chance and ticks, handed in so that tests decide them (design 1.4). */
-export interface World {
+export interface Clock {
   now(): SteadyMs;
   random(): number;
-  after(ms: number, run: () => void): Tick;
+  schedule(ms: number, run: () => void): Timer;
 }
 
 /** A timer; stopping it twice does no harm. */
-export interface Tick {
+export interface Timer {
   stop(): void;
 }
 
--- a/tests/admission-judge.test.ts
+++ b/tests/admission-judge.test.ts
@@ -4,7 +4,7 @@
 import * as pauses from "../src/admission/pauses.js";
 import * as sizes from "../src/admission/sizes.js";
 import * as tallies from "../src/admission/tally.js";
-import * as verdicts from "../src/admission/verdict.js";
+import * as verdict from "../src/admission/verdict.js";
 import * as check from "../src/config/check.js";
 import * as routes from "../src/config/routes.js";
 import * as fleets from "../src/router/runners/fleet.js";
@@ -215,9 +215,9 @@
 
 test("Retry-After: the excess, at least 0.2 s, at most a third of the time left, spread by chance", () => {
   const plan = new Door(1).plan(1);
-  expect([0, 1].map((random) => verdicts.rejection(plan, 500, random).retryAfterS)).toEqual([0.3, 0.5]);
-  expect(verdicts.rejection(plan, -Infinity, 1).retryAfterS).toBe(0.2);
-  expect(verdicts.rejection(plan, 9000, 1).retryAfterS).toBeCloseTo(4 / 3);
+  expect([0, 1].map((random) => verdict.rejection(plan, 500, random).retryAfterS)).toEqual([0.3, 0.5]);
+  expect(verdict.rejection(plan, -Infinity, 1).retryAfterS).toBe(0.2);
+  expect(verdict.rejection(plan, 9000, 1).retryAfterS).toBeCloseTo(4 / 3);
 });
 
 test("the tally: refusal times at the door and after a send, ends by rank, room unused, and when a shortage ends", async function told() {
--- a/tests/admission-parts.test.ts
+++ b/tests/admission-parts.test.ts
@@ -1,5 +1,5 @@
 // The parts of admission by themselves, as tables: prediction, room, slowness, denials and sizes (design/admission 2 to 5).
-import * as predictions from "../src/admission/predict.js";
+import * as predict from "../src/admission/predict.js";
 import * as returns from "../src/admission/returns.js";
 import * as rooms from "../src/admission/room.js";
 import * as sizes from "../src/admission/sizes.js";
@@ -7,8 +7,8 @@
 import * as types from "../src/wire/types.js";
 
 const PLACE: rooms.Place = { capacity: 8, used: 4, waiting: 0, kvUsed: 1000, kvCapacity: 10_000, backlogMs: 0 };
-const NEED: predictions.Need = { unread: 800, out: 50, tokens: 1000 };
-const KNOWN: predictions.Conditions = {
+const NEED: predict.Need = { unread: 800, out: 50, tokens: 1000 };
+const KNOWN: predict.Conditions = {
   rate: 40,
   heldMs: 1000,
   tokenMs: 20,
@@ -18,15 +18,11 @@
   lagMs: 0,
 };
 
-function at(
-  place: Partial<rooms.Place>,
-  need: Partial<predictions.Need> = {},
-  known: Partial<predictions.Conditions> = {},
-): predictions.Prediction {
-  return predictions.predict({ ...PLACE, ...place }, { ...NEED, ...need }, { ...KNOWN, ...known });
+function at(place: Partial<rooms.Place>, need: Partial<predict.Need> = {}, known: Partial<predict.Conditions> = {}): predict.Prediction {
+  return predict.predict({ ...PLACE, ...place }, { ...NEED, ...need }, { ...KNOWN, ...known });
 }
 
-test.each<[string, (step: number) => predictions.Prediction]>([
+test.each<[string, (step: number) => predict.Prediction]>([
   ["used places", (step) => at({ used: 4 + 3 * step })],
   ["readings ahead", (step) => at({ backlogMs: 100 * step })],
   ["tokens taken", (step) => at({ kvUsed: 2000 * step })],
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -1,6 +1,6 @@
 // Admission at the door: denial by rank and load, returning requests, and its line of the settings (design/admission).
 import * as admissions from "../src/admission/admission.js";
-import * as paces from "../src/admission/pace.js";
+import * as pace from "../src/admission/pace.js";
 import * as routes from "../src/config/routes.js";
 import * as check from "../src/config/check.js";
 import * as fleets from "../src/router/runners/fleet.js";
@@ -120,7 +120,7 @@
   expect(admission.judge(plan(0))).toMatchObject({ status: 503 });
   admission.isOn = false;
   expect(admission.judge(plan(0))).toBeNull();
-  expect(new paces.Pace().heldMs(true)).toBe(0);
+  expect(new pace.Pace().heldMs(true)).toBe(0);
 });
 
 test("reports that stopped deny nobody", async function stale() {
--- a/tests/batch.test.ts
+++ b/tests/batch.test.ts
@@ -3,7 +3,7 @@
 import * as batch from "../src/register/batch.js";
 import type * as proposers from "../src/register/proposer.js";
 import * as registers from "../src/register/value.js";
-import * as errors from "../src/startup/errors.js";
+import * as errors from "../src/runtime/errors.js";
 import * as schema from "../src/wire/schema.js";
 import * as sim from "./sim/world.js";
 
--- a/tests/batches/history.ts
+++ b/tests/batches/history.ts
@@ -4,16 +4,16 @@
  * recorded answer. Guards of the sources can be taken out, to see the checker fail.
  */
 import * as result from "true-myth/result";
-import type * as attempts from "../../src/batch/attempt.js";
+import type * as attempt from "../../src/batch/attempt.js";
 import * as items from "../../src/batch/items.js";
 import * as owners from "../../src/batch/owner.js";
 import type * as replicas from "../../src/batch/replicas.js";
 import * as steps from "../../src/batch/steps.js";
 import * as tables from "../../src/batch/table.js";
-import type * as worklists from "../../src/batch/worklist.js";
+import type * as worklist from "../../src/batch/worklist.js";
 import type * as proposers from "../../src/register/proposer.js";
 import * as registers from "../../src/register/value.js";
-import * as errors from "../../src/startup/errors.js";
+import * as errors from "../../src/runtime/errors.js";
 import type * as schema from "../../src/wire/batch-schema.js";
 import type * as registerSchema from "../../src/wire/register-schema.js";
 import type * as types from "../../src/wire/types.js";
@@ -76,8 +76,8 @@
     return !this.isCalm && this.clock.random() < share;
   }
 
-  private wait(ms: number, world: types.World = this.clock): Promise<void> {
-    return new Promise((resolve) => world.after(ms, resolve));
+  private wait(ms: number, world: types.Clock = this.clock): Promise<void> {
+    return new Promise((resolve) => world.schedule(ms, resolve));
   }
 
   private start(name: string): void {
@@ -90,17 +90,17 @@
     const turn = (): void => {
       if (!entry.isUp) return;
       owner.turn();
-      world.after(TURN_MS, turn);
+      world.schedule(TURN_MS, turn);
     };
-    world.after(TURN_MS * this.clock.random(), turn);
+    world.schedule(TURN_MS * this.clock.random(), turn);
   }
 
   private crash(name: string): void {
     this.owners.get(name)!.isUp = false;
-    this.clock.after(500 + 3000 * this.clock.random(), () => this.start(name));
+    this.clock.schedule(500 + 3000 * this.clock.random(), () => this.start(name));
   }
 
-  private needs(name: string, life: string, world: types.World): owners.Dependencies {
+  private needs(name: string, life: string, world: types.Clock): owners.Dependencies {
     const { views } = this;
     return {
       world,
@@ -133,13 +133,13 @@
   private learn(name: string): void {
     const hear = (): void => {
       if (!this.isCut(name) && !this.network.frozen.has(name)) this.views.set(name, this.value);
-      else this.clock.after(CATCH_UP_MS, hear);
+      else this.clock.schedule(CATCH_UP_MS, hear);
     };
-    this.clock.after(5 + 300 * this.clock.random(), hear);
+    this.clock.schedule(5 + 300 * this.clock.random(), hear);
   }
 
   /** One change of the register: it may be lost, or applied without a word of it. */
-  private async order(name: string, life: string, step: proposers.Step, world: types.World): Promise<proposers.Outcome> {
+  private async order(name: string, life: string, step: proposers.Step, world: types.Clock): Promise<proposers.Outcome> {
     await this.wait(5 + 60 * this.clock.random());
     const isLost = this.isCut(name) || this.chance(0.05);
     const outcome = isLost ? null : this.guard === "fence" ? this.unfenced(life, step) : step(this.value);
@@ -195,7 +195,7 @@
   }
 
   /** A runner: full, answering, or breaking off with or without having run. */
-  private async run(name: string, send: worklists.Send, batch: schema.Batch, world: types.World): Promise<attempts.Answer> {
+  private async run(name: string, send: worklist.Send, batch: schema.Batch, world: types.Clock): Promise<attempt.Answer> {
     const luck = this.isCalm ? 1 : this.clock.random();
     if (luck < 0.15) return { kind: "not_run", againMs: 200 };
     if (luck > 0.25) this.ran(batch, send.index);
@@ -217,7 +217,7 @@
     if (kind === 0 && this.owners.get(name)!.isUp) this.crash(name);
     if (kind === 1) this.cut.set(name, this.clock.now());
     if (kind === 2) this.network.frozen.add(name);
-    this.clock.after(forMs, () => (kind === 1 ? this.cut.delete(name) : this.network.frozen.delete(name)));
+    this.clock.schedule(forMs, () => (kind === 1 ? this.cut.delete(name) : this.network.frozen.delete(name)));
   }
 
   /** Plays faults for a while, then calm until everything must have ended. */
@@ -225,9 +225,9 @@
     const again = (): void => {
       if (this.isCalm) return;
       this.fault();
-      this.clock.after(1500 + 3000 * this.clock.random(), again);
+      this.clock.schedule(1500 + 3000 * this.clock.random(), again);
     };
-    this.clock.after(1000, again);
+    this.clock.schedule(1000, again);
     await this.clock.play(FAULTS_MS);
     this.isCalm = true;
     await this.clock.play(CALM_MS);
--- a/tests/batches/owner.test.ts
+++ b/tests/batches/owner.test.ts
@@ -1,18 +1,18 @@
 // Owners of batches under faults: no item is answered twice, none that must not run twice does, and all end (design/batch 7).
-import * as histories from "./history.js";
+import * as history from "./history.js";
 
 const SEEDS = 60;
 
 test("random histories of owners that crash, freeze and are cut off", async () => {
   const failed: string[] = [];
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const verdict = await new histories.BatchHistory(seed, "none").play();
+    const verdict = await new history.BatchHistory(seed, "none").play();
     if (verdict) failed.push(`seed ${seed}: ${verdict}`);
   }
   expect(failed).toEqual([]);
 }, 120_000);
 
-test.each<[histories.Guard, RegExp]>([
+test.each<[history.Guard, RegExp]>([
   ["fence", /ran twice|answered twice|taken back|without a record/],
   ["proof", /ran twice/],
   ["durable_answer", /without a record/],
@@ -21,7 +21,7 @@
   async (guard, expected) => {
     let seen: string | null = null;
     for (let seed = 1; seed <= SEEDS && !seen; seed += 1) {
-      const verdict = await new histories.BatchHistory(seed, guard).play();
+      const verdict = await new history.BatchHistory(seed, guard).play();
       if (verdict && expected.test(verdict)) seen = verdict;
     }
     expect(seen).toMatch(expected);
--- a/tests/batches/records.test.ts
+++ b/tests/batches/records.test.ts
@@ -1,5 +1,5 @@
 // Records of batches on a disk that tears and refuses (design/batch 5): what was acknowledged is there after a restart.
-import * as recordFiles from "../../src/batch/record-file.js";
+import * as recordFile from "../../src/batch/record-file.js";
 import * as records from "../../src/batch/records.js";
 import type * as files from "../../src/store/files.js";
 import * as sims from "../sim/world.js";
@@ -126,6 +126,6 @@
     const damaged = new MemoryFile(folder);
     damaged.bytes = Buffer.from(file.bytes);
     damaged.bytes[at] ^= 4;
-    expect((await recordFiles.RecordFile.open(damaged)).has(KEY)).toBe(false);
+    expect((await recordFile.RecordFile.open(damaged)).has(KEY)).toBe(false);
   }
 });
--- a/tests/batches/system.test.ts
+++ b/tests/batches/system.test.ts
@@ -5,14 +5,14 @@
 import * as client from "../../src/cli/client.js";
 import * as control from "../../src/control/program.js";
 import * as router from "../../src/router/program.js";
-import * as platforms from "../../src/standin/platform.js";
-import * as runners from "../../src/standin/runner.js";
+import * as platforms from "../../src/emulator/platform.js";
+import * as runners from "../../src/emulator/runner.js";
 import type * as settings from "../../src/settings/settings.js";
-import * as world from "../../src/wire/world.js";
+import * as timers from "../../src/runtime/timers.js";
 import * as loopback from "../sim/loopback.js";
 
 const NET = `127.${20 + ((process.pid + 100) % 200)}`;
-const clock = new world.RealWorld();
+const clock = new timers.SystemClock();
 /** On a busy machine an owner may be succeeded, and what it had under way counts as at work for 27 s. */
 const UNTIL_MS = 60_000;
 
--- a/tests/callers.test.ts
+++ b/tests/callers.test.ts
@@ -1,11 +1,11 @@
 // Whose answer reaches a client, and what says that a request has run: raw bytes at stand-in runners, time is simulated.
 import * as net from "node:net";
-import * as log from "../src/startup/log.js";
+import * as log from "../src/runtime/log.js";
 import * as edges from "./sim/edge.js";
-import * as raws from "./sim/raw-runner.js";
+import * as rawRunner from "./sim/raw-runner.js";
 import * as sims from "./sim/world.js";
 
-type Edge = edges.Edge<raws.RawRunner>;
+type Edge = edges.Edge<rawRunner.RawRunner>;
 
 let clock: sims.SimWorld;
 let edge: Edge | null = null;
@@ -13,8 +13,8 @@
 afterEach(() => edge?.stop());
 
 /** A router with two runners; the first takes these scripts, and both are told apart by their bodies. */
-async function start(scripts: raws.Script[], greeting = ""): Promise<Edge> {
-  edge = await edges.Edge.over(clock, [new raws.RawRunner("i-1", scripts, greeting), new raws.RawRunner("i-2")]);
+async function start(scripts: rawRunner.Script[], greeting = ""): Promise<Edge> {
+  edge = await edges.Edge.over(clock, [new rawRunner.RawRunner("i-1", scripts, greeting), new rawRunner.RawRunner("i-2")]);
   return edge;
 }
 
@@ -22,12 +22,12 @@
   return `POST /${route}/x HTTP/1.1\r\nHost: h\r\nX-Cranewind-Request-Id: ${id}\r\n${isLast ? "Connection: close\r\n" : ""}Content-Length: 4\r\n\r\nbody`;
 }
 
-async function ask(route: string, id: string): Promise<raws.Reading> {
+async function ask(route: string, id: string): Promise<rawRunner.Reading> {
   const text = await edge!.send(post(route, id));
-  return raws.readAnswer(text)!;
+  return rawRunner.readAnswer(text)!;
 }
 
-function streams(): raws.Stream[] {
+function streams(): rawRunner.Stream[] {
   return edge!.runners.flatMap((runner) => runner.streams);
 }
 
@@ -42,30 +42,30 @@
 
 describe.each(FOREIGN)("an answer with %s", (_name, ids) => {
   test.each([200, 404, 500, 503])("of status %i is not passed on, and what may not run twice has run", async (status) => {
-    await start([raws.served({ ids, status, isNotExecuted: status === 503 })]);
+    await start([rawRunner.served({ ids, status, isNotExecuted: status === 503 })]);
     const reply = await ask("once", "q1");
     expect([reply.status, reply.headers.includes("Seal"), streams().length]).toEqual([502, false, 1]);
   });
 
   test("of a repeatable request is left for another runner's", async () => {
-    await start([raws.served({ ids })]);
-    expect(await ask("read", "q1")).toMatchObject({ status: 200, body: raws.bodyOf("i-2", "q1"), looksWhole: true });
+    await start([rawRunner.served({ ids })]);
+    expect(await ask("read", "q1")).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-2", "q1"), looksWhole: true });
   });
 });
 
 test("an answer that bears its own id twice is its own", async () => {
-  await start([raws.served({ ids: ["own", "own"] })]);
-  expect(await ask("once", "q1")).toMatchObject({ status: 200, body: raws.bodyOf("i-1", "q1") });
+  await start([rawRunner.served({ ids: ["own", "own"] })]);
+  expect(await ask("once", "q1")).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-1", "q1") });
 });
 
 test.each([408, 429, 503])("a %i that does not say that the request has not run is no promise to a client", async (status) => {
-  await start([raws.served({ status })]);
+  await start([rawRunner.served({ status })]);
   const reply = await ask("once", "q1");
   expect([reply.status, reply.headers.includes("Seal"), streams().length]).toEqual([502, false, 1]);
 });
 
 test("a success that says it has not run may have run", async () => {
-  await start([raws.served({ isNotExecuted: true })]);
+  await start([rawRunner.served({ isNotExecuted: true })]);
   await ask("once", "q1");
   expect(streams()).toHaveLength(1);
 });
@@ -73,27 +73,27 @@
 test.each([400, 401, 404, 409, 413, 422, 500, 502, 504])(
   "a failure with a runner's seal keeps its status %i and its body",
   async (status) => {
-    await start([raws.served({ status })]);
+    await start([rawRunner.served({ status })]);
     const reply = await ask("once", "q1");
-    expect(reply).toMatchObject({ status, body: raws.bodyOf("i-1", "q1"), looksWhole: true });
+    expect(reply).toMatchObject({ status, body: rawRunner.bodyOf("i-1", "q1"), looksWhole: true });
     expect(reply.headers).toContain("Seal: seal-q1");
   },
 );
 
 test.each([400, 429, 503])("a runner's %i that says it has not run bears no seal on its way to the client", async (status) => {
-  const denial = raws.served({ status, isNotExecuted: true });
-  edge = await edges.Edge.over(clock, [new raws.RawRunner("i-1", [denial]), new raws.RawRunner("i-2", [denial])]);
+  const denial = rawRunner.served({ status, isNotExecuted: true });
+  edge = await edges.Edge.over(clock, [new rawRunner.RawRunner("i-1", [denial]), new rawRunner.RawRunner("i-2", [denial])]);
   const reply = await ask("once", "q1");
   expect([reply.status, reply.headers.includes("Seal")]).toEqual([status === 400 ? 400 : 503, false]);
   expect(streams().every((stream) => stream.isDenied)).toBe(true);
 });
 
 describe("an answer too many", () => {
-  const extra: raws.Script = { answer: raws.FINE, part: "answer", byte: raws.EVERY_BYTE, fault: "extra" };
+  const extra: rawRunner.Script = { answer: rawRunner.FINE, part: "answer", byte: rawRunner.EVERY_BYTE, fault: "extra" };
 
   test("right after a whole one reaches nobody, and its connection is not used again", async () => {
     await start([extra]);
-    expect(await ask("once", "q1")).toMatchObject({ status: 200, body: raws.bodyOf("i-1", "q1"), rest: "" });
+    expect(await ask("once", "q1")).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-1", "q1"), rest: "" });
     await sims.settle();
     expect(await ask("once", "q2")).toMatchObject({ status: 200, looksWhole: true });
     expect(edge!.runners[0].sockets.length + edge!.runners[1].sockets.length).toBe(2);
@@ -103,7 +103,7 @@
     await start([]);
     await ask("once", "q1");
     const [runner] = edge!.runners;
-    runner.sockets[0].write(raws.answerBytes("i-1", "q1", raws.FINE));
+    runner.sockets[0].write(rawRunner.answerBytes("i-1", "q1", rawRunner.FINE));
     await new Promise((resolve) => runner.sockets[0].once("close", resolve));
     expect(await ask("once", "q2")).toMatchObject({ status: 200, looksWhole: true });
     expect(streams().map((stream) => stream.requestId)).toEqual(["q1", "q2"]);
@@ -121,7 +121,7 @@
   );
 
   test("in the place of the next answer reaches nobody, and the next request is not sent again", async () => {
-    await start([raws.served(), raws.served({ ids: ["q1"] })]);
+    await start([rawRunner.served(), rawRunner.served({ ids: ["q1"] })]);
     await ask("once", "q1");
     const before = log.counted().get("router.foreign_answer") ?? 0;
     expect(await ask("once", "q2")).toMatchObject({ status: 502 });
@@ -130,44 +130,44 @@
   });
 
   test("with the id of a request that is being repeated is on another connection than the repetition", async () => {
-    await start([{ answer: { ...raws.FINE, ids: ["q0"] }, part: "answer", byte: raws.EVERY_BYTE, fault: "extra" }]);
-    expect(await ask("read", "q1")).toMatchObject({ status: 200, body: raws.bodyOf("i-2", "q1"), rest: "" });
+    await start([{ answer: { ...rawRunner.FINE, ids: ["q0"] }, part: "answer", byte: rawRunner.EVERY_BYTE, fault: "extra" }]);
+    expect(await ask("read", "q1")).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-2", "q1"), rest: "" });
   });
 });
 
 describe("an answer that ends with its connection", () => {
-  const answer: raws.Answer = { ...raws.FINE, framing: "until_close" };
+  const answer: rawRunner.Answer = { ...rawRunner.FINE, framing: "until_close" };
 
   test("is whole when that ends in order", async () => {
-    await start([raws.served({ framing: "until_close" })]);
-    expect(await ask("once", "q1")).toMatchObject({ status: 200, body: raws.bodyOf("i-1", "q1"), looksWhole: true });
+    await start([rawRunner.served({ framing: "until_close" })]);
+    expect(await ask("once", "q1")).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-1", "q1"), looksWhole: true });
   });
 
   test("is not whole when that is reset", async () => {
-    const head = raws.answerBytes("i-1", "q1", answer).indexOf("\r\n\r\n") + 4;
+    const head = rawRunner.answerBytes("i-1", "q1", answer).indexOf("\r\n\r\n") + 4;
     await start([{ answer, part: "answer", byte: head + 5, fault: "silent" }]);
     const reply = edge!.send(post("once", "q1"));
     while (!edge!.runners[0].isSilent) await sims.settle();
     await sims.settle();
     edge!.runners[0].sockets[0].resetAndDestroy();
-    const read = raws.readAnswer(await reply);
+    const read = rawRunner.readAnswer(await reply);
     expect(read === null || read.status === 502 || !read.looksWhole).toBe(true);
   });
 });
 
 test("a runner whose address went to another service is left, and not asked again", async () => {
-  const reused = new raws.RawRunner("i-1");
-  edge = await edges.Edge.over(clock, [reused, new raws.RawRunner("i-2")]);
+  const reused = new rawRunner.RawRunner("i-1");
+  edge = await edges.Edge.over(clock, [reused, new rawRunner.RawRunner("i-2")]);
   Object.defineProperty(reused, "id", { value: "i-9" });
-  for (const id of ["q1", "q2", "q3"]) expect(await ask("once", id)).toMatchObject({ status: 200, body: raws.bodyOf("i-2", id) });
+  for (const id of ["q1", "q2", "q3"]) expect(await ask("once", id)).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-2", id) });
   expect(reused.streams.map((stream) => stream.isDenied)).toEqual([true]);
 });
 
 test("max_attempts counts all runners that one try was sent to, also after answers that ended early", async () => {
-  const cut: raws.Script = { answer: raws.FINE, part: "answer", byte: 20, fault: "reset" };
+  const cut: rawRunner.Script = { answer: rawRunner.FINE, part: "answer", byte: 20, fault: "reset" };
   edge = await edges.Edge.over(
     clock,
-    ["i-1", "i-2", "i-3", "i-4"].map((id) => new raws.RawRunner(id, [cut])),
+    ["i-1", "i-2", "i-3", "i-4"].map((id) => new rawRunner.RawRunner(id, [cut])),
   );
   expect((await ask("read", "q1")).status).toBe(502);
   expect(streams()).toHaveLength(2);
@@ -175,23 +175,23 @@
 
 describe("the client's connection", () => {
   test("ends with an answer that broke off: what was sent behind it gets no answer there", async () => {
-    const half: raws.Script = {
-      answer: raws.FINE,
+    const half: rawRunner.Script = {
+      answer: rawRunner.FINE,
       part: "answer",
-      byte: raws.answerBytes("i-1", "q1", raws.FINE).length - 5,
+      byte: rawRunner.answerBytes("i-1", "q1", rawRunner.FINE).length - 5,
       fault: "close",
     };
     await start([half]);
     const text = await edge!.send(post("once", "q1", false) + post("once", "q2"));
     expect(text.match(/HTTP\/1\.1 /g) ?? []).toHaveLength(1);
-    expect(raws.readAnswer(text)!.looksWhole).toBe(false);
+    expect(rawRunner.readAnswer(text)!.looksWhole).toBe(false);
   });
 
   test("bears answers in the order of the requests", async () => {
     await start([]);
     const text = await edge!.send(post("once", "q1", false) + post("once", "q2"));
-    const first = raws.readAnswer(text)!;
-    const second = raws.readAnswer(first.rest)!;
+    const first = rawRunner.readAnswer(text)!;
+    const second = rawRunner.readAnswer(first.rest)!;
     expect([first.body.slice(-2), second.body.slice(-2), second.rest]).toEqual(["q1", "q2", ""]);
   });
 
@@ -217,14 +217,14 @@
     ["the client's budget", "X-Cranewind-Time-Budget-Ms: 300\r\n", 300],
     ["the route's deadline, under a longer budget", "X-Cranewind-Time-Budget-Ms: 60000\r\n", 1500],
   ])("ends with %s when its runner is silent", async (_name, field, ms) => {
-    await start([{ answer: raws.FINE, part: "answer", byte: 0, fault: "silent" }]);
+    await start([{ answer: rawRunner.FINE, part: "answer", byte: 0, fault: "silent" }]);
     const reply = edge!.send(post("once", "q1").replace("Content-Length", `${field}Content-Length`));
     while (!edge!.runners[0].isSilent) await sims.settle();
     await clock.play(ms - 1);
     expect(edge!.server.activeCount).toBe(1);
     await clock.play(2);
     expect(edge!.server.activeCount).toBe(0);
-    expect(raws.readAnswer(await reply)!.status).toBe(504);
+    expect(rawRunner.readAnswer(await reply)!.status).toBe(504);
   });
 
   test.each([
@@ -239,7 +239,7 @@
     await clock.play(ms - 1);
     expect(edge!.server.activeCount).toBe(1);
     await clock.play(2);
-    expect(raws.readAnswer(await reply)!.status).toBe(503);
+    expect(rawRunner.readAnswer(await reply)!.status).toBe(503);
     expect(streams()).toHaveLength(0);
   });
 });
--- a/tests/callers/memory-connect.ts
+++ b/tests/callers/memory-connect.ts
@@ -1,11 +1,11 @@
 // In place of the library's connector: addresses in memory, and no others.
-import * as memory from "../sim/memory-net.js";
+import * as memoryNet from "../sim/memory-net.js";
 
 interface Target {
   hostname: string;
   port: string;
 }
-type Callback = (error: Error | null, socket: memory.MemorySocket | null) => void;
+type Callback = (error: Error | null, socket: memoryNet.MemorySocket | null) => void;
 
 function refused(): Error {
   return Object.assign(new Error("connect ECONNREFUSED"), { code: "ECONNREFUSED" });
@@ -14,7 +14,7 @@
 /** As `undici/lib/core/connect.js`: a function that connects and calls back. */
 export default function buildConnector(): (target: Target, callback: Callback) => void {
   return function connect(target, callback) {
-    const socket = memory.connect(`${target.hostname}:${target.port}`);
+    const socket = memoryNet.connect(`${target.hostname}:${target.port}`);
     setImmediate(() => (socket ? callback(null, socket) : callback(refused(), null)));
   };
 }
--- a/tests/choice.test.ts
+++ b/tests/choice.test.ts
@@ -3,9 +3,9 @@
 import * as clock from "../src/experiment/clock.js";
 import * as fleets from "../src/router/runners/fleet.js";
 import * as plans from "../src/router/plan.js";
-import * as policies from "../src/router/policies/runner.js";
+import * as runner from "../src/router/policies/runner.js";
 import * as readings from "../src/router/runners/readings.js";
-import * as shares from "../src/shares/shares.js";
+import * as shares from "../src/limits/shares.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 
@@ -102,7 +102,7 @@
         ms.set(...item);
     }
     const order = [...ms].sort((left, right) => left[1] - right[1] || (left[0].id < right[0].id ? -1 : 1)).map(([runner]) => runner.id);
-    new policies.RunnerPolicy(known).apply(plan);
+    new runner.RunnerPolicy(known).apply(plan);
     expect(plan.candidates.map((runner) => runner.id)).toEqual(order);
   }
 });
--- a/tests/contact.test.ts
+++ b/tests/contact.test.ts
@@ -2,9 +2,9 @@
 import * as confirmations from "../src/register/confirmation.js";
 import * as duties from "../src/control/platform/duties.js";
 import type * as serve from "../src/wire/serve.js";
-import * as serveGates from "../src/router/serve-gate.js";
+import * as serveGate from "../src/router/serve-gate.js";
 import * as members from "./sim/members.js";
-import * as routerNodes from "./sim/router-node.js";
+import * as routerNode from "./sim/router-node.js";
 import * as systems from "./sim/system.js";
 
 /** The bound, one beat and the way. */
@@ -153,12 +153,12 @@
   await clock.play(8000);
   expect(a.contact.isConfirmed()).toBe(false);
   expect(a.resolve("a")).toEqual(["ra:2"]);
-  const late = new routerNodes.RouterNode(network, "new", "a", systems.NAMES);
+  const late = new routerNode.RouterNode(network, "new", "a", systems.NAMES);
   const startedAt = clock.now();
   await clock.play(4000);
   expect(late.epoch).toBe(a.epoch);
-  expect(late.openedAt - startedAt).toBeGreaterThan(serveGates.UNCONFIRMED_WAIT_MS);
-  expect(late.openedAt - startedAt).toBeLessThan(serveGates.UNCONFIRMED_WAIT_MS + 1300);
+  expect(late.openedAt - startedAt).toBeGreaterThan(serveGate.UNCONFIRMED_WAIT_MS);
+  expect(late.openedAt - startedAt).toBeLessThan(serveGate.UNCONFIRMED_WAIT_MS + 1300);
 });
 
 test("a router that starts beside a cut-off node waits for a confirmed one and never serves the old configuration", async () => {
@@ -167,7 +167,7 @@
   network.cut(["a"], ["b", "c"]);
   await clock.play(3000);
   await systems.take(system, "b", "z0");
-  const late = new routerNodes.RouterNode(network, "new", "a", ["a"]);
+  const late = new routerNode.RouterNode(network, "new", "a", ["a"]);
   late.dial.know(["b:1", "c:1"]);
   const startedAt = clock.now();
   await clock.play(3000);
--- a/tests/counts.test.ts
+++ b/tests/counts.test.ts
@@ -3,18 +3,18 @@
 import * as calls from "../src/wire/calls.js";
 import * as counts from "../src/wire/counts.js";
 import * as link from "../src/wire/link.js";
-import * as listening from "../src/wire/listen.js";
+import * as listen from "../src/wire/listen.js";
 import * as types from "../src/wire/types.js";
-import * as world from "../src/wire/world.js";
+import * as timers from "../src/runtime/timers.js";
 
-const clock = new world.RealWorld();
+const clock = new timers.SystemClock();
 
 test("frames and bytes are counted by kind on both ends, heads included", async () => {
   const handlers = new link.Handlers();
   handlers.on(calls.ask, () => ({ value: null }));
   const server = net.createServer((socket) => new link.Link(clock, socket, handlers));
-  await listening.listen(server, "127.0.0.1:0");
-  const made = (await link.connect(clock, listening.bound(server), new link.Handlers(), 1000))!;
+  await listen.listen(server, "127.0.0.1:0");
+  const made = (await link.connect(clock, listen.bound(server), new link.Handlers(), 1000))!;
   const ofAsk = () => counts.linkCounts().get("ask") ?? { framesTold: 0, bytesTold: 0, framesHeard: 0, bytesHeard: 0 };
   const before = ofAsk();
   await made.call(calls.ask, { epoch: types.small(1) }, 1000);
--- a/tests/cuts.test.ts
+++ b/tests/cuts.test.ts
@@ -1,6 +1,6 @@
 // Regions that are cut off, by the word of the control nodes (design/members 4).
 import * as cuts from "../src/feed/cuts.js";
-import type * as dialers from "../src/feed/dialer.js";
+import type * as dialer from "../src/feed/dialer.js";
 import * as types from "../src/wire/types.js";
 import * as fleets from "./sim/fleet.js";
 
@@ -10,7 +10,7 @@
   word?: string[];
 }
 
-function dialOf(held: Held[], known: string[]): dialers.Dialer {
+function dialOf(held: Held[], known: string[]): dialer.Dialer {
   const controls = new Map(
     held.map(({ region, silentMs, word }, index) => [
       `${region}${index}`,
@@ -21,7 +21,7 @@
   const silent = new Set(
     held.map((item) => item.region).filter((region) => held.every((item) => item.region !== region || item.silentMs > 750)),
   );
-  return { controls, targets, silentRegions: () => [...silent] } as unknown as dialers.Dialer;
+  return { controls, targets, silentRegions: () => [...silent] } as unknown as dialer.Dialer;
 }
 
 const CUTS: [string, Held[], string[], string[]][] = [
--- a/tests/directory-homes.test.ts
+++ b/tests/directory-homes.test.ts
@@ -1,11 +1,11 @@
 // Where the directory sends clients whose own region has no router to name (design 4.3).
 import * as directory from "../src/control/directory/directory.js";
 import * as hostHomes from "../src/control/directory/host-homes.js";
-import type * as shrinkGuards from "../src/control/members/shrink-guard.js";
+import type * as shrinkGuard from "../src/control/members/shrink-guard.js";
 import * as registers from "../src/register/value.js";
 import type * as schema from "../src/wire/schema.js";
 
-function router(name: string, region: string, isReady = true): shrinkGuards.SeenNode {
+function router(name: string, region: string, isReady = true): shrinkGuard.SeenNode {
   const node = { name, region, zone: `${region}-1`, isReady, outside: `${name}:1`, role: "router" } as schema.NodeInfo;
   return { node, isSure: true };
 }
@@ -15,7 +15,7 @@
   return new hostHomes.HostHomes(() => value);
 }
 
-function resolve(routers: shrinkGuards.SeenNode[], homes: hostHomes.HostHomes, name: string): unknown {
+function resolve(routers: shrinkGuard.SeenNode[], homes: hostHomes.HostHomes, name: string): unknown {
   const view = { routers: () => routers, stillServes: () => false, homesOf: homes.of.bind(homes), ttlMostS: 5 };
   return directory.resolve(view, new URLSearchParams({ name, region: "amman", zone: "amman-1" })).json;
 }
--- a/tests/disk-conversion.test.ts
+++ b/tests/disk-conversion.test.ts
@@ -7,7 +7,7 @@
 import type * as voters from "../src/register/voter.js";
 import * as conversion from "../src/store/conversion.js";
 import * as simulated from "./sim/disk.js";
-import * as simWorld from "./sim/disk-world.js";
+import * as diskWorld from "./sim/disk-world.js";
 
 interface Sample {
   files: Record<string, string>;
@@ -28,12 +28,12 @@
 }
 
 function start(disk: simulated.SimulatedDisk): Promise<voters.Voter> {
-  return simWorld.startDisk(simWorld.machineOf(disk.mount()), false).voter;
+  return diskWorld.startDisk(diskWorld.machineOf(disk.mount()), false).voter;
 }
 
 /** Rejects where the files are refused, as they are tried again for ever. */
 async function startOrFail(disk: simulated.SimulatedDisk): Promise<voters.Voter> {
-  const started = simWorld.startDisk(simWorld.machineOf(disk.mount()), false);
+  const started = diskWorld.startDisk(diskWorld.machineOf(disk.mount()), false);
   let voter: voters.Voter | null = null;
   void started.voter.then((entered) => (voter = entered));
   while (!voter && started.disk.status().state === "opening") await new Promise((resolve) => setImmediate(resolve));
@@ -79,11 +79,11 @@
 /** Starts, asks for one promise if it gets so far, and is cut. Whether the promise was answered. */
 async function playLife(disk: simulated.SimulatedDisk, life: Life, ballot: number): Promise<boolean> {
   const folder = disk.mount(life.choices, life.operations);
-  const machine = simWorld.machineOf(folder);
+  const machine = diskWorld.machineOf(folder);
   let isAnswered = false;
   async function live(): Promise<void> {
-    const voter = await simWorld.startDisk(machine, false).voter;
-    isAnswered = (await simWorld.prepare(voter, ballot))?.isGranted ?? false;
+    const voter = await diskWorld.startDisk(machine, false).voter;
+    isAnswered = (await diskWorld.prepare(voter, ballot))?.isGranted ?? false;
   }
   await Promise.race([live(), folder.cut]);
   machine.world.end();
@@ -138,7 +138,7 @@
   const voter = await start(disk);
   const copy = disk.files.get(conversion.COPY_NAME)!.current;
   expect(copy.equals(Buffer.alloc(copy.length))).toBe(true);
-  await simWorld.prepare(voter, 3000);
+  await diskWorld.prepare(voter, 3000);
   disk.files.delete("register-2");
   const later = await start(disk);
   expect(later.disk).not.toBe(sample.shown.disk);
@@ -152,7 +152,7 @@
     file.current.writeUInt8(file.current.readUInt8(40) ^ 255, 40);
   }
   const before = [...disk.files.values()].map(({ current }) => Buffer.from(current));
-  const { disk: voterDisk } = simWorld.startDisk(simWorld.machineOf(disk.mount()), false);
+  const { disk: voterDisk } = diskWorld.startDisk(diskWorld.machineOf(disk.mount()), false);
   while (voterDisk.status().state === "opening") await new Promise((resolve) => setImmediate(resolve));
   expect(voterDisk.status().error).toMatch(/format version none/);
   expect([...disk.files.values()].slice(0, before.length).map(({ current }, index) => current.equals(before[index]))).not.toContain(false);
--- a/tests/disk-faults.test.ts
+++ b/tests/disk-faults.test.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import type * as voters from "../src/register/voter.js";
 import * as simulated from "./sim/disk.js";
-import * as simWorld from "./sim/disk-world.js";
+import * as diskWorld from "./sim/disk-world.js";
 
 const RUNS = 400;
 const RUNS_TO_FIND_A_FAULT = 20_000;
@@ -38,15 +38,15 @@
 
   async play(life: Life): Promise<void> {
     const folder = this.disk.mount(life.choices, life.operations);
-    const machine = simWorld.machineOf(folder);
+    const machine = diskWorld.machineOf(folder);
     await Promise.race([this.live(machine, life.promises), folder.cut]);
     machine.world.end();
     void folder.end();
     if (life.isPowerLost) this.disk.losePower();
   }
 
-  private async live(machine: simWorld.SimulatedMachine, promises: number): Promise<void> {
-    const voter = await simWorld.startDisk(machine, this.isBootstrap).voter;
+  private async live(machine: diskWorld.SimulatedMachine, promises: number): Promise<void> {
+    const voter = await diskWorld.startDisk(machine, this.isBootstrap).voter;
     await this.checkStart(voter);
     for (let count = 0; count < promises; count += 1) await this.promise(voter);
   }
@@ -57,7 +57,7 @@
     this.identity = voter.disk;
     const answered = this.answered.get(voter.disk) ?? 0;
     if (answered === 0) return;
-    const vote = await simWorld.prepare(voter, 0);
+    const vote = await diskWorld.prepare(voter, 0);
     expect(vote).toMatchObject({ isGranted: false });
     expect(vote!.ballot.n).toBeGreaterThanOrEqual(answered);
     // What a voter shows counts like an answer.
@@ -67,7 +67,7 @@
   private async promise(voter: voters.Voter): Promise<void> {
     const number = this.nextBallot;
     this.nextBallot += 1;
-    const vote = await simWorld.prepare(voter, number);
+    const vote = await diskWorld.prepare(voter, number);
     if (vote?.isGranted) this.answered.set(voter.disk, number);
   }
 }
--- a/tests/disk-start.test.ts
+++ b/tests/disk-start.test.ts
@@ -2,29 +2,29 @@
 import * as fs from "node:fs/promises";
 import * as os from "node:os";
 import * as path from "node:path";
-import * as log from "../src/startup/log.js";
+import * as log from "../src/runtime/log.js";
 import * as disks from "../src/control/voters/disk.js";
 import * as files from "../src/store/files.js";
 import * as format from "../src/store/format.js";
 import * as owner from "../src/store/owner.js";
 import * as remedies from "../src/store/remedies.js";
-import * as world from "../src/wire/world.js";
+import * as timers from "../src/runtime/timers.js";
 import * as simulated from "./sim/disk.js";
-import * as simWorld from "./sim/disk-world.js";
+import * as diskWorld from "./sim/disk-world.js";
 
-const FIRST_IDENTITY = `first:${simWorld.ADDRESS}`;
+const FIRST_IDENTITY = `first:${diskWorld.ADDRESS}`;
 const RANDOM_IDENTITY = /^disk:/;
 const FILE_NAMES = ["register-0", "register-1", "register-2", "register-3"];
 
-function start(disk: simulated.SimulatedDisk, isBootstrap = false): simWorld.StartedDisk {
-  return simWorld.startDisk(simWorld.machineOf(disk.mount()), isBootstrap);
+function start(disk: simulated.SimulatedDisk, isBootstrap = false): diskWorld.StartedDisk {
+  return diskWorld.startDisk(diskWorld.machineOf(disk.mount()), isBootstrap);
 }
 
 async function diskWithPromises(count = 6): Promise<simulated.SimulatedDisk> {
   const disk = new simulated.SimulatedDisk();
   const voter = await start(disk, true).voter;
   expect(voter.disk).toBe(FIRST_IDENTITY);
-  for (let number = 1; number <= count; number += 1) expect(await simWorld.prepare(voter, number)).toMatchObject({ isGranted: true });
+  for (let number = 1; number <= count; number += 1) expect(await diskWorld.prepare(voter, number)).toMatchObject({ isGranted: true });
   return disk;
 }
 
@@ -69,8 +69,8 @@
     const disk = await diskWithPromises();
     disk.files.delete("register-2");
     const folder = disk.mount([], operations);
-    const machine = simWorld.machineOf(folder);
-    const identity = await Promise.race([simWorld.startDisk(machine, true).voter, folder.cut]);
+    const machine = diskWorld.machineOf(folder);
+    const identity = await Promise.race([diskWorld.startDisk(machine, true).voter, folder.cut]);
     machine.world.end();
     void folder.end();
     disk.losePower();
@@ -83,13 +83,13 @@
 test("a larger record than any before is taken by a disk that has filled up, up to twice the last one", async function full() {
   const disk = new simulated.SimulatedDisk();
   const voter = await start(disk).voter;
-  expect(await simWorld.accept(voter, 1, 100_000)).toMatchObject({ isGranted: true });
+  expect(await diskWorld.accept(voter, 1, 100_000)).toMatchObject({ isGranted: true });
   await until(() => disk.files.get("register-3")!.unsynced.length === 0 && disk.files.get("register-3")!.current.length > 200_000);
   disk.isFull = true;
-  expect(await simWorld.accept(voter, 2, 190_000)).toMatchObject({ isGranted: true });
-  expect(await simWorld.accept(voter, 3, 190_000)).toBeNull();
+  expect(await diskWorld.accept(voter, 2, 190_000)).toMatchObject({ isGranted: true });
+  expect(await diskWorld.accept(voter, 3, 190_000)).toBeNull();
   disk.isFull = false;
-  expect(await simWorld.accept(voter, 4, 190_000)).toMatchObject({ isGranted: true });
+  expect(await diskWorld.accept(voter, 4, 190_000)).toMatchObject({ isGranted: true });
 });
 
 test("a disk that refuses writes makes a silent voter that says so once, and votes again by itself", async function refusing() {
@@ -106,13 +106,13 @@
   linesOfTheDisk();
   written.mockClear();
   disk.refusal = "ENOSPC";
-  for (let number = 1; number < 9; number += 1) expect(await simWorld.prepare(voter, number)).toBeNull();
+  for (let number = 1; number < 9; number += 1) expect(await diskWorld.prepare(voter, number)).toBeNull();
   expect(voterDisk.status()).toMatchObject({ state: "refusing", error: expect.stringMatching(/ENOSPC.*free space/) });
   expect(linesOfTheDisk()).toEqual([expect.stringMatching(/ENOSPC.*free space.*does not vote/)]);
   disk.refusal = null;
   await until(() => voterDisk.status().state === "ready");
   expect(linesOfTheDisk()).toHaveLength(2);
-  expect(await simWorld.prepare(voter, 9)).toMatchObject({ isGranted: true });
+  expect(await diskWorld.prepare(voter, 9)).toMatchObject({ isGranted: true });
   written.mockRestore();
 });
 
@@ -180,13 +180,13 @@
   });
 
   function machineOf(name: string, processes = owner.realProcesses): disks.Machine {
-    return { world: new world.RealWorld(), folder: new files.RealFolder(name), processes };
+    return { world: new timers.SystemClock(), folder: new files.RealFolder(name), processes };
   }
 
   test("a data_dir that is a file is named with its remedy, and is used once it is a folder", async function isFile() {
     const name = path.join(folder, "data");
     await fs.writeFile(name, "");
-    const { disk, voter } = simWorld.startDisk(machineOf(name), true);
+    const { disk, voter } = diskWorld.startDisk(machineOf(name), true);
     while (disk.status().state === "opening") await new Promise((resolve) => setImmediate(resolve));
     expect(disk.status()).toMatchObject({ state: "refusing", error: expect.stringMatching(/file: name a folder/) });
     await fs.rm(name);
@@ -196,11 +196,11 @@
 
   test("a folder in missing folders is made, and a second process on it is told which process uses it", async function inUse() {
     const name = path.join(folder, "a", "b", "data");
-    const first = simWorld.startDisk(machineOf(name), true);
+    const first = diskWorld.startDisk(machineOf(name), true);
     const voter = await first.voter;
-    expect(await simWorld.prepare(voter, 1)).toMatchObject({ isGranted: true });
+    expect(await diskWorld.prepare(voter, 1)).toMatchObject({ isGranted: true });
     const other = { ...owner.realProcesses, own: async () => ({ boot: "b", pid: process.pid + 1, startTicks: "1" }) };
-    const second = simWorld.startDisk(machineOf(name, other), true);
+    const second = diskWorld.startDisk(machineOf(name, other), true);
     while (second.disk.status().state === "opening") await new Promise((resolve) => setImmediate(resolve));
     expect(second.disk.status().error).toMatch(new RegExp(`in use by process ${process.pid}; stop that process`));
     await second.disk.stop();
@@ -209,11 +209,11 @@
 
   test("the name of a process that has ended holds nobody off", async function ended() {
     const ghost = { ...owner.realProcesses, own: async () => ({ boot: "b", pid: process.pid, startTicks: "1" }) };
-    const before = simWorld.startDisk(machineOf(folder, ghost), true);
+    const before = diskWorld.startDisk(machineOf(folder, ghost), true);
     await before.voter;
     await before.disk.stop();
     const other = { ...owner.realProcesses, own: async () => ({ boot: "b", pid: process.pid + 1, startTicks: "2" }) };
-    const after = simWorld.startDisk(machineOf(folder, other), false);
+    const after = diskWorld.startDisk(machineOf(folder, other), false);
     expect((await after.voter).disk).toBe(FIRST_IDENTITY);
     await after.disk.stop();
   });
--- a/tests/document-text.test.ts
+++ b/tests/document-text.test.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import * as check from "../src/config/check.js";
 import * as change from "../src/config/change.js";
-import * as texts from "../src/config/document-text.js";
+import * as documentText from "../src/config/document-text.js";
 import * as parts from "../src/config/parts.js";
 import * as registers from "../src/register/value.js";
 import * as schema from "../src/wire/schema.js";
@@ -57,7 +57,12 @@
 });
 
 test("empty lists and objects, and what is no list, have no items", () => {
-  expect([texts.itemsOf("[]"), texts.itemsOf("null"), texts.fieldsOf("{}"), texts.fieldsOf("")]).toEqual([[], [], [], []]);
+  expect([documentText.itemsOf("[]"), documentText.itemsOf("null"), documentText.fieldsOf("{}"), documentText.fieldsOf("")]).toEqual([
+    [],
+    [],
+    [],
+    [],
+  ]);
 });
 
 const ROUTE = { name: "r", hostname: "h.example", path_prefix: "/", route_type: "read_only", deadline_ms: 100, service: "s" };
--- a/tests/early-answer.test.ts
+++ b/tests/early-answer.test.ts
@@ -1,9 +1,9 @@
 // A runner may answer before it has read a long body, keep the connection and read on later (design 7.8): where the rest
 // of that body is due come that body's own bytes, and then the next request.
 import * as net from "node:net";
-import * as world from "../src/wire/world.js";
+import * as timers from "../src/runtime/timers.js";
 import * as edges from "./sim/edge.js";
-import * as raws from "./sim/raw-runner.js";
+import * as rawRunner from "./sim/raw-runner.js";
 
 const BODY_BYTES = 3 * 1024 * 1024;
 const HEAD_END = "\r\n\r\n";
@@ -45,7 +45,7 @@
   }
 
   private answer(requestId: string): void {
-    this.socket!.write(raws.answerBytes(this.id, requestId, raws.FINE));
+    this.socket!.write(rawRunner.answerBytes(this.id, requestId, rawRunner.FINE));
   }
 
   readOn(): void {
@@ -59,14 +59,14 @@
 
 test("the rest of a body that was answered early stands before the next request, whole and unchanged", async () => {
   const runner = new EarlyRunner();
-  const edge = await edges.Edge.over(new world.RealWorld(), [runner]);
+  const edge = await edges.Edge.over(new timers.SystemClock(), [runner]);
   edge.server.limit({ max_body_bytes: 2 * BODY_BYTES });
   try {
     const body = Array.from({ length: BODY_BYTES / 8 }, (_, index) => index.toString(16).padStart(8, "0")).join("");
-    expect(raws.readAnswer(await edge.send(post("q1", body)))).toMatchObject({ status: 200, looksWhole: true });
+    expect(rawRunner.readAnswer(await edge.send(post("q1", body)))).toMatchObject({ status: 200, looksWhole: true });
     const second = edge.send(post("q2", "short"));
     runner.readOn();
-    expect(raws.readAnswer(await second)).toMatchObject({ status: 200, body: raws.bodyOf("i-1", "q2") });
+    expect(rawRunner.readAnswer(await second)).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-1", "q2") });
     const text = runner.received.toString("latin1");
     const bodyAt = text.indexOf(HEAD_END) + HEAD_END.length;
     // On another connection the rest would never come; on this one it comes first.
--- a/tests/edge-deadline.test.ts
+++ b/tests/edge-deadline.test.ts
@@ -1,11 +1,11 @@
 // A body that comes too slowly (design/edge 7.12): its request ends at its deadline, and nothing of it reaches a runner.
-import * as world from "../src/wire/world.js";
+import * as timers from "../src/runtime/timers.js";
 import * as edges from "./sim/edge.js";
 
 let edge: edges.Edge;
 
 beforeEach(async () => {
-  edge = await edges.Edge.start(new world.RealWorld(), [{ id: "i-1" }]);
+  edge = await edges.Edge.start(new timers.SystemClock(), [{ id: "i-1" }]);
 });
 afterEach(() => edge.stop());
 
--- a/tests/experiment-run.test.ts
+++ b/tests/experiment-run.test.ts
@@ -6,10 +6,10 @@
 import * as chains from "../src/experiment/chain.js";
 import * as clock from "../src/experiment/clock.js";
 import * as hosts from "../src/experiment/hosts.js";
-import * as layouts from "../src/experiment/layout.js";
-import * as runs from "../src/experiment/run.js";
+import * as layout from "../src/experiment/layout.js";
+import * as run from "../src/experiment/run.js";
 import * as settings from "../src/settings/settings.js";
-import * as usages from "../src/usage/reader.js";
+import * as reader from "../src/load/reader.js";
 import * as counts from "../src/wire/counts.js";
 import { options } from "./sim/experiment.js";
 
@@ -39,7 +39,7 @@
 }
 
 test("a hollow router uses its own region, and the next ones as asked for", () => {
-  const used = [1, 2, 3].map((regionsUsed) => new layouts.Layout(options({ regionsUsed }), 60, "").usedRegions(2));
+  const used = [1, 2, 3].map((regionsUsed) => new layout.Layout(options({ regionsUsed }), 60, "").usedRegions(2));
   expect(used).toEqual([["region-3"], ["region-3", "region-1"], ["region-3", "region-1", "region-2"]]);
 });
 
@@ -57,8 +57,8 @@
   const launcher = new LocalLauncher();
   const small = options({ routers: 2, runners: 4, routes: 3, tenants: 2, controls: 1, changesPerS: 3, seconds: 1, loseControl: true });
   const steps: string[] = [];
-  const used = jest.spyOn(usages.Reader.prototype, "sent");
-  const outcome = await new runs.Run(launcher.world, launcher, small, folder, (step) => steps.push(step), "small").play();
+  const used = jest.spyOn(reader.Reader.prototype, "sent");
+  const outcome = await new run.Run(launcher.world, launcher, small, folder, (step) => steps.push(step), "small").play();
   fs.rmSync(folder, { recursive: true });
   expect(new Set(used.mock.calls.map(([region]) => region))).toEqual(new Set(["region-1", "region-2", "region-3"]));
   expect(steps).toEqual(["starting", "settling", "measuring"]);
--- a/tests/experiment.test.ts
+++ b/tests/experiment.test.ts
@@ -5,8 +5,8 @@
 import * as panels from "../src/experiment/panels.js";
 import * as plot from "../src/plots/plot.js";
 import * as rows from "../src/experiment/rows.js";
-import * as sweeps from "../src/experiment/sweep.js";
-import * as vitals from "../src/startup/vitals.js";
+import * as sweep from "../src/experiment/sweep.js";
+import * as vitals from "../src/runtime/vitals.js";
 import * as cli from "./sim/cli.js";
 import { options } from "./sim/experiment.js";
 
@@ -67,10 +67,10 @@
 
 test("a plan names all its places, and one bad place refuses the whole", () => {
   const plan = JSON.parse(fs.readFileSync("docs/capacity/plan.json", "utf8")) as { sweeps: { values: number[] }[] };
-  const good = sweeps.pointsOf(plan);
+  const good = sweep.pointsOf(plan);
   expect(good.isOk && good.value.length).toBe(plan.sweeps.reduce((sum, sweep) => sum + sweep.values.length, 0));
   plan.sweeps[3].values.push(51);
-  const bad = sweeps.pointsOf(plan);
+  const bad = sweep.pointsOf(plan);
   expect(bad.isErr && bad.error.message).toBe("changesPerS 51 is out of range; give 0 to 50");
 });
 
--- a/tests/house.test.ts
+++ b/tests/house.test.ts
@@ -17,8 +17,8 @@
   expect(found).toEqual([]);
 });
 
-test("chance comes in through the world", () => {
-  const found = sources("src").filter((file) => file !== "src/wire/world.ts" && /Math\.random/.test(fs.readFileSync(file, "utf8")));
+test("chance comes in through the clock", () => {
+  const found = sources("src").filter((file) => file !== "src/runtime/timers.ts" && /Math\.random/.test(fs.readFileSync(file, "utf8")));
   expect(found).toEqual([]);
 });
 
--- a/tests/kept-connections.test.ts
+++ b/tests/kept-connections.test.ts
@@ -1,11 +1,11 @@
 // A request that was passed on from a kept connection is answered, whatever closes connections meanwhile: shorter idle
 // limits, a router that leaves, the end of the server (LOST on kept connections).
 import * as net from "node:net";
-import * as world from "../src/wire/world.js";
+import * as timers from "../src/runtime/timers.js";
 import * as edges from "./sim/edge.js";
 
 const CLIENTS = 24;
-const clock = new world.RealWorld();
+const clock = new timers.SystemClock();
 
 interface Client {
   answered: Set<string>;
--- a/tests/key-lease.test.ts
+++ b/tests/key-lease.test.ts
@@ -1,7 +1,7 @@
 // How long a router honours keys: never past the bound after a change that it missed, whatever became of the words.
-import * as keyLeases from "../src/tenants/key-lease.js";
+import * as keyLease from "../src/tenants/key-lease.js";
 import * as types from "../src/wire/types.js";
-import * as days from "./sim/key-lease-days.js";
+import * as keyLeaseDays from "./sim/key-lease-days.js";
 import * as sim from "./sim/world.js";
 
 function epoch(number: number): types.Epoch {
@@ -63,7 +63,7 @@
 ])("%s", (_name, steps) => {
   const clock = new sim.SimWorld();
   clock.skip(10_000);
-  const lease = new keyLeases.KeyLease(clock, days.STRICT);
+  const lease = new keyLease.KeyLease(clock, keyLeaseDays.STRICT);
   for (const step of steps) {
     clock.skip(step.after);
     if (step.take !== undefined) lease.take(epoch(step.take));
@@ -73,7 +73,7 @@
 });
 
 test("where revocation is not strict, what is known is honoured without a word", () => {
-  const lease = new keyLeases.KeyLease(new sim.SimWorld(), { revocation_strict: false, revoke_delay_ms: 5000 });
+  const lease = new keyLease.KeyLease(new sim.SimWorld(), { revocation_strict: false, revoke_delay_ms: 5000 });
   lease.take(epoch(1));
   expect([lease.mayHonour(), lease.mayDeny()]).toEqual([true, false]);
 });
@@ -81,6 +81,6 @@
 const SEEDS = Array.from({ length: 40 }, (_item, index) => index + 1);
 
 test("in random days no key is honoured past the bound; counting from the reply instead of the ask would", () => {
-  expect(Math.max(...SEEDS.map((seed) => days.worst(seed, false)))).toBeLessThanOrEqual(0);
-  expect(Math.max(...SEEDS.map((seed) => days.worst(seed, true)))).toBeGreaterThan(0);
+  expect(Math.max(...SEEDS.map((seed) => keyLeaseDays.worst(seed, false)))).toBeLessThanOrEqual(0);
+  expect(Math.max(...SEEDS.map((seed) => keyLeaseDays.worst(seed, true)))).toBeGreaterThan(0);
 });
--- a/tests/leases.test.ts
+++ b/tests/leases.test.ts
@@ -1,6 +1,6 @@
 // Bounds of the whole system under faults: no window ever sees more than the bound (design/shares).
-import * as parts from "../src/shares/parts.js";
-import type * as guards from "./sim/lease-guards.js";
+import * as parts from "../src/limits/parts.js";
+import type * as leaseGuards from "./sim/lease-guards.js";
 import * as leases from "./sim/leases.js";
 import * as voters from "./sim/voters.js";
 
@@ -17,7 +17,7 @@
   seed: number;
   seconds: number;
   bounds?: parts.Bounds;
-  broken?: guards.Broken;
+  broken?: leaseGuards.Broken;
   routers?: number;
   isCalm?: boolean;
 }
@@ -128,7 +128,7 @@
 });
 
 /** Two of five owners hear nothing of those that took their slots, while every router still reaches all seven. */
-function supplanted(broken: guards.Broken): Seen {
+function supplanted(broken: leaseGuards.Broken): Seen {
   const sim = new leases.LeaseSim(5, 7, 5, 24, BOUNDS, broken);
   const seen: Seen = { tries: [], cold: [], requests: [] };
   for (let step = 0; step < 5000; step += 1) {
@@ -142,7 +142,7 @@
 }
 
 /** Routers that spend what they get and end at once, so that nobody reports it. */
-function shortLived(broken: guards.Broken): Seen {
+function shortLived(broken: leaseGuards.Broken): Seen {
   const sim = new leases.LeaseSim(3, 3, 3, 24, BOUNDS, broken);
   const seen: Seen = { tries: [], cold: [], requests: [] };
   for (let step = 0; step < 4000; step += 1) {
@@ -159,7 +159,7 @@
 }
 
 /** All owners start again, over and over, each time after they gave all they had. */
-function restarting(broken: guards.Broken): Seen {
+function restarting(broken: leaseGuards.Broken): Seen {
   const sim = new leases.LeaseSim(3, 3, 3, 24, BOUNDS, broken);
   const seen: Seen = { tries: [], cold: [], requests: [] };
   for (let step = 0; step < 4000; step += 1) {
@@ -174,7 +174,7 @@
   ["no_fence", supplanted],
   ["unreported_comes_back", shortLived],
   ["full_bucket", restarting],
-] as [guards.Broken, (broken: guards.Broken) => Seen][])(
+] as [leaseGuards.Broken, (broken: leaseGuards.Broken) => Seen][])(
   "the checker sees the broken guard %s, and the bound holds with it",
   (broken, script) => {
     const seen = script("none");
--- a/tests/link-calls.test.ts
+++ b/tests/link-calls.test.ts
@@ -1,7 +1,7 @@
 // Calls over links and their replies: each reply reaches the one call that it is for, or nobody; sockets and time are simulated.
 import * as fc from "fast-check";
 import * as registers from "../src/register/value.js";
-import * as log from "../src/startup/log.js";
+import * as log from "../src/runtime/log.js";
 import * as calls from "../src/wire/calls.js";
 import * as link from "../src/wire/link.js";
 import * as schema from "../src/wire/schema.js";
