--- a/tests/link.test.ts
+++ b/tests/link.test.ts
@@ -1,18 +1,18 @@
 // Links, calls and the feed over real loopback sockets (design 3, 4.2, 6.4).
 import * as net from "node:net";
-import * as dialers from "../src/feed/dialer.js";
+import * as dialer from "../src/feed/dialer.js";
 import * as feeds from "../src/feed/feed.js";
 import * as followers from "../src/feed/follower.js";
 import * as registers from "../src/register/value.js";
-import * as log from "../src/startup/log.js";
+import * as log from "../src/runtime/log.js";
 import * as calls from "../src/wire/calls.js";
 import * as link from "../src/wire/link.js";
-import * as releases from "../src/wire/release.js";
+import * as release from "../src/wire/release.js";
 import * as types from "../src/wire/types.js";
 import * as schema from "../src/wire/schema.js";
-import * as world from "../src/wire/world.js";
+import * as timers from "../src/runtime/timers.js";
 
-const clock = new world.RealWorld();
+const clock = new timers.SystemClock();
 
 interface Side {
   server: net.Server;
@@ -101,7 +101,7 @@
   const closed = new Promise((resolve) => socket.once("close", resolve));
   socket.on("error", () => undefined);
   socket.resume();
-  socket.write(Buffer.concat([releases.preamble(schema.RELEASE), bytes]));
+  socket.write(Buffer.concat([release.preamble(schema.RELEASE), bytes]));
   await closed;
   expect(log.counted().get("link.garbled")).toBe(before + 1);
   expect(side.links[0].isOpen).toBe(false);
@@ -112,7 +112,7 @@
   lists: number;
 }
 
-function follow(dial: dialers.Dialer, handlers: link.Handlers, region: string): { follower: followers.Follower; taken: Taken } {
+function follow(dial: dialer.Dialer, handlers: link.Handlers, region: string): { follower: followers.Follower; taken: Taken } {
   const taken: Taken = { epochs: [], lists: 0 };
   const follower = new followers.Follower(clock, region, dial, handlers, () => [feeds.listTopic("r")], {
     leave: () => undefined,
@@ -153,7 +153,7 @@
   const near = await control("near", "r");
   const far = await control("far", "q");
   const handlers = new link.Handlers();
-  const dial = new dialers.Dialer(clock, "", handlers, () => node("router", "r"), 5000);
+  const dial = new dialer.Dialer(clock, "", handlers, () => node("router", "r"), 5000);
   const { follower, taken } = follow(dial, handlers, "r");
   near.feed.publish(feeds.listTopic("r"), new Map(), types.small(0));
   far.feed.publish(feeds.listTopic("r"), new Map(), types.small(0));
--- a/tests/many-changes.test.ts
+++ b/tests/many-changes.test.ts
@@ -1,20 +1,20 @@
 // Hundreds of changes while members restart, are wiped, stall and fill up (design/hardening/4-many-changes).
-import * as log from "../src/startup/log.js";
-import * as days from "./sim/change-day.js";
+import * as log from "../src/runtime/log.js";
+import * as changeDay from "./sim/change-day.js";
 
 const FAULT_EVERY = 15;
 const DESCRIBE_EVERY = 4;
 
-async function play(size: days.Size, changes: number, seed: number): Promise<days.Day> {
+async function play(size: changeDay.Size, changes: number, seed: number): Promise<changeDay.Day> {
   const { routes } = size;
-  const day = await days.begin(seed, size);
+  const day = await changeDay.begin(seed, size);
   for (let index = 1; index <= changes; index += 1) {
     if (index % FAULT_EVERY === 0) {
       const node = day.nodes[Math.floor(day.clock.random() * day.nodes.length)];
-      days.trouble(day, node, days.FAULTS[(index / FAULT_EVERY) % days.FAULTS.length]);
+      changeDay.trouble(day, node, changeDay.FAULTS[(index / FAULT_EVERY) % changeDay.FAULTS.length]);
     }
-    await days.change(day, routes);
-    if (index % DESCRIBE_EVERY === 0) await days.describe(day);
+    await changeDay.change(day, routes);
+    if (index % DESCRIBE_EVERY === 0) await changeDay.describe(day);
     if (MANY && index % SHOW_EVERY === 0) showMemory(index);
   }
   await day.clock.play(8000);
@@ -48,7 +48,7 @@
     const day = await play({ routes, nodes, tenants }, changes, 7919);
     expect(day.wrong).toEqual([]);
     expect(day.revision).toBe(changes + 1);
-    const epoch = days.newestEpoch(day);
+    const epoch = changeDay.newestEpoch(day);
     for (const node of day.nodes) expect([node.name, node.life.epoch]).toEqual([node.name, epoch]);
     const { epochs, config } = day.router;
     expect(epochs).toEqual([...epochs].sort((left, right) => left - right));
@@ -56,12 +56,12 @@
     // The router lived on differences; one that starts now gets a view, and is up to date as soon.
     expect(counted("feed.difference")).toBeGreaterThan(differences + changes / 2);
     const views = counted("feed.view");
-    const late = new days.FollowingRouter(
+    const late = new changeDay.FollowingRouter(
       day.network,
       "r2",
       day.nodes.map(({ name }) => name),
     );
-    await day.clock.play(days.CATCH_UP_MS);
+    await day.clock.play(changeDay.CATCH_UP_MS);
     expect([late.config.revision, late.epochs]).toEqual([changes + 1, [epoch]]);
     expect(counted("feed.view")).toBeGreaterThan(views);
     const largest = Math.max(...day.nodes.map((node) => node.disk.largest));
--- a/tests/members.test.ts
+++ b/tests/members.test.ts
@@ -1,6 +1,6 @@
 // Rosters told by differences, and the few control nodes of a router (design/members).
 import * as rosters from "../src/control/members/roster.js";
-import * as selectors from "../src/feed/session-selector.js";
+import * as sessionSelector from "../src/feed/session-selector.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sim from "./sim/world.js";
@@ -119,7 +119,7 @@
     const held = new Map(places.map((place) => [place.address, 0]));
     for (let index = 0; index < 480; index += 1) {
       const region = routers[index % routers.length];
-      const chosen = selectors.choose(places, { name: `edge-${index}`, region });
+      const chosen = sessionSelector.choose(places, { name: `edge-${index}`, region });
       const of = places.filter((place) => chosen.has(place.address)).map((place) => place.region);
       expect(chosen.size).toBe(3);
       if (regions.includes(region)) expect(of).toContain(region);
@@ -132,15 +132,15 @@
 
 test("up to three known are all chosen; one lost moves only its own routers", () => {
   const places = ["a", "b", "c", "d", "e"].map((region) => ({ address: `${region}:1`, region }));
-  expect(selectors.choose(places.slice(0, 3), { name: "x", region: "a" }).size).toBe(3);
-  expect(selectors.choose(places.slice(0, 2), { name: "x", region: "q" }).size).toBe(2);
+  expect(sessionSelector.choose(places.slice(0, 3), { name: "x", region: "a" }).size).toBe(3);
+  expect(sessionSelector.choose(places.slice(0, 2), { name: "x", region: "q" }).size).toBe(2);
   const core = ["a", "a", "b", "b", "c"].map((region, index) => ({ address: `${region}${index}:1`, region }));
   for (const [index, lost] of Array.from({ length: 20 })
     .flatMap(() => core)
     .entries()) {
     const self = { name: `x${index}`, region: ["a", "b", "c", "q"][index % 4] };
-    const before = selectors.choose(core, self);
-    const after = selectors.choose(
+    const before = sessionSelector.choose(core, self);
+    const after = sessionSelector.choose(
       core.filter((place) => place !== lost),
       self,
       core,
--- a/tests/metrics.test.ts
+++ b/tests/metrics.test.ts
@@ -1,29 +1,29 @@
 // The process's own figures as text, and rows of `cranewind tenants`.
 import * as tenants from "../src/cli/tenants.js";
-import * as log from "../src/startup/log.js";
-import * as metrics from "../src/metrics/prometheus.js";
+import * as log from "../src/runtime/log.js";
+import * as prometheus from "../src/metrics/prometheus.js";
 import type * as schema from "../src/wire/schema.js";
 
 test.each([
   ["9464/metrics", { port: 9464, path: "/metrics" }],
   ["1/-/figures", { port: 1, path: "/-/figures" }],
 ])("%s is an endpoint", (text, endpoint) => {
-  expect(metrics.parseEndpoint(text).unwrapOr({ port: 0, path: "" })).toEqual(endpoint);
+  expect(prometheus.parseEndpoint(text).unwrapOr({ port: 0, path: "" })).toEqual(endpoint);
 });
 
 test.each(["", "9464", "/metrics", "0/metrics", "70000/metrics", "x/metrics", "9464/a b"])(
   "%j is none, and the message says how",
   (text) => {
-    const parsed = metrics.parseEndpoint(text);
+    const parsed = prometheus.parseEndpoint(text);
     expect(parsed.isErr && parsed.error.message).toMatch(/write it like 9464\/metrics/);
   },
 );
 
 test("figures are told as they are at each reading", async () => {
   log.count("test.figures", 2);
-  expect(await metrics.text()).toMatch(/^cranewind_test_figures_total 2$/m);
+  expect(await prometheus.text()).toMatch(/^cranewind_test_figures_total 2$/m);
   log.count("test.figures");
-  const told = await metrics.text();
+  const told = await prometheus.text();
   expect(told).toMatch(/^cranewind_test_figures_total 3$/m);
   expect(told).toMatch(/^# TYPE cranewind_memory_megabytes gauge$/m);
 });
--- a/tests/model/clock.ts
+++ b/tests/model/clock.ts
@@ -9,7 +9,7 @@
 }
 
 /** A world for many nodes. Two clocks with one seed and the same calls play the same history. */
-export class ModelClock implements types.World {
+export class ModelClock implements types.Clock {
   private readonly heap: Timer[] = [];
   private order = 0;
   private timeMs = 0;
@@ -33,7 +33,7 @@
     return this.state / 4294967296;
   }
 
-  after(ms: number, run: () => void): types.Tick {
+  schedule(ms: number, run: () => void): types.Timer {
     const timer: Timer = { at: this.timeMs + Math.max(0, ms), order: (this.order += 1), run, isStopped: false };
     this.push(timer);
     return {
@@ -44,7 +44,7 @@
   }
 
   wait(ms: number): Promise<void> {
-    const start = this.after.bind(this, ms);
+    const start = this.schedule.bind(this, ms);
     return new Promise(function waiting(resolve) {
       start(resolve);
     });
--- a/tests/model/disk.ts
+++ b/tests/model/disk.ts
@@ -27,12 +27,12 @@
   private readonly contents = new Map<string, Content>();
 
   constructor(
-    private readonly chance: types.World,
+    private readonly chance: types.Clock,
     private readonly mutations: DiskMutations,
   ) {}
 
   /** The folder as one process sees it; its timers stand while it is frozen and are gone once it has ended. */
-  open(process: types.World): files.StoreFolder {
+  open(process: types.Clock): files.StoreFolder {
     const openFile = this.openFile.bind(this, process);
     return { name: "model", make: () => Promise.resolve(), open: (name) => Promise.resolve(openFile(name)), sync: () => Promise.resolve() };
   }
@@ -47,7 +47,7 @@
     }
   }
 
-  private openFile(process: types.World, name: string): files.StoreFile {
+  private openFile(process: types.Clock, name: string): files.StoreFile {
     const content = this.contents.get(name) ?? { durable: Buffer.alloc(0), cached: Buffer.alloc(0) };
     this.contents.set(name, content);
     return {
@@ -58,7 +58,7 @@
     };
   }
 
-  private async write(process: types.World, content: Content, bytes: Buffer, position: number): Promise<number> {
+  private async write(process: types.Clock, content: Content, bytes: Buffer, position: number): Promise<number> {
     await this.turnaround(process);
     const isWhole = this.trouble === "none" || (this.trouble === "failing" && this.chance.random() < 0.3);
     const taken = isWhole ? bytes : bytes.subarray(0, Math.floor(bytes.length * this.chance.random()));
@@ -69,19 +69,19 @@
     return this.mutations.isShortWriteCounted ? bytes.length : taken.length;
   }
 
-  private async sync(process: types.World, content: Content): Promise<void> {
+  private async sync(process: types.Clock, content: Content): Promise<void> {
     await this.turnaround(process);
     content.durable = content.cached;
   }
 
-  private async turnaround(process: types.World): Promise<void> {
+  private async turnaround(process: types.Clock): Promise<void> {
     await wait(process, (WRITE_MS + this.chance.random() * JITTER_MS) / 2);
     while (this.trouble === "stalled") await wait(process, STALL_POLL_MS);
   }
 }
 
-function wait(process: types.World, ms: number): Promise<void> {
+function wait(process: types.Clock, ms: number): Promise<void> {
   return new Promise(function waiting(resolve) {
-    process.after(ms, resolve);
+    process.schedule(ms, resolve);
   });
 }
--- a/tests/model/ending.ts
+++ b/tests/model/ending.ts
@@ -2,7 +2,7 @@
 import type * as schema from "../../src/wire/schema.js";
 import * as networks from "./network.js";
 import type * as nodes from "./node.js";
-import type * as players from "./player.js";
+import type * as player from "./player.js";
 
 /** From the end of all faults until orders must be decided by whoever takes them, in milliseconds. */
 export const HEAL_MS = 8000;
@@ -11,7 +11,7 @@
 const CALL_MS = 4000;
 const STEP_MS = 20;
 
-function heal(player: players.Player): void {
+function heal(player: player.Player): void {
   player.network.heal();
   player.network.weather = networks.CALM;
   for (const node of player.network.nodes.values()) {
@@ -22,7 +22,7 @@
 }
 
 /** Plays until the promise is settled; null when it is not within the time. */
-async function within<T>(player: players.Player, promise: Promise<T>, mostMs: number): Promise<T | null> {
+async function within<T>(player: player.Player, promise: Promise<T>, mostMs: number): Promise<T | null> {
   let made: T | null = null;
   let isDone = false;
   void promise.then(function done(value) {
@@ -33,7 +33,7 @@
   return made;
 }
 
-async function decides(player: players.Player, node: nodes.ModelNode): Promise<boolean> {
+async function decides(player: player.Player, node: nodes.ModelNode): Promise<boolean> {
   const { operators } = player;
   for (let sent = 0; sent < MAX_SENDINGS; sent += 1) {
     const sending = await within(player, operators.send(node, operators.create(false)), CALL_MS);
@@ -44,7 +44,7 @@
 }
 
 /** The nodes with what each holds, for the report of a core that stands still. */
-function summary(player: players.Player): string {
+function summary(player: player.Player): string {
   return [...player.network.nodes.values()].map(stateOf).join("; ");
 }
 
@@ -64,7 +64,7 @@
 }
 
 /** Null, or who cannot decide. */
-export async function finish(player: players.Player): Promise<string | null> {
+export async function finish(player: player.Player): Promise<string | null> {
   heal(player);
   await player.clock.play(HEAL_MS);
   for (const node of player.network.nodes.values()) {
@@ -75,7 +75,7 @@
 }
 
 /** Each order once more: those that were taken are acknowledged again. */
-async function resendAll(player: players.Player): Promise<void> {
+async function resendAll(player: player.Player): Promise<void> {
   const { operators } = player;
   const nodes = [...player.network.nodes.values()];
   for (const [index, order] of operators.orders.entries()) {
--- a/tests/model/exhaustive/parts.ts
+++ b/tests/model/exhaustive/parts.ts
@@ -1,6 +1,6 @@
 // The real parts that the search drives: the voter's rules, and the proposer's decisions on the votes it has.
 import * as proposers from "../../../src/register/proposer.js";
-import * as rounds from "../../../src/register/round.js";
+import * as round from "../../../src/register/round.js";
 import * as registers from "../../../src/register/value.js";
 import * as voters from "../../../src/register/voter.js";
 import type * as schema from "../../../src/wire/schema.js";
@@ -15,12 +15,12 @@
   hint: schema.Value | null;
   highestBallot: number;
   learnChosen(value: schema.Value): void;
-  isRead(votes: rounds.Votes): boolean;
-  readFrom(votes: rounds.Votes): schema.Value | null;
-  isStanding(read: schema.Value, votes: rounds.Votes): boolean;
+  isRead(votes: round.Votes): boolean;
+  readFrom(votes: round.Votes): schema.Value | null;
+  isStanding(read: schema.Value, votes: round.Votes): boolean;
   isSetChosen(value: schema.Value): boolean;
   targets(...values: schema.Value[]): Map<string, schema.Voter>;
-  take(votes: rounds.Votes): void;
+  take(votes: round.Votes): void;
   finish(value: schema.Value): void;
 }
 
@@ -53,8 +53,8 @@
     state.highest = decisions.highestBallot;
   }
 
-  votesOf(grants: readonly states.Grant[], asked: Iterable<schema.Voter>): rounds.Votes {
-    const votes = new rounds.Votes();
+  votesOf(grants: readonly states.Grant[], asked: Iterable<schema.Voter>): round.Votes {
+    const votes = new round.Votes();
     const byDisk = new Map<string, schema.Voter>();
     for (const voter of asked) byDisk.set(voter.disk, voter);
     for (const grant of grants) {
--- a/tests/model/exhaustive/scope.ts
+++ b/tests/model/exhaustive/scope.ts
@@ -3,7 +3,7 @@
 import * as policy from "../../../src/control/voters/voters.js";
 import type * as proposers from "../../../src/register/proposer.js";
 import * as registers from "../../../src/register/value.js";
-import * as errors from "../../../src/startup/errors.js";
+import * as errors from "../../../src/runtime/errors.js";
 import type * as schema from "../../../src/wire/schema.js";
 import type * as parts from "./parts.js";
 import type * as bounds from "./bounds.js";
--- a/tests/model/faults.ts
+++ b/tests/model/faults.ts
@@ -68,7 +68,7 @@
     const { losses } = this;
     const { clock } = this.network;
     losses.begin(node.address);
-    clock.after(ms, function ended() {
+    clock.schedule(ms, function ended() {
       end();
       losses.end(node.address, clock.now());
     });
@@ -104,7 +104,7 @@
     if (!node.isUp || !this.mayLose(node)) return;
     this.losses.begin(node.address);
     void node.handOver(GRACE_MS);
-    this.network.clock.after(GRACE_MS, this.remove.bind(this, node));
+    this.network.clock.schedule(GRACE_MS, this.remove.bind(this, node));
   }
 
   /** The machine goes for good and a blank one comes at a new address. */
@@ -118,7 +118,7 @@
     node.crash();
     this.network.nodes.delete(node.address);
     this.losses.end(node.address, this.network.clock.now() + 1000);
-    this.network.clock.after(1000 * this.network.clock.random(), this.join);
+    this.network.clock.schedule(1000 * this.network.clock.random(), this.join);
   }
 }
 
--- a/tests/model/guards.test.ts
+++ b/tests/model/guards.test.ts
@@ -1,5 +1,5 @@
 // Each guard of the register taken out: the model must see it missing, in a history that passes with the guard in place.
-import * as checks from "./check.js";
+import * as check from "./check.js";
 import type * as mutations from "./mutations.js";
 
 /** Seeds tried from the one given; after a change of the sources another of them may be the first to show it. */
@@ -17,7 +17,7 @@
   "random histories show that a guard is missing: %s",
   async function guard(missing, from) {
     let isSeen = false;
-    for (let seed = from; seed < from + MAX_SEEDS && !isSeen; seed += 1) isSeen = await checks.isSeen(seed, missing);
+    for (let seed = from; seed < from + MAX_SEEDS && !isSeen; seed += 1) isSeen = await check.isSeen(seed, missing);
     expect(isSeen).toBe(true);
   },
   120_000,
--- a/tests/model/mutations.ts
+++ b/tests/model/mutations.ts
@@ -5,13 +5,13 @@
 import type * as dialer from "../../src/feed/dialer.js";
 import type * as proposers from "../../src/register/proposer.js";
 import * as registers from "../../src/register/value.js";
-import * as errors from "../../src/startup/errors.js";
-import * as rounds from "../../src/register/round.js";
+import * as errors from "../../src/runtime/errors.js";
+import * as round from "../../src/register/round.js";
 import * as result from "true-myth/result";
 import * as voters from "../../src/register/voter.js";
 import * as schema from "../../src/wire/schema.js";
 import type * as types from "../../src/wire/types.js";
-import type * as disks from "./disk.js";
+import type * as disk from "./disk.js";
 
 export type Guard =
   | "none"
@@ -43,12 +43,12 @@
 }
 
 /** Sends new voters to all at once: former ones may accept them before any joiner has. */
-function acceptAtOnce(proposer: proposers.Proposer, world: types.World): void {
+function acceptAtOnce(proposer: proposers.Proposer, world: types.Clock): void {
   const parts = proposer as unknown as ProposerParts;
   const isSetChosen = parts.isSetChosen.bind(proposer);
   parts.accept = async function accept(ballot, read, proposed) {
     const isProven = proposed.former.length === 0 && (read.former.length === 0 || isSetChosen(read));
-    const votes = new rounds.Votes();
+    const votes = new round.Votes();
     function send(voter: schema.Voter): Promise<schema.Vote | null> {
       return parts.reach.accept(voter, { disk: voter.disk, ballot, isSetChosen: isProven, value: proposed });
     }
@@ -58,7 +58,7 @@
     function isEnough(): boolean {
       return isPossible(votes.granted);
     }
-    await rounds.run(world, { voters: registers.allVoters(read, proposed).values(), send, votes, isEnough, isPossible });
+    await round.run(world, { voters: registers.allVoters(read, proposed).values(), send, votes, isEnough, isPossible });
     return isEnough();
   };
 }
@@ -80,7 +80,7 @@
 }
 
 /** The parts of the model with at most one guard missing. */
-export class Mutations implements disks.DiskMutations {
+export class Mutations implements disk.DiskMutations {
   readonly isShortWriteCounted: boolean;
   readonly isIdentityKept: boolean;
 
@@ -89,7 +89,7 @@
     this.isIdentityKept = missing === "wipe_keeps_identity";
   }
 
-  makeCore(world: types.World, options: cores.CoreOptions, dial: dialer.Dialer): cores.Core {
+  makeCore(world: types.Clock, options: cores.CoreOptions, dial: dialer.Dialer): cores.Core {
     const core = new cores.Core(world, options, dial);
     if (this.missing === "settle_unchosen") trustJointSets(core.proposer);
     if (this.missing === "empty_joiner_blocks") {
--- a/tests/model/network.ts
+++ b/tests/model/network.ts
@@ -2,7 +2,7 @@
 import type * as calls from "../../src/wire/calls.js";
 import * as link from "../../src/wire/link.js";
 import * as nodes from "./node.js";
-import type * as clocks from "./clock.js";
+import type * as clock from "./clock.js";
 
 const FASTEST_MS = 5;
 const JITTER_MS = 50;
@@ -25,7 +25,7 @@
   /** A message that is late comes up to so much later. */
   latestMs = 4000;
 
-  constructor(readonly clock: clocks.ModelClock) {}
+  constructor(readonly clock: clock.ModelClock) {}
 
   /** Numbers name nodes, whatever has become of the set meanwhile. */
   node(index: number): nodes.ModelNode {
@@ -58,7 +58,7 @@
     const deliver = target.deliver.bind(target, target.generation, receive);
     for (let copy = 0; copy < copies; copy += 1) {
       const lateMs = clock.random() < weather.late || copy > 0 ? clock.random() * this.latestMs : 0;
-      clock.after(FASTEST_MS + clock.random() * JITTER_MS + lateMs, deliver);
+      clock.schedule(FASTEST_MS + clock.random() * JITTER_MS + lateMs, deliver);
     }
   }
 }
@@ -103,7 +103,7 @@
     const handle = this.handle.bind(this, pair as calls.Pair<unknown, unknown>, pair.ask.toBuffer(ask));
     const silent = from.mutations.replyOfSilence(pair, ask) as Reply | null;
     return new Promise(function start(resolve) {
-      const timer = from.world.after(silent ? Math.min(withinMs, LIE_MS) : withinMs, giveUp);
+      const timer = from.world.schedule(silent ? Math.min(withinMs, LIE_MS) : withinMs, giveUp);
       function giveUp(): void {
         resolve(silent);
       }
--- a/tests/model/node.ts
+++ b/tests/model/node.ts
@@ -1,5 +1,5 @@
 // One control node of the model: the real core, voter, ring, proposer and membership over a simulated machine.
-import * as voterManagers from "../../src/control/voters/voter-manager.js";
+import * as voterManager from "../../src/control/voters/voter-manager.js";
 import * as cores from "../../src/control/core.js";
 import * as dialer from "../../src/feed/dialer.js";
 import * as proposers from "../../src/register/proposer.js";
@@ -10,7 +10,7 @@
 import * as link from "../../src/wire/link.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as disks from "./disk.js";
+import * as disk from "./disk.js";
 import * as mutations from "./mutations.js";
 import type * as networks from "./network.js";
 import * as network from "./network.js";
@@ -19,7 +19,7 @@
 const OPEN_AGAIN_MS = 500;
 
 /** Timers of one process: they wait while it is frozen and are gone once it has ended. */
-class NodeWorld implements types.World {
+class NodeWorld implements types.Clock {
   constructor(private readonly node: ModelNode) {}
 
   now(): types.SteadyMs {
@@ -30,9 +30,9 @@
     return this.node.network.clock.random();
   }
 
-  after(ms: number, run: () => void): types.Tick {
+  schedule(ms: number, run: () => void): types.Timer {
     const { node } = this;
-    return node.network.clock.after(ms, node.deliver.bind(node, node.generation, run));
+    return node.network.clock.schedule(ms, node.deliver.bind(node, node.generation, run));
   }
 }
 
@@ -41,14 +41,14 @@
   isFrozen = false;
   /** Counts the processes of this machine. */
   generation = 0;
-  disk: disks.ModelDisk;
+  disk: disk.ModelDisk;
   handlers = new link.Handlers();
   readonly links = new Map<string, network.ModelLink>();
-  readonly world: types.World = new NodeWorld(this);
+  readonly world: types.Clock = new NodeWorld(this);
   core: cores.Core | null = null;
   voter: voters.Voter | null = null;
   private dial: dialer.Dialer | null = null;
-  private voterManager: voterManagers.VoterManager | null = null;
+  private voterManager: voterManager.VoterManager | null = null;
   private held: (() => void)[] = [];
   private identities = 0;
 
@@ -59,7 +59,7 @@
     readonly mutations: mutations.Mutations,
     private readonly onChosen: (value: schema.Value) => void,
   ) {
-    this.disk = new disks.ModelDisk(network.clock, mutations);
+    this.disk = new disk.ModelDisk(network.clock, mutations);
   }
 
   /** Runs in this process: later if it is frozen, never if it has ended. */
@@ -89,7 +89,7 @@
 
   wipe(): void {
     this.crash();
-    this.disk = new disks.ModelDisk(this.network.clock, this.mutations);
+    this.disk = new disk.ModelDisk(this.network.clock, this.mutations);
   }
 
   async start(isBootstrap: boolean): Promise<void> {
@@ -104,8 +104,8 @@
     this.core = this.mutations.makeCore(this.world, { life, address: this.address, first }, this.dial);
     this.core.on("chosen", this.onChosen);
     this.core.register(this.handlers);
-    this.voterManager = new voterManagers.VoterManager(this.world, this.core, this.members.bind(this));
-    this.world.after(UPKEEP_MS * this.world.random(), this.upkeep.bind(this));
+    this.voterManager = new voterManager.VoterManager(this.world, this.core, this.members.bind(this));
+    this.world.schedule(UPKEEP_MS * this.world.random(), this.upkeep.bind(this));
     await this.readDisk(isBootstrap);
   }
 
@@ -120,7 +120,7 @@
       this.voter = this.mutations.makeVoter(records, state);
       this.core?.enter(this.voter);
     } catch {
-      this.world.after(OPEN_AGAIN_MS, this.readDiskAgain.bind(this, isBootstrap));
+      this.world.schedule(OPEN_AGAIN_MS, this.readDiskAgain.bind(this, isBootstrap));
     }
   }
 
@@ -169,7 +169,7 @@
   }
 
   private upkeep(): void {
-    this.world.after(UPKEEP_MS, this.upkeep.bind(this));
+    this.world.schedule(UPKEEP_MS, this.upkeep.bind(this));
     const peers = new Set(this.network.nodes.values());
     for (const held of this.links.values()) peers.add(held.to);
     for (const peer of peers) if (peer !== this) this.keepLink(peer);
--- a/tests/model/operators.ts
+++ b/tests/model/operators.ts
@@ -1,14 +1,14 @@
 // The operators: they send orders to any node, send unclear ones again, read, and note what they saw.
 import * as change from "../../src/config/change.js";
 import * as registers from "../../src/register/value.js";
-import type * as errors from "../../src/startup/errors.js";
+import type * as errors from "../../src/runtime/errors.js";
 import type * as proposers from "../../src/register/proposer.js";
 import * as result from "true-myth/result";
 import type * as schema from "../../src/wire/schema.js";
 import type * as histories from "./history.js";
 import type * as mutations from "./mutations.js";
 import type * as nodes from "./node.js";
-import type * as clocks from "./clock.js";
+import type * as clock from "./clock.js";
 
 const CALL_MS = 2600;
 
@@ -43,7 +43,7 @@
   private readonly bases: number[] = [0];
 
   constructor(
-    private readonly clock: clocks.ModelClock,
+    private readonly clock: clock.ModelClock,
     private readonly mutations: mutations.Mutations,
   ) {}
 
--- a/tests/model/player.ts
+++ b/tests/model/player.ts
@@ -1,7 +1,7 @@
 // Plays one scenario on a simulated core and gives the verdict on what operators saw.
 import * as policy from "../../src/control/voters/voters.js";
 import type * as schema from "../../src/wire/schema.js";
-import * as clocks from "./clock.js";
+import * as clock from "./clock.js";
 import * as histories from "./history.js";
 import * as ending from "./ending.js";
 import * as faults from "./faults.js";
@@ -11,13 +11,13 @@
 import * as nodes from "./node.js";
 import * as operators from "./operators.js";
 import type * as commands from "./commands.js";
-import type * as scenarios from "./scenario.js";
+import type * as scenario from "./scenario.js";
 
 const START_MS = 1500;
 const STEP_MS = 5000;
 
 export class Player {
-  readonly clock: clocks.ModelClock;
+  readonly clock: clock.ModelClock;
   readonly network: networks.Network;
   readonly operators: operators.Operators;
   readonly mutations: mutations.Mutations;
@@ -32,10 +32,10 @@
   private isEnding = false;
 
   constructor(
-    private readonly scenario: scenarios.Scenario,
+    private readonly scenario: scenario.Scenario,
     missing: mutations.Guard,
   ) {
-    this.clock = new clocks.ModelClock(scenario.seed);
+    this.clock = new clock.ModelClock(scenario.seed);
     this.network = new networks.Network(this.clock);
     this.mutations = new mutations.Mutations(missing);
     this.operators = new operators.Operators(this.clock, this.mutations);
@@ -107,7 +107,7 @@
         return;
       case "weather":
         this.setWeather({ lost: command.lost, doubled: command.doubled, late: command.late });
-        this.clock.after(command.ms, this.setWeather.bind(this, networks.CALM));
+        this.clock.schedule(command.ms, this.setWeather.bind(this, networks.CALM));
         return;
       case "settle":
       case "membership":
@@ -148,7 +148,7 @@
     if (!value) return;
     if (command.kind === "settle") {
       const settle = this.mutations.settleStep(value);
-      this.clock.after(command.delayMs, function late() {
+      this.clock.schedule(command.delayMs, function late() {
         void node.change(settle, command.withinMs);
       });
       return;
--- a/tests/model/run.ts
+++ b/tests/model/run.ts
@@ -1,12 +1,12 @@
 // `npm run model -- --seeds 10000`: plays one history for each seed, with a progress line; ends with 1 if any fails.
 // `--of quotas` and `--of keys` play days of tenants, `--of tallies` histories of tallies, instead of those of the register.
 import * as commander from "commander";
-import * as keyDays from "../sim/key-lease-days.js";
+import * as keyLeaseDays from "../sim/key-lease-days.js";
 import * as quotaDays from "../sim/quota-days.js";
 import type * as quotas from "../sim/quotas.js";
 import * as tallyGuards from "../sim/tally-guards.js";
-import * as tallyStorms from "../sim/tally-storm.js";
-import * as checks from "./check.js";
+import * as tallyStorm from "../sim/tally-storm.js";
+import * as check from "./check.js";
 import type * as mutations from "./mutations.js";
 
 interface Options {
@@ -33,21 +33,21 @@
 }
 
 function playKeys(seed: number, options: Options): Promise<string | null> {
-  const excessMs = keyDays.worst(seed, options.guard === "ask_time");
+  const excessMs = keyLeaseDays.worst(seed, options.guard === "ask_time");
   return Promise.resolve(excessMs > 0 ? `seed ${seed}: a key was honoured ${excessMs} ms past the bound` : null);
 }
 
 async function playRegister(seed: number, options: Options): Promise<string | null> {
   const guard = options.guard as mutations.Guard;
-  const failure = await checks.checkSeed(seed, guard, !options.whole);
-  if (!failure || (guard !== "none" && (await checks.playScenario(failure.scenario, "none")) !== null)) return null;
+  const failure = await check.checkSeed(seed, guard, !options.whole);
+  if (!failure || (guard !== "none" && (await check.playScenario(failure.scenario, "none")) !== null)) return null;
   return describe(failure);
 }
 
 /** Three, four and five nodes in turn. */
 async function playTallies(seed: number, options: Options): Promise<string | null> {
   const guard = options.guard as tallyGuards.Guard;
-  const storm = new tallyStorms.TallyStorm({ seed, nodes: 3 + (seed % 3), weak: tallyGuards.weaknessOf(guard) });
+  const storm = new tallyStorm.TallyStorm({ seed, nodes: 3 + (seed % 3), weak: tallyGuards.weaknessOf(guard) });
   const faults = await tallyGuards.without(guard, () => storm.play());
   return faults.length > 0 ? `seed ${seed}: ${faults[0]} (${faults.length} in all)` : null;
 }
@@ -59,7 +59,7 @@
   ["tallies", playTallies],
 ]);
 
-function describe(failure: checks.Failure): string {
+function describe(failure: check.Failure): string {
   return `seed ${failure.seed} path ${failure.path}: ${failure.verdict}\n${JSON.stringify(failure.scenario)}`;
 }
 
--- a/tests/orchestrator.test.ts
+++ b/tests/orchestrator.test.ts
@@ -1,6 +1,6 @@
 // Who reads the reports of a region, and who takes over (design 4.5).
 import * as orchestrators from "../src/control/platform/orchestrator.js";
-import * as runners from "../src/standin/runner.js";
+import * as runners from "../src/emulator/runner.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sim from "./sim/world.js";
--- a/tests/order-load.test.ts
+++ b/tests/order-load.test.ts
@@ -1,8 +1,8 @@
 // Orders at several control nodes at once: passed on to one proposer, whatever becomes of it (design/hardening/2-orders 5).
-import * as log from "../src/startup/log.js";
+import * as log from "../src/runtime/log.js";
 import * as features from "../src/wire/features.js";
 import type * as schema from "../src/wire/schema.js";
-import * as load from "./sim/order-load.js";
+import * as orderLoad from "./sim/order-load.js";
 import * as systems from "./sim/system.js";
 
 /** ORDER_LOAD plays the whole table of the page, a minute each. */
@@ -29,7 +29,7 @@
     let orders = 0;
     let late = 0;
     for (const seed of SEEDS) {
-      const pace = await load.measure({ seed, proposers, syncMs, callers: 8, frozen, playMs: PLAY_MS });
+      const pace = await orderLoad.measure({ seed, proposers, syncMs, callers: 8, frozen, playMs: PLAY_MS });
       orders += pace.orders;
       late += pace.late;
       const figures = `${pace.perSecond.toFixed(1)} a second, median ${pace.medianMs.toFixed(0)}, p99 ${pace.p99Ms.toFixed(0)}`;
--- a/tests/orders-faults.test.ts
+++ b/tests/orders-faults.test.ts
@@ -37,7 +37,7 @@
   const nodes = [...core.nodes.values()];
   const node = nodes[Math.floor(clock.random() * nodes.length)];
   const kinds = [
-    () => nodes.forEach((item) => clock.after(clock.random() * 400, () => item.restart())),
+    () => nodes.forEach((item) => clock.schedule(clock.random() * 400, () => item.restart())),
     () => (node.isDiskHung = true),
     () => (node.isFrozen = true),
     () => (node.isUp = false),
--- a/tests/orders.test.ts
+++ b/tests/orders.test.ts
@@ -109,7 +109,7 @@
       const order = make(10, 12, "x");
       const rival = make(10, 13, "y");
       const answers = Promise.all([scene.desk.send(order, from(seed)), scene.desk.send(rival, from(seed + 1))]);
-      for (const node of scene.core.nodes.values()) scene.clock.after(scene.clock.random() * 300, () => node.restart());
+      for (const node of scene.core.nodes.values()) scene.clock.schedule(scene.clock.random() * 300, () => node.restart());
       const found = await done(scene.clock, answers);
       expect([...found].sort()).toEqual([200, 412]);
       for (const node of scene.core.nodes.values()) node.restart();
--- a/tests/overload.test.ts
+++ b/tests/overload.test.ts
@@ -1,10 +1,10 @@
 // Overload days played by the simulator: what is admitted is served in time, what is denied is told at once (design/admission 7).
 import * as fs from "node:fs";
-import * as capacities from "../src/cli/capacity.js";
+import * as capacity from "../src/cli/capacity.js";
 import * as commands from "../src/cli/commands.js";
 import * as types from "../src/wire/types.js";
 import type * as schema from "../src/wire/schema.js";
-import * as outcomes from "../src/whatif/outcome.js";
+import * as outcome from "../src/whatif/outcome.js";
 import * as overload from "../src/whatif/overload.js";
 import * as scenarios from "../src/whatif/scenario.js";
 
@@ -18,16 +18,16 @@
   return scenario.value;
 }
 
-function rowOf(rows: outcomes.Row[], kind: string, admission: string): outcomes.Row {
+function rowOf(rows: outcome.Row[], kind: string, admission: string): outcome.Row {
   return rows.find((row) => row.kind === kind && row.admission === admission)!;
 }
 
-function sum(rows: outcomes.Row[], field: "admitted" | "too_late" | "lost"): number {
+function sum(rows: outcome.Row[], field: "admitted" | "too_late" | "lost"): number {
   return rows.reduce((total, row) => total + row[field], 0);
 }
 
 test("a busy afternoon with a slowed runner: nothing is lost, every kind is worth more, 99 % of the admitted are done", () => {
-  const rows = outcomes.rows(scenarioOf(AFTERNOON));
+  const rows = outcome.rows(scenarioOf(AFTERNOON));
   expect(sum(rows, "lost")).toBe(0);
   for (const kind of ["drawing-check", "price-draft"]) {
     const [off, on] = [rowOf(rows, kind, "off"), rowOf(rows, kind, "on")];
@@ -50,7 +50,7 @@
   const scenario = scenarioOf(AFTERNOON, { faults: [] });
   const asked = new overload.OverloadDay(scenario, true).play();
   const rows = scenario.kinds.map((kind) =>
-    outcomes.rowOf(
+    outcome.rowOf(
       kind.name,
       true,
       asked.filter((item) => item.kind === kind.name),
@@ -72,7 +72,7 @@
   const scenario = scenarioOf(NIGHT);
   const asked = new overload.OverloadDay(scenario, true).play();
   const rows = scenario.kinds.map((kind) =>
-    outcomes.rowOf(
+    outcome.rowOf(
       kind.name,
       true,
       asked.filter((item) => item.kind === kind.name),
@@ -128,7 +128,7 @@
     { route: "draft", service: "s", count: 9, tokens: 600, unread: 400, heldMs: 1000 },
     { route: "else", service: "t", count: 1, tokens: 1, unread: 1, heldMs: 1 },
   ];
-  const rows = capacities.rowsOf([
+  const rows = capacity.rowsOf([
     { node, cells: { instances, reports: [{ region: "r", reports }] } },
     { node, admission: { rate: 40, cells: [], kinds } },
   ]);
@@ -140,11 +140,11 @@
       kinds: [{ route: "draft", requests_per_s: 10 }],
     },
   ]);
-  expect(capacities.lines(rows)).toEqual([
+  expect(capacity.lines(rows)).toEqual([
     expect.stringMatching(/^room +r s: 11 of 20 places, 6000 of 10000 tokens/),
     "more      r s draft: 10 requests/s",
   ]);
-  expect(capacities.lines([])[0]).toMatch(/no runner reports; ask a control node/);
+  expect(capacity.lines([])[0]).toMatch(/no runner reports; ask a control node/);
 });
 
 test("whatif prints a row a kind, without and with admission", () => {
--- a/tests/parts.test.ts
+++ b/tests/parts.test.ts
@@ -2,7 +2,7 @@
 import * as feeds from "../src/feed/feed.js";
 import * as keyed from "../src/feed/keyed.js";
 import * as mirrors from "../src/feed/mirror.js";
-import * as log from "../src/startup/log.js";
+import * as log from "../src/runtime/log.js";
 import type * as link from "../src/wire/link.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
--- a/tests/pictures.test.ts
+++ b/tests/pictures.test.ts
@@ -2,19 +2,19 @@
 import * as orchestrators from "../src/control/platform/orchestrator.js";
 import type * as dialer from "../src/feed/dialer.js";
 import * as feeds from "../src/feed/feed.js";
-import * as regionReports from "../src/usage/region-reports.js";
-import * as publishers from "../src/usage/publisher.js";
+import * as regionReports from "../src/load/region-reports.js";
+import * as publishers from "../src/load/publisher.js";
 import type * as schema from "../src/wire/schema.js";
 import type * as types from "../src/wire/types.js";
 import * as sims from "./sim/world.js";
-import * as usages from "./sim/usage.js";
+import * as usage from "./sim/usage.js";
 
 interface Node {
   publisher: publishers.Publisher;
   told: [string, string[], number][];
 }
 
-function nodeOf(clock: sims.SimWorld, region: usages.Region): Node {
+function nodeOf(clock: sims.SimWorld, region: usage.Region): Node {
   const told: Node["told"] = [];
   const feed = {
     publish: (topic: string, items: ReadonlyMap<string, Buffer>, stamp: types.Stamp) => told.push([topic, [...items.keys()], stamp]),
@@ -32,9 +32,9 @@
 function setUp(
   count: number,
   seed: number,
-): { clock: sims.SimWorld; region: usages.Region; reader: Node; sibling: Node; turn(isLost?: boolean): schema.Report[] } {
+): { clock: sims.SimWorld; region: usage.Region; reader: Node; sibling: Node; turn(isLost?: boolean): schema.Report[] } {
   const clock = new sims.SimWorld(seed);
-  const region = new usages.Region(clock, "r", count, 16, 1);
+  const region = new usage.Region(clock, "r", count, 16, 1);
   const [reader, sibling] = [nodeOf(clock, region), nodeOf(clock, region)];
   return {
     clock,
@@ -42,7 +42,7 @@
     reader,
     sibling,
     turn(isLost = false) {
-      clock.skip(usages.PERIOD_MS);
+      clock.skip(usage.PERIOD_MS);
       const told = { region: "r", reports: reader.publisher.differ("r", region.reports) };
       reader.publisher.take(told);
       if (!isLost) sibling.publisher.take(told);
@@ -78,7 +78,7 @@
   const first = reader.told.at(-1)!;
   turn();
   const second = reader.told.at(-1)!;
-  expect([second[0], second[2] - first[2]]).toEqual(["cell:r", usages.PERIOD_MS]);
+  expect([second[0], second[2] - first[2]]).toEqual(["cell:r", usage.PERIOD_MS]);
   clock.skip(5000);
   const regions = new Map(region.instances.slice(1).map((item): [types.RunnerId, string] => [item.id, "r"]));
   reader.publisher.takeList(region.instances.slice(1), regions);
@@ -108,7 +108,7 @@
   const dial = {
     controls: new Map([["s", { link: { tell: (_pair: unknown, ask: schema.CellReport) => told.push(ask) } }]]),
   } as unknown as dialer.Dialer;
-  const news = [usages.report("x")];
+  const news = [usage.report("x")];
   const view = { reporting: () => [], rank: (region: string) => (region === "r" ? 0 : 1), differ: () => news };
   const heard: schema.CellReport[] = [];
   const orchestrator = new orchestrators.Orchestrator(clock, ["r", "q"], view, dial, (report) => heard.push(report));
--- a/tests/processes/nodes.ts
+++ b/tests/processes/nodes.ts
@@ -2,8 +2,8 @@
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as path from "node:path";
-import * as platforms from "../../src/standin/platform.js";
-import * as runners from "../../src/standin/runner.js";
+import * as platform from "../../src/emulator/platform.js";
+import * as runners from "../../src/emulator/runner.js";
 
 const CONTROL_PORT = 9101;
 const DIRECTORY_PORT = 9102;
@@ -41,7 +41,7 @@
 
 /** Nodes of one system; `count` control nodes, each in a zone and region of its own. */
 export class ProcessSystem {
-  readonly platform = new platforms.StandInPlatform();
+  readonly platform = new platform.StandInPlatform();
   private readonly stops: (() => void)[] = [];
 
   constructor(
--- a/tests/processes/run.ts
+++ b/tests/processes/run.ts
@@ -3,10 +3,10 @@
 import * as os from "node:os";
 import * as path from "node:path";
 import * as util from "node:util";
-import * as log from "../../src/startup/log.js";
-import * as apartRuns from "./apart-run.js";
-import * as cutRuns from "./cut-run.js";
-import * as upgradeRuns from "./upgrade-run.js";
+import * as log from "../../src/runtime/log.js";
+import * as apartRun from "./apart-run.js";
+import * as cutRun from "./cut-run.js";
+import * as upgradeRun from "./upgrade-run.js";
 
 const PROGRAM = path.resolve("target/cranewind.js");
 const USAGE = "npm run processes -- cut | apart | upgrade --from PROGRAM [--stop-all]";
@@ -21,9 +21,9 @@
   const { from, "stop-all": isStopAll } = values;
   const options = from === undefined ? null : { folder, from: path.resolve(from), to: PROGRAM, isStopAll };
   const plays = new Map([
-    ["cut", () => cutRuns.run(folder, PROGRAM)],
-    ["apart", () => apartRuns.run(folder, PROGRAM)],
-    ["upgrade", () => (options ? upgradeRuns.run(options) : null)],
+    ["cut", () => cutRun.run(folder, PROGRAM)],
+    ["apart", () => apartRun.run(folder, PROGRAM)],
+    ["upgrade", () => (options ? upgradeRun.run(options) : null)],
   ]);
   const isGood = await plays.get(what)?.();
   if (isGood === undefined || isGood === null) throw new Error(USAGE);
--- a/tests/quota-wait.test.ts
+++ b/tests/quota-wait.test.ts
@@ -1,6 +1,6 @@
 // How long requests wait for units of their tenants' quotas, with all owners there and with one lost (design/tenants 4.4).
-import * as quantiles from "./sim/quantile.js";
-import * as sims from "./sim/quotas.js";
+import * as quantile from "./sim/quantile.js";
+import * as quotas from "./sim/quotas.js";
 
 const ROUTERS = 72;
 const REGIONS = 3;
@@ -40,7 +40,7 @@
 /** Waits in each region during the span; the owner of the third region, which has one alone, is lost for a while. */
 async function play(seed: number, [from, to]: Span): Promise<Waits[]> {
   const limits = limitsOfAll();
-  const sim = new sims.QuotaSim(seed, 5, 5, limits);
+  const sim = new quotas.QuotaSim(seed, 5, 5, limits);
   sim.join(ROUTERS, REGIONS);
   const random = sim.clock.random.bind(sim.clock);
   const waits = Array.from({ length: REGIONS }, (): Waits => ({ ms: [], refused: 0 }));
@@ -71,7 +71,7 @@
 
 function tell(name: string, waits: readonly Waits[]): void {
   for (const [region, { ms, refused }] of waits.entries()) {
-    const [median, most] = [0.5, 0.99].map((share) => quantiles.quantile(ms, share));
+    const [median, most] = [0.5, 0.99].map((share) => quantile.quantile(ms, share));
     process.stderr.write(`${name}, region ${region}: ${ms.length} granted, median ${median} ms, p99 ${most} ms, ${refused} refused\n`);
   }
 }
@@ -80,8 +80,8 @@
   const waits = await play(1, CALM);
   tell("calm", waits);
   for (const { ms, refused } of waits) {
-    expect(quantiles.quantile(ms, 0.5)).toBeLessThanOrEqual(20);
-    expect(quantiles.quantile(ms, 0.99)).toBeLessThanOrEqual(150);
+    expect(quantile.quantile(ms, 0.5)).toBeLessThanOrEqual(20);
+    expect(quantile.quantile(ms, 0.99)).toBeLessThanOrEqual(150);
     expect(refused / (ms.length + refused)).toBeLessThan(0.002);
   }
 });
@@ -89,9 +89,9 @@
 test("with the one owner of a region lost its routers wait for a trip to another region, and not for the lost one", async () => {
   const waits = await play(1, LOST);
   tell("an owner lost", waits);
-  expect(quantiles.quantile(waits[2].ms, 0.5)).toBeLessThanOrEqual(130);
+  expect(quantile.quantile(waits[2].ms, 0.5)).toBeLessThanOrEqual(130);
   for (const { ms, refused } of waits) {
-    expect(quantiles.quantile(ms, 0.99)).toBeLessThanOrEqual(350);
+    expect(quantile.quantile(ms, 0.99)).toBeLessThanOrEqual(350);
     expect(refused / (ms.length + refused)).toBeLessThan(0.01);
   }
 });
--- a/tests/quota.test.ts
+++ b/tests/quota.test.ts
@@ -1,21 +1,21 @@
 // Quotas counted as one by all nodes: no window sees more than the bound, whatever fails, and little is refused below it.
-import * as parts from "../src/tenants/quota-part.js";
-import * as days from "./sim/quota-days.js";
-import * as sims from "./sim/quotas.js";
+import * as quotaPart from "../src/tenants/quota-part.js";
+import * as quotaDays from "./sim/quota-days.js";
+import * as quotas from "./sim/quotas.js";
 import * as voters from "./sim/voters.js";
 
 const SEEDS = Array.from({ length: 16 }, (_item, index) => index + 1);
 
 test.each(SEEDS)("seed %s: no window of any tenant sees more than its bound", async (seed) => {
-  const sim = await days.storm({ seed, seconds: 40 });
-  for (const [tenant, limit] of days.LIMITS) {
-    expect(days.over(sim, tenant, limit)).toBeLessThanOrEqual(0);
+  const sim = await quotaDays.storm({ seed, seconds: 40 });
+  for (const [tenant, limit] of quotaDays.LIMITS) {
+    expect(quotaDays.over(sim, tenant, limit)).toBeLessThanOrEqual(0);
     expect(sim.recordOf(tenant).ran.length).toBeGreaterThan(0);
   }
   expect(sim.recordOf("usual").ran.length).toBeGreaterThan(20);
 });
 
-async function calm(sim: sims.QuotaSim, seconds: number, turn: (step: number) => void): Promise<void> {
+async function calm(sim: quotas.QuotaSim, seconds: number, turn: (step: number) => void): Promise<void> {
   for (let step = 0; step < seconds * 100; step += 1) {
     turn(step);
     await sim.step();
@@ -23,8 +23,8 @@
 }
 
 /** All owners start again and again, each time after they gave all that they had. */
-async function restarting(broken: sims.Broken): Promise<sims.QuotaSim> {
-  const sim = new sims.QuotaSim(3, 3, 3, days.LIMITS, broken);
+async function restarting(broken: quotas.Broken): Promise<quotas.QuotaSim> {
+  const sim = new quotas.QuotaSim(3, 3, 3, quotaDays.LIMITS, broken);
   sim.join(6, 3);
   await calm(sim, 30, (step) => {
     if (step > 800 && step % 150 === 0) for (const node of sim.nodes) node.start();
@@ -34,8 +34,8 @@
 }
 
 /** Two of five owners hear nothing of those that took their slots, while every router still reaches all seven. */
-async function supplanted(broken: sims.Broken): Promise<sims.QuotaSim> {
-  const sim = new sims.QuotaSim(5, 7, 5, days.LIMITS, broken);
+async function supplanted(broken: quotas.Broken): Promise<quotas.QuotaSim> {
+  const sim = new quotas.QuotaSim(5, 7, 5, quotaDays.LIMITS, broken);
   sim.join(8, 3, 7);
   await calm(sim, 50, (step) => {
     if (step === 1000) sim.isolated.add("d0").add("d1");
@@ -47,8 +47,8 @@
 }
 
 /** Routers stand still just after they asked, one after the other, and all go on at once. */
-async function frozen(broken: sims.Broken): Promise<sims.QuotaSim> {
-  const sim = new sims.QuotaSim(7, 3, 3, days.LIMITS, broken);
+async function frozen(broken: quotas.Broken): Promise<quotas.QuotaSim> {
+  const sim = new quotas.QuotaSim(7, 3, 3, quotaDays.LIMITS, broken);
   sim.join(120, 3);
   await calm(sim, 24, (step) => {
     if (step > 400 && step % 10 === 0 && step < 1900) {
@@ -61,20 +61,20 @@
   return sim;
 }
 
-test.each<[sims.Broken, string, (broken: sims.Broken) => Promise<sims.QuotaSim>]>([
+test.each<[quotas.Broken, string, (broken: quotas.Broken) => Promise<quotas.QuotaSim>]>([
   ["full_bucket", "usual", restarting],
   ["no_fence", "large", supplanted],
   ["stale_units", "usual", frozen],
 ])("the checker sees the broken guard %s, and the bound holds with it", async (broken, tenant, script) => {
-  const limit = new Map(days.LIMITS).get(tenant)!;
+  const limit = new Map(quotaDays.LIMITS).get(tenant)!;
   const sound = await script("none");
-  expect(days.over(sound, tenant, limit)).toBeLessThanOrEqual(0);
+  expect(quotaDays.over(sound, tenant, limit)).toBeLessThanOrEqual(0);
   expect(sound.recordOf(tenant).ran.length).toBeGreaterThan(25);
-  expect(days.over(await script(broken), tenant, limit)).toBeGreaterThan(0);
+  expect(quotaDays.over(await script(broken), tenant, limit)).toBeGreaterThan(0);
 });
 
 test("with nine tenths of the requests in one region 0.95 of the limit is let through", async () => {
-  const sim = new sims.QuotaSim(11, 5, 5, days.LIMITS);
+  const sim = new quotas.QuotaSim(11, 5, 5, quotaDays.LIMITS);
   sim.join(57, 3);
   const [, , remote] = ["g0", "g1", "g2"];
   const near = sim.routers.filter((_router, index) => `g${index % 3}` === remote);
@@ -87,35 +87,35 @@
   });
   const ran = sim.recordOf("large").ran.filter((at) => at > 15_000).length;
   expect(ran / 25 / 51).toBeGreaterThan(0.95);
-  expect(days.over(sim, "large", { perS: 51, burst: 51 })).toBeLessThanOrEqual(0);
+  expect(quotaDays.over(sim, "large", { perS: 51, burst: 51 })).toBeLessThanOrEqual(0);
 });
 
 test("at its usual a tenant is hardly ever refused; one that goes to its limit at once loses under a twentieth of that second", async () => {
-  const sim = new sims.QuotaSim(12, 5, 5, days.LIMITS);
+  const sim = new quotas.QuotaSim(12, 5, 5, quotaDays.LIMITS);
   sim.join(58, 3);
   const random = sim.clock.random.bind(sim.clock);
   const before = { exhausted: 0, asked: 0 };
   let asked = 0;
   await calm(sim, 130, (step) => {
     const isRush = step >= 12_000 && step < 12_100;
-    for (const [tenant, { perS }] of days.LIMITS) {
+    for (const [tenant, { perS }] of quotaDays.LIMITS) {
       if (step < 300 || random() >= ((isRush ? 1 : 1 / 1.6) * perS) / 100) continue;
       sim.routers[Math.floor(random() * 58)].request(tenant);
       asked += 1;
     }
     if (step !== 11_999) return;
     before.asked = asked;
-    for (const [tenant] of days.LIMITS) before.exhausted += sim.recordOf(tenant).exhausted + sim.recordOf(tenant).unreached;
+    for (const [tenant] of quotaDays.LIMITS) before.exhausted += sim.recordOf(tenant).exhausted + sim.recordOf(tenant).unreached;
   });
   let refused = 0;
-  for (const [tenant] of days.LIMITS) refused += sim.recordOf(tenant).exhausted + sim.recordOf(tenant).unreached;
+  for (const [tenant] of quotaDays.LIMITS) refused += sim.recordOf(tenant).exhausted + sim.recordOf(tenant).unreached;
   expect(before.asked).toBeGreaterThan(4000);
   expect(before.exhausted).toBeLessThanOrEqual(before.asked / 1000);
   expect((refused - before.exhausted) / (asked - before.asked)).toBeLessThan(0.05);
 });
 
 test("a tenant far over its limit does not cost an ask a request", async () => {
-  const sim = new sims.QuotaSim(13, 5, 5, days.LIMITS);
+  const sim = new quotas.QuotaSim(13, 5, 5, quotaDays.LIMITS);
   sim.join(58, 3);
   let asked = 0;
   const asksAt = { start: 0 };
@@ -130,26 +130,26 @@
   // The word on the configuration is asked for beside: 58 routers, each 0.3 s.
   const words = (15 * 58) / 0.3;
   expect(asks() - asksAt.start).toBeLessThan(words + asked);
-  expect(days.over(sim, "usual", { perS: 6, burst: 6 })).toBeLessThanOrEqual(0);
+  expect(quotaDays.over(sim, "usual", { perS: 6, burst: 6 })).toBeLessThanOrEqual(0);
 });
 
 test("a limit that is lowered binds one window later, and raising it again gives no second burst", async () => {
-  const sim = new sims.QuotaSim(14, 5, 5, days.LIMITS);
+  const sim = new quotas.QuotaSim(14, 5, 5, quotaDays.LIMITS);
   sim.join(20, 3);
   const low = { perS: 5, burst: 5 };
   await calm(sim, 40, (step) => {
     if (step === 1500) sim.setLimits([["large", low]]);
-    if (step === 3000) sim.setLimits(days.LIMITS);
+    if (step === 3000) sim.setLimits(quotaDays.LIMITS);
     if (step === 3020) sim.setLimits([["large", low]]);
     if (step > 500) for (const router of sim.routers) if (sim.clock.random() < 0.05) router.request("large");
   });
   const { ran } = sim.recordOf("large");
   const windowMs = 5000;
   const between = (from: number, to: number): number[] => ran.filter((at) => at > from && at < to);
-  const bound = parts.boundOf(sims.BOUNDS, low);
+  const bound = quotaPart.boundOf(quotas.BOUNDS, low);
   expect(voters.excess(between(20_000, 30_000), windowMs, () => bound)).toBeLessThanOrEqual(0);
   expect(voters.excess(between(35_300, 40_000), windowMs, () => bound)).toBeLessThanOrEqual(0);
-  expect(days.over(sim, "large", { perS: 51, burst: 51 })).toBeLessThanOrEqual(0);
+  expect(quotaDays.over(sim, "large", { perS: 51, burst: 51 })).toBeLessThanOrEqual(0);
 });
 
 test.each<[string, string[]]>([
@@ -158,7 +158,7 @@
   ["two of five are replaced at once", ["d5", "d6", "d2", "d3", "d4"]],
   ["five become seven", ["d0", "d1", "d2", "d3", "d4", "d5", "d6"]],
 ])("when %s, owners that stay go on without a pause, and the bound holds", async (_name, next) => {
-  const sim = new sims.QuotaSim(15, 7, 5, days.LIMITS);
+  const sim = new quotas.QuotaSim(15, 7, 5, quotaDays.LIMITS);
   sim.join(30, 3, 7);
   const random = sim.clock.random.bind(sim.clock);
   const large = sim.recordOf("large");
@@ -175,5 +175,5 @@
   const ran = large.ran.length - at.changed;
   const refused = large.exhausted + large.unreached - at.refused;
   expect(refused / (ran + refused)).toBeLessThan(0.02);
-  expect(days.over(sim, "large", { perS: 51, burst: 51 })).toBeLessThanOrEqual(0);
+  expect(quotaDays.over(sim, "large", { perS: 51, burst: 51 })).toBeLessThanOrEqual(0);
 });
--- a/tests/reads-beside-orders.test.ts
+++ b/tests/reads-beside-orders.test.ts
@@ -1,5 +1,5 @@
 // Calls that read at a majority again and again, beside orders of others (design/hardening/2-orders 6).
-import * as load from "./sim/order-load.js";
+import * as orderLoad from "./sim/order-load.js";
 import * as systems from "./sim/system.js";
 
 const READERS = 2;
@@ -9,7 +9,7 @@
 const ROWS: [syncMs: number, readAt: string[]][] = [];
 for (const syncMs of [5, 20, 60]) for (const readAt of [["c"], ["b", "c"]]) ROWS.push([syncMs, readAt]);
 /** As the aim has it for orders while several nodes propose. */
-const MAX_MS = load.ANSWER_MS;
+const MAX_MS = orderLoad.ANSWER_MS;
 
 /** Reads one time after the other, without a pause, until `isOver`. */
 async function readOn(system: systems.System, name: string, isOver: () => boolean): Promise<void> {
--- a/tests/register-core.test.ts
+++ b/tests/register-core.test.ts
@@ -1,7 +1,7 @@
 // What a control node concludes from its own disk and its links: the fence of leases, and losses that can be borne
 // (hardening 0 and 3).
 import * as cores from "../src/control/core.js";
-import * as dialers from "../src/feed/dialer.js";
+import * as dialer from "../src/feed/dialer.js";
 import * as registers from "../src/register/value.js";
 import * as voters from "../src/register/voter.js";
 import * as link from "../src/wire/link.js";
@@ -19,14 +19,14 @@
 
 interface Made {
   core: cores.Core;
-  dial: dialers.Dialer;
+  dial: dialer.Dialer;
 }
 
 /** The core of a:1 with its first disk, on which the value given was accepted last. */
 function make(accepted: schema.Value): Made {
   const clock = new sim.SimWorld();
   const describe = (): schema.NodeInfo => nodeAt("a:1", "");
-  const dial = new dialers.Dialer(clock, "a:1", new link.Handlers(), describe, link.SILENT_MS);
+  const dial = new dialer.Dialer(clock, "a:1", new link.Handlers(), describe, link.SILENT_MS);
   const core = new cores.Core(clock, { life: "life", address: "a:1", first }, dial);
   const disk = {
     disk: registers.firstDisk("a:1"),
--- a/tests/register-faults.test.ts
+++ b/tests/register-faults.test.ts
@@ -1,7 +1,7 @@
 // Random losses, wipes, cuts, freezes and restarts while voters change by the real policy: no acknowledged change is
 // lost, none is confirmed beside another on one base, and the core decides again once the faults end.
 import * as result from "true-myth/result";
-import * as errors from "../src/startup/errors.js";
+import * as errors from "../src/runtime/errors.js";
 import * as proposers from "../src/register/proposer.js";
 import * as histories from "../src/register/history.js";
 import * as registers from "../src/register/value.js";
--- a/tests/register-joint.test.ts
+++ b/tests/register-joint.test.ts
@@ -1,7 +1,7 @@
 // Joint sets of voters that may never have been chosen: nothing may be concluded from them (design 5.5,
 // hardening 0).
 import * as result from "true-myth/result";
-import * as errors from "../src/startup/errors.js";
+import * as errors from "../src/runtime/errors.js";
 import * as policy from "../src/control/voters/voters.js";
 import * as proposers from "../src/register/proposer.js";
 import * as registers from "../src/register/value.js";
--- a/tests/register-membership.test.ts
+++ b/tests/register-membership.test.ts
@@ -1,7 +1,7 @@
 // Changes of voters by the real policy over the simulated core: losses, replacements, leaving, and the time to full
 // strength (hardening 3).
 import * as result from "true-myth/result";
-import * as errors from "../src/startup/errors.js";
+import * as errors from "../src/runtime/errors.js";
 import * as policy from "../src/control/voters/voters.js";
 import * as proposers from "../src/register/proposer.js";
 import * as registers from "../src/register/value.js";
--- a/tests/register-resend.test.ts
+++ b/tests/register-resend.test.ts
@@ -1,7 +1,7 @@
 // Requests of a round that are sent again: by measured round trips, to who is silent only, and written once (hardening 3).
 import * as registers from "../src/register/value.js";
 import * as roundTrips from "../src/register/round-trips.js";
-import * as rounds from "../src/register/round.js";
+import * as round from "../src/register/round.js";
 import * as voters from "../src/register/voter.js";
 import * as schema from "../src/wire/schema.js";
 import * as sim from "./sim/world.js";
@@ -18,7 +18,7 @@
 async function play(fates: Record<string, string>, isThorough: boolean): Promise<{ sends: string[]; grants: number; tookMs: number }> {
   const clock = new sim.SimWorld();
   const sends: string[] = [];
-  const votes = new rounds.Votes();
+  const votes = new round.Votes();
   const known = new roundTrips.RoundTrips();
   for (const voter of VALUE.voters) known.measured(voter.disk, TRIP_MS);
   const quorum = (disks: ReadonlySet<string>): boolean => disks.size >= 2;
@@ -29,7 +29,7 @@
     const fate = fates[name][Math.min(count, fates[name].length - 1)];
     if (fate === "-") return Promise.resolve(null);
     return new Promise((resolve) => {
-      if (fate === "+") clock.after(TRIP_MS, () => resolve(granted(voter)));
+      if (fate === "+") clock.schedule(TRIP_MS, () => resolve(granted(voter)));
     });
   }
   let tookMs = Infinity;
@@ -42,7 +42,7 @@
     isEnough: () => quorum(votes.granted),
     isPossible: quorum,
   };
-  void rounds.run(clock, phase).then(() => (tookMs = clock.now()));
+  void round.run(clock, phase).then(() => (tookMs = clock.now()));
   await clock.play(3000);
   return { sends, grants: votes.granted.size, tookMs };
 }
--- a/tests/register.test.ts
+++ b/tests/register.test.ts
@@ -1,6 +1,6 @@
 // The register under faults drawn by seed, and a checker for acknowledged changes (design 5).
 import * as result from "true-myth/result";
-import * as errors from "../src/startup/errors.js";
+import * as errors from "../src/runtime/errors.js";
 import * as registers from "../src/register/value.js";
 import * as policy from "../src/control/voters/voters.js";
 import * as schema from "../src/wire/schema.js";
@@ -80,7 +80,7 @@
     mend();
     const node = nodes[Math.floor(clock.random() * nodes.length)];
     const kind = Math.floor(clock.random() * 6);
-    if (kind === 0) for (const each of nodes) clock.after(clock.random() * 500, each.restart.bind(each));
+    if (kind === 0) for (const each of nodes) clock.schedule(clock.random() * 500, each.restart.bind(each));
     else if (kind === 1) node.isDiskHung = true;
     else if (kind === 2) node.isFrozen = true;
     else if (kind === 3) {
--- a/tests/relay.test.ts
+++ b/tests/relay.test.ts
@@ -1,7 +1,7 @@
 // Signs relayed by control nodes (design/usage 2): to followers of the cell, once, within a bound of bytes.
-import * as marks from "../src/signs/marks.js";
-import * as throttles from "../src/signs/throttle.js";
-import * as relays from "../src/signs/relay.js";
+import * as marks from "../src/hints/marks.js";
+import * as throttle from "../src/hints/throttle.js";
+import * as relays from "../src/hints/relay.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sim from "./sim/world.js";
@@ -66,9 +66,9 @@
   const clock = new sim.SimWorld(1);
   const { links, hear } = relayTo(clock);
   for (let index = 0; index < perS; index += 1)
-    clock.after((index * 1000) / perS, () => hear("r1", signs.signs(signs.reading("n", 1000, [index]))));
+    clock.schedule((index * 1000) / perS, () => hear("r1", signs.signs(signs.reading("n", 1000, [index]))));
   await clock.play(1100);
-  const most = Math.ceil(1000 / throttles.PERIOD_MS) + 1;
+  const most = Math.ceil(1000 / throttle.PERIOD_MS) + 1;
   for (const name of ["r2", "r3", "s1", "s2"]) expect(links.get(name)!.told.length).toBeLessThanOrEqual(most);
   expect(links.get("r1")!.told).toEqual([]);
 });
@@ -98,8 +98,8 @@
   const names = Array.from({ length: 5000 }, (_item, index) => `i-${index}`);
   relay.takeList(new Map(signs.ids(...names).map((id) => [id, "north"])));
   for (const [index, name] of names.entries())
-    clock.after(index * 2, () => relay.hear(signs.ear(links.get("r1")!), signs.signs(signs.reading(name, 1000, [index, ~index]))));
-  clock.after(9000, () => relay.hear(signs.ear(links.get("r1")!), { isRelayed: false, silent: [marks.markOf("i-3")], readings: [] }));
+    clock.schedule(index * 2, () => relay.hear(signs.ear(links.get("r1")!), signs.signs(signs.reading(name, 1000, [index, ~index]))));
+  clock.schedule(9000, () => relay.hear(signs.ear(links.get("r1")!), { isRelayed: false, silent: [marks.markOf("i-3")], readings: [] }));
   await clock.play(10_100);
   const bytes = links.get("r2")!.told.reduce((sum, told) => sum + schema.signs.toBuffer(told).length, 0);
   const perS = relays.bytesPerS(routers);
--- a/tests/release.test.ts
+++ b/tests/release.test.ts
@@ -1,10 +1,10 @@
 // Links between builds of different releases (design/edge 3.4): told apart, denied with the reason, counted.
 import * as crypto from "node:crypto";
 import * as net from "node:net";
-import * as log from "../src/startup/log.js";
+import * as log from "../src/runtime/log.js";
 import * as calls from "../src/wire/calls.js";
 import * as link from "../src/wire/link.js";
-import * as releases from "../src/wire/release.js";
+import * as release from "../src/wire/release.js";
 import * as schema from "../src/wire/schema.js";
 import * as sim from "./sim/world.js";
 
@@ -116,19 +116,19 @@
 }
 
 test("the preamble never changes: magic, then the release, in eight bytes", async () => {
-  expect(releases.preamble(258).toString("hex")).toBe("43574c4b00000102");
+  expect(release.preamble(258).toString("hex")).toBe("43574c4b00000102");
   const heard = await open();
-  await until(() => heard.bytes.length >= releases.PREAMBLE_BYTES);
+  await until(() => heard.bytes.length >= release.PREAMBLE_BYTES);
   expect(heard.bytes.toString("hex")).toBe(`43574c4b${schema.RELEASE.toString(16).padStart(8, "0")}`);
   heard.made.end("test over");
 });
 
 const DENIED: [string, Buffer, string, RegExp][] = [
   ["frames of an earlier build", helloFrame(), "link.other_release", /before releases were told.*release 2;.*same release on both ends/],
-  ["an earlier release", releases.preamble(0), "link.other_release", /release 0, .*release 2;.*same release on both ends/],
+  ["an earlier release", release.preamble(0), "link.other_release", /release 0, .*release 2;.*same release on both ends/],
   [
     "a later release with a layout unknown here",
-    Buffer.concat([releases.preamble(7), Buffer.alloc(50, 255)]),
+    Buffer.concat([release.preamble(7), Buffer.alloc(50, 255)]),
     "link.other_release",
     /release 7, .*release 2;.*same release on both ends/,
   ],
@@ -150,7 +150,7 @@
   expect(heard.causes[0]).toMatch(reason);
   expect([heard.made.isOpen, handled, count(counter)]).toEqual([false, 0, before + 1]);
   await until(() => heard.peer.readableEnded); // ended in order: no reset takes the preamble away
-  expect(heard.bytes.equals(releases.preamble(schema.RELEASE))).toBe(true);
+  expect(heard.bytes.equals(release.preamble(schema.RELEASE))).toBe(true);
   expect(heard.causes).toHaveLength(1);
 });
 
@@ -163,7 +163,7 @@
   });
   const heard = await open(handlers);
   heard.peer.setNoDelay(true);
-  for (const byte of Buffer.concat([releases.preamble(schema.RELEASE), helloFrame()])) {
+  for (const byte of Buffer.concat([release.preamble(schema.RELEASE), helloFrame()])) {
     heard.peer.write(Buffer.from([byte]));
     await new Promise(setImmediate);
   }
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -10,8 +10,8 @@
 import * as batches from "../src/router/batches.js";
 import * as servers from "../src/router/client/server.js";
 import * as tenancies from "../src/router/tenancy.js";
-import * as shares from "../src/shares/shares.js";
-import * as standin from "../src/standin/runner.js";
+import * as shares from "../src/limits/shares.js";
+import * as runner from "../src/emulator/runner.js";
 import * as types from "../src/wire/types.js";
 import * as edge from "./sim/edge.js";
 import * as raws from "./sim/raw.js";
@@ -40,7 +40,7 @@
 }
 
 let clock: sims.SkewedWorld;
-let runners: standin.StandInRunner[];
+let runners: runner.StandInRunner[];
 let server: servers.RouterServer;
 let share: shares.Shares;
 let port = 0;
@@ -58,7 +58,7 @@
   share.deal(1);
   share.grant({ life: "o", isGranting: true, grants: [{ id: 1, kind: 0, key: "s", amount: 25, lifeMs: 60_000 }] }, clock.now());
   const chooser = new choosers.Chooser(clock, fleet, new rotations.Rotation(clock), share, "r1", new readings.Readings());
-  runners = [new standin.StandInRunner({ id: "i-1" }), new standin.StandInRunner({ id: "i-2" })];
+  runners = [new runner.StandInRunner({ id: "i-1" }), new runner.StandInRunner({ id: "i-2" })];
   for (const runner of runners) await runner.start();
   fleet.takeList(
     runners.map((runner, index) => ({
@@ -124,7 +124,7 @@
   for (let at = from; at <= to; at += 1) text += `id: ${at}\ndata: piece ${at}\n\n`;
   return text;
 }
-function seenBy(): standin.Seen[] {
+function seenBy(): runner.Seen[] {
   return [...runners[0].seen, ...runners[1].seen];
 }
 
--- a/tests/second-loss.test.ts
+++ b/tests/second-loss.test.ts
@@ -45,7 +45,7 @@
   const up = fleet.members.filter((member) => member.node.isUp);
   for (const member of up) member.node.isUp = false;
   for (const member of up) {
-    clock.after(DARK_MS + clock.random() * (MAX_DARK_MS - DARK_MS), () => {
+    clock.schedule(DARK_MS + clock.random() * (MAX_DARK_MS - DARK_MS), () => {
       member.node.isUp = true;
       if (member === lost) fleet.wipe(member);
       else fleet.restart(member);
--- a/tests/selection.test.ts
+++ b/tests/selection.test.ts
@@ -65,7 +65,7 @@
 test("the planned world plays in order and leaves out what was stopped", () => {
   const world = new worlds.PlannedWorld(3);
   const seen: number[] = [];
-  const ticks = [50, 10, 30, 20, 40, 10].map((ms, index) => world.after(ms, () => seen.push(index)));
+  const ticks = [50, 10, 30, 20, 40, 10].map((ms, index) => world.schedule(ms, () => seen.push(index)));
   ticks[2].stop();
   world.play(45);
   expect([seen, world.now()]).toEqual([[1, 5, 3, 4], 45]);
--- a/tests/serve-gate.test.ts
+++ b/tests/serve-gate.test.ts
@@ -1,16 +1,16 @@
 // For how long a router serves without the word of a confirmed control node (design/hardening/1-cut-off 4).
-import * as routerNodes from "./sim/router-node.js";
+import * as routerNode from "./sim/router-node.js";
 import * as systems from "./sim/system.js";
 
 test("a router serves unconfirmed for a bounded time, running or started behind the cut, and again once it is confirmed", async () => {
   const LIMIT_MS = 6000;
   const system = await systems.start();
   const { clock, network } = system;
-  const running = new routerNodes.RouterNode(network, "running", "a", systems.NAMES, LIMIT_MS);
+  const running = new routerNode.RouterNode(network, "running", "a", systems.NAMES, LIMIT_MS);
   await clock.play(2000);
   network.cut(["a", "ra", "running", "late"], ["b", "c", "rb", "rc"]);
   await clock.play(2000);
-  const late = new routerNodes.RouterNode(network, "late", "a", systems.NAMES, LIMIT_MS);
+  const late = new routerNode.RouterNode(network, "late", "a", systems.NAMES, LIMIT_MS);
   await clock.play(3000);
   expect([running.gate.allows(), late.gate.allows()]).toEqual([true, true]);
   expect(late.gate.status()).toEqual({ isOpen: true, confirmedMsAgo: null, isExpired: false });
@@ -27,7 +27,7 @@
 test("a router whose process stood still past the bound serves nothing before it is confirmed again", async () => {
   const system = await systems.start();
   const { clock, network } = system;
-  const router = new routerNodes.RouterNode(network, "running", "a", systems.NAMES, 3000);
+  const router = new routerNode.RouterNode(network, "running", "a", systems.NAMES, 3000);
   await clock.play(2000);
   network.frozen.add("running");
   await clock.play(4000);
--- a/tests/shrink-guard.test.ts
+++ b/tests/shrink-guard.test.ts
@@ -1,5 +1,5 @@
 // A view of routers that shrinks at once is doubted (design/members 5), and the directory prefers the sure ones (design 4.3).
-import * as shrinkGuards from "../src/control/members/shrink-guard.js";
+import * as shrinkGuard from "../src/control/members/shrink-guard.js";
 import * as directory from "../src/control/directory/directory.js";
 import * as sim from "./sim/world.js";
 import { router } from "./sim/nodes.js";
@@ -22,7 +22,7 @@
 
 test.each(LOSSES)("a shrinking view: %s", async (_name, { known, lost, left, kept }) => {
   const clock = new sim.SimWorld(1);
-  const doubt = new shrinkGuards.ShrinkGuard(clock);
+  const doubt = new shrinkGuard.ShrinkGuard(clock);
   const all = Array.from({ length: known }, (_item, index) => router(`r${index}`));
   const hasLeft = (life: string): boolean => all.slice(0, left).some((item) => item.life === life);
   const rest = all.slice(lost);
@@ -38,7 +38,7 @@
 
 test("losses over more than a second are no shrinking at once; those that return end the doubt", async () => {
   const clock = new sim.SimWorld(1);
-  const doubt = new shrinkGuards.ShrinkGuard(clock);
+  const doubt = new shrinkGuard.ShrinkGuard(clock);
   const all = Array.from({ length: 9 }, (_item, index) => router(`r${index}`));
   for (let lost = 0; lost <= 6; lost += 1) {
     expect(doubt.view(all.slice(lost), () => false)).toHaveLength(9 - lost);
@@ -52,8 +52,8 @@
 });
 
 test("the directory prefers who is surely alive when two of them stand in the zone or region", () => {
-  const seen = (name: string, zone: string, isSure: boolean): shrinkGuards.SeenNode => ({ node: router(name, { zone }), isSure });
-  const near = (all: shrinkGuards.SeenNode[]): string[] => directory.nearest(all, { region: "r", zone: "z" }).map((item) => item.name);
+  const seen = (name: string, zone: string, isSure: boolean): shrinkGuard.SeenNode => ({ node: router(name, { zone }), isSure });
+  const near = (all: shrinkGuard.SeenNode[]): string[] => directory.nearest(all, { region: "r", zone: "z" }).map((item) => item.name);
   expect(near([seen("a", "z", true), seen("b", "z", true), seen("c", "z", false)])).toEqual(["a", "b"]);
   expect(near([seen("a", "z", true), seen("b", "z", false), seen("c", "y", true)])).toEqual(["a", "c"]);
   expect(near([seen("a", "z", true), seen("b", "z", false), seen("c", "y", false)])).toEqual(["a", "b"]);
--- a/tests/signs.test.ts
+++ b/tests/signs.test.ts
@@ -1,9 +1,9 @@
 // Signs between routers (design/usage 2): few frames, marks that name one runner, no echo, bounds.
 import * as readings from "../src/router/runners/readings.js";
-import * as batches from "../src/signs/batch.js";
-import * as marks from "../src/signs/marks.js";
-import * as throttles from "../src/signs/throttle.js";
-import * as signSenders from "../src/signs/sign-sender.js";
+import * as batches from "../src/hints/batch.js";
+import * as marks from "../src/hints/marks.js";
+import * as throttle from "../src/hints/throttle.js";
+import * as signSenders from "../src/hints/sign-sender.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sim from "./sim/world.js";
@@ -16,8 +16,8 @@
 ])("pace: %s", async (_name, asks, expected) => {
   const clock = new sim.SimWorld(1);
   const ran: number[] = [];
-  const pace = new throttles.Throttle(clock, () => ran.push(clock.now()));
-  for (const at of asks) clock.after(at, () => pace.request());
+  const pace = new throttle.Throttle(clock, () => ran.push(clock.now()));
+  for (const at of asks) clock.schedule(at, () => pace.request());
   await clock.play(1000);
   expect(ran).toEqual(expected);
 });
@@ -40,10 +40,10 @@
   const { signSender, told } = signSenderTo(clock);
   for (let index = 0; index < perS; index += 1) {
     const runner = ["a", "b", "c"][index % 3];
-    clock.after((index * 1000) / perS, () => signSender.reading(types.small(runner), 2000, [index]));
+    clock.schedule((index * 1000) / perS, () => signSender.reading(types.small(runner), 2000, [index]));
   }
   await clock.play(1100);
-  expect(told.length).toBeLessThanOrEqual(Math.ceil(1000 / throttles.PERIOD_MS) + 1);
+  expect(told.length).toBeLessThanOrEqual(Math.ceil(1000 / throttle.PERIOD_MS) + 1);
   // Nothing of the backlog is lost by telling it together.
   expect(told.flatMap((frame) => frame.readings).reduce((sum, item) => sum + item.unread, 0)).toBe(2000 * perS);
 });
--- a/tests/sim/caller-cases.ts
+++ b/tests/sim/caller-cases.ts
@@ -3,7 +3,7 @@
 import * as assert from "node:assert/strict";
 import * as fc from "fast-check";
 import * as edges from "./edge.js";
-import * as raws from "./raw-runner.js";
+import * as rawRunner from "./raw-runner.js";
 import * as sims from "./world.js";
 
 /** Of the routes that are asked here. */
@@ -27,31 +27,31 @@
   /** Requests that each runner serves before over the connection that is then kept. */
   served: number;
   /** What each runner does with the first request that reaches it, and then with the second. */
-  scripts: raws.Script[];
+  scripts: rawRunner.Script[];
 }
 
-const ANSWERS: raws.Answer[] = [
-  raws.FINE,
-  { ...raws.FINE, framing: "chunked" },
-  { ...raws.FINE, hints: 1 },
-  { ...raws.FINE, framing: "chunked", hints: 2 },
-  { ...raws.FINE, ids: ["other"], hints: 1 },
-  { ...raws.DENIAL, hints: 1 },
-  { ...raws.FINE, status: 500 },
-  { ...raws.FINE, status: 503 },
-  { ...raws.FINE, isSealed: false },
-  { ...raws.FINE, ids: [] },
-  { ...raws.FINE, ids: ["other"] },
-  { ...raws.DENIAL, ids: ["other"] },
-  { ...raws.DENIAL, ids: [] },
-  raws.DENIAL,
-  { ...raws.DENIAL, framing: "chunked" },
-  { ...raws.DENIAL, status: 429 },
-  { ...raws.DENIAL, status: 421, isNotExecuted: false },
+const ANSWERS: rawRunner.Answer[] = [
+  rawRunner.FINE,
+  { ...rawRunner.FINE, framing: "chunked" },
+  { ...rawRunner.FINE, hints: 1 },
+  { ...rawRunner.FINE, framing: "chunked", hints: 2 },
+  { ...rawRunner.FINE, ids: ["other"], hints: 1 },
+  { ...rawRunner.DENIAL, hints: 1 },
+  { ...rawRunner.FINE, status: 500 },
+  { ...rawRunner.FINE, status: 503 },
+  { ...rawRunner.FINE, isSealed: false },
+  { ...rawRunner.FINE, ids: [] },
+  { ...rawRunner.FINE, ids: ["other"] },
+  { ...rawRunner.DENIAL, ids: ["other"] },
+  { ...rawRunner.DENIAL, ids: [] },
+  rawRunner.DENIAL,
+  { ...rawRunner.DENIAL, framing: "chunked" },
+  { ...rawRunner.DENIAL, status: 429 },
+  { ...rawRunner.DENIAL, status: 421, isNotExecuted: false },
 ];
-const FAULTS: raws.Fault[] = ["none", "reset", "close", "silent", "garbage", "extra"];
+const FAULTS: rawRunner.Fault[] = ["none", "reset", "close", "silent", "garbage", "extra"];
 
-const SCRIPT: fc.Arbitrary<raws.Script> = fc.record({
+const SCRIPT: fc.Arbitrary<rawRunner.Script> = fc.record({
   answer: fc.constantFrom(...ANSWERS),
   part: fc.constantFrom("request" as const, "answer" as const),
   byte: fc.nat(420),
@@ -69,16 +69,16 @@
 
 /** Where a history is played. */
 export interface Place {
-  runner(id: string): raws.RawRunner;
-  edge(clock: sims.SimWorld, runners: raws.RawRunner[]): Promise<edges.Edge<raws.RawRunner>>;
+  runner(id: string): rawRunner.RawRunner;
+  edge(clock: sims.SimWorld, runners: rawRunner.RawRunner[]): Promise<edges.Edge<rawRunner.RawRunner>>;
 }
 
 /** Sockets of the kernel, on loopback. */
-export const LOOPBACK: Place = { runner: (id) => new raws.RawRunner(id), edge: (clock, runners) => edges.Edge.over(clock, runners) };
+export const LOOPBACK: Place = { runner: (id) => new rawRunner.RawRunner(id), edge: (clock, runners) => edges.Edge.over(clock, runners) };
 
 /** Streams in memory; the library's connector must be that of `tests/callers/memory-connect.ts`. */
 export const MEMORY: Place = {
-  runner: (id) => new raws.RawRunner(id, [], "", true),
+  runner: (id) => new rawRunner.RawRunner(id, [], "", true),
   edge: (clock, runners) => edges.Edge.inMemory(clock, runners),
 };
 
@@ -92,7 +92,7 @@
 }
 
 /** The client's answer; time passes only while a runner is silent. */
-export async function ask(clock: sims.SimWorld, edge: edges.Edge<raws.RawRunner>, text: string): Promise<string> {
+export async function ask(clock: sims.SimWorld, edge: edges.Edge<rawRunner.RawRunner>, text: string): Promise<string> {
   let got: string | null = null;
   void edge.send(text).then((reply) => (got = reply));
   for (let turn = 0; got === null; turn += 1) {
@@ -107,17 +107,17 @@
 export const SERVED: Form = { method: "POST", bodyBytes: 1, isChunked: false };
 
 /** Requests at work together, so that both runners serve some and keep their connections. */
-async function warmUp(edge: edges.Edge<raws.RawRunner>, count: number): Promise<void> {
+async function warmUp(edge: edges.Edge<rawRunner.RawRunner>, count: number): Promise<void> {
   for (let turn = 0; turn < count; turn += 1) await Promise.all(["a", "b", "c"].map((name) => edge.send(textOf(`${name}${turn}`, SERVED))));
 }
 
 /** The streams of the requests that are judged; those whose id was cut off may be of any. */
-function streamsOf(edge: edges.Edge<raws.RawRunner>): raws.Stream[] {
+function streamsOf(edge: edges.Edge<rawRunner.RawRunner>): rawRunner.Stream[] {
   return edge.runners.flatMap((runner) => runner.streams).filter((stream) => !/^[abc]\d$/.test(stream.requestId));
 }
 
 /** What is wrong with the history, thrown; `ids` are those of the requests, in their order on the connection. */
-export function judge(reply: string, edge: edges.Edge<raws.RawRunner>, ids: readonly string[] = ["q1"]): void {
+export function judge(reply: string, edge: edges.Edge<rawRunner.RawRunner>, ids: readonly string[] = ["q1"]): void {
   const streams = streamsOf(edge);
   const mayHaveRun = streams.filter((stream) => !stream.isDenied);
   assert.ok(mayHaveRun.length <= ids.length, `${mayHaveRun.length} requests reached runners that did not say that they have not run them`);
@@ -131,10 +131,10 @@
 }
 
 /** Answers come in the order of the requests; after one that is not whole comes none. */
-function judgeAnswers(reply: string, edge: edges.Edge<raws.RawRunner>, ids: readonly string[], mayHaveRun: raws.Stream[]): void {
+function judgeAnswers(reply: string, edge: edges.Edge<rawRunner.RawRunner>, ids: readonly string[], mayHaveRun: rawRunner.Stream[]): void {
   let rest = reply;
   for (const id of ids) {
-    const answer = raws.readAnswer(rest);
+    const answer = rawRunner.readAnswer(rest);
     if (!answer?.looksWhole) return;
     rest = answer.rest;
     judgeAnswer(answer, edge, id);
@@ -146,13 +146,13 @@
 }
 
 /** A whole answer is a runner's own and whole, or this router's. */
-function judgeAnswer(answer: raws.Reading, edge: edges.Edge<raws.RawRunner>, id: string): void {
+function judgeAnswer(answer: rawRunner.Reading, edge: edges.Edge<rawRunner.RawRunner>, id: string): void {
   if (!answer.headers.includes("Response-Seal")) {
     assert.ok(answer.status >= 400, `${id} got ${answer.status} without a seal`);
     return;
   }
   assert.equal(/^X-Cranewind-Request-Id: (.*)$/m.exec(answer.headers)?.[1], id, "the answer of another request");
-  const bodies = edge.runners.map((runner) => raws.bodyOf(runner.id, id));
+  const bodies = edge.runners.map((runner) => rawRunner.bodyOf(runner.id, id));
   assert.ok(bodies.includes(answer.body), `${id} got a body that is no runner's: ${answer.body}`);
 }
 
--- a/tests/sim/change-day.ts
+++ b/tests/sim/change-day.ts
@@ -4,7 +4,7 @@
 import type * as mirrors from "../../src/feed/mirror.js";
 import * as link from "../../src/wire/link.js";
 import type * as types from "../../src/wire/types.js";
-import * as durable from "./durable-node.js";
+import * as durableNode from "./durable-node.js";
 import * as fleet from "./fleet.js";
 import * as networks from "./network.js";
 import * as operators from "./operators.js";
@@ -22,24 +22,24 @@
 
 /** A router as far as it follows the configuration. */
 export class FollowingRouter {
-  readonly dial: durable.NetworkDialer;
+  readonly dial: durableNode.NetworkDialer;
   readonly config = new configParts.ConfigParts();
   readonly epochs: number[] = [];
   private readonly handlers = new link.Handlers();
 
   constructor(network: networks.SimNetwork, name: string, controls: readonly string[]) {
     const world = new networks.NodeWorld(network, name);
-    this.dial = new durable.NetworkDialer(world, "", this.handlers, () => fleet.nodeOf(name, "router", "r", ""), link.SILENT_MS);
+    this.dial = new durableNode.NetworkDialer(world, "", this.handlers, () => fleet.nodeOf(name, "router", "r", ""), link.SILENT_MS);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     const follower = new followers.Follower(world, "r", this.dial, this.handlers, () => [], this);
-    this.dial.know(controls.map(durable.addressOf));
+    this.dial.know(controls.map(durableNode.addressOf));
     const turn = (): void => {
-      world.after(100, turn);
+      world.schedule(100, turn);
       this.dial.turn();
       follower.elect();
       follower.narrow();
     };
-    world.after(0, turn);
+    world.schedule(0, turn);
   }
 
   take(applied: mirrors.Applied): void {
@@ -61,14 +61,14 @@
 export interface Day {
   clock: sim.SimWorld;
   network: networks.SimNetwork;
-  nodes: durable.DurableNode[];
+  nodes: durableNode.DurableNode[];
   router: FollowingRouter;
   /** The newest acknowledged revision. */
   revision: number;
   /** What went wrong, with the change at which it did. */
   wrong: string[];
   /** How many troubles each member has had. */
-  troubles: Map<durable.DurableNode, number>;
+  troubles: Map<durableNode.DurableNode, number>;
 }
 
 function tenantOf(_: unknown, index: number): object {
@@ -79,7 +79,7 @@
   const clock = new sim.SimWorld(seed);
   const network = new networks.SimNetwork(clock);
   const controls = NAMES.slice(0, size.nodes);
-  const nodes = controls.map((name) => new durable.DurableNode(network, name, controls));
+  const nodes = controls.map((name) => new durableNode.DurableNode(network, name, controls));
   const day: Day = {
     clock,
     network,
@@ -106,11 +106,11 @@
   return (outcome as { of: T } | null)?.of ?? null;
 }
 
-function isReached(day: Day, node: durable.DurableNode): boolean {
+function isReached(day: Day, node: durableNode.DurableNode): boolean {
   return !node.life.isOver && !day.network.frozen.has(node.name);
 }
 
-function anyNode(day: Day): durable.DurableNode {
+function anyNode(day: Day): durableNode.DurableNode {
   const reached = day.nodes.filter((node) => isReached(day, node));
   return reached[Math.floor(day.clock.random() * reached.length)];
 }
@@ -147,7 +147,7 @@
   if (revision < least) day.wrong.push(`${node.name} described ${revision} after ${least}`);
 }
 
-function begins(day: Day, node: durable.DurableNode, fault: Fault): void {
+function begins(day: Day, node: durableNode.DurableNode, fault: Fault): void {
   if (fault === "restart" || fault === "wipe") node.stop();
   if (fault === "wipe") node.wipe();
   if (fault === "stall") day.network.frozen.add(node.name);
@@ -155,7 +155,7 @@
   if (fault === "full") node.disk.isFull = true;
 }
 
-function ends(day: Day, node: durable.DurableNode, fault: Fault): void {
+function ends(day: Day, node: durableNode.DurableNode, fault: Fault): void {
   if (fault === "restart" || fault === "wipe") node.up();
   day.network.frozen.delete(node.name);
   node.disk.isHung = node.disk.isFull = false;
@@ -165,15 +165,15 @@
  * A fault at one member, its end, and a look whether the member has caught up in time. A member in trouble anew meanwhile,
  * which may hold nothing because it has only just started again, is looked at after that one.
  */
-export function trouble(day: Day, node: durable.DurableNode, fault: Fault): void {
+export function trouble(day: Day, node: durableNode.DurableNode, fault: Fault): void {
   const count = (day.troubles.get(node) ?? 0) + 1;
   day.troubles.set(node, count);
   begins(day, node, fault);
-  day.clock.after(fault === "restart" || fault === "wipe" ? DOWN_MS : TROUBLE_MS, () => {
+  day.clock.schedule(fault === "restart" || fault === "wipe" ? DOWN_MS : TROUBLE_MS, () => {
     ends(day, node, fault);
     const contact = inTouch(day, node);
     void contact.then((epoch) =>
-      day.clock.after(CATCH_UP_MS, () => {
+      day.clock.schedule(CATCH_UP_MS, () => {
         if (day.troubles.get(node) === count) look(day, node, fault, epoch);
       }),
     );
@@ -181,17 +181,17 @@
 }
 
 /** Resolves once the member has a link to another; the newest epoch then. */
-function inTouch(day: Day, node: durable.DurableNode): Promise<types.Epoch> {
+function inTouch(day: Day, node: durableNode.DurableNode): Promise<types.Epoch> {
   return new Promise((resolve) => {
     const ask = (): void => {
       if (node.life.dial.controls.size > 0) resolve(newestEpoch(day));
-      else day.clock.after(20, ask);
+      else day.clock.schedule(20, ask);
     };
     ask();
   });
 }
 
-function look(day: Day, node: durable.DurableNode, fault: Fault, epoch: types.Epoch): void {
+function look(day: Day, node: durableNode.DurableNode, fault: Fault, epoch: types.Epoch): void {
   if (isReached(day, node) && node.life.epoch < epoch)
     day.wrong.push(`${node.name} holds epoch ${node.life.epoch}, not ${epoch}, ${CATCH_UP_MS} ms after ${fault}`);
 }
--- a/tests/sim/core.ts
+++ b/tests/sim/core.ts
@@ -118,7 +118,7 @@
   wait(ms: number): Promise<void> {
     const clock = this.clock;
     return new Promise(function start(resolve) {
-      clock.after(ms, resolve);
+      clock.schedule(ms, resolve);
     });
   }
 
--- a/tests/sim/disk-world.ts
+++ b/tests/sim/disk-world.ts
@@ -9,7 +9,7 @@
 export const ADDRESS = "10.0.0.1:7000";
 
 /** Timers fire in the order of their time as soon as nothing else is to be done; none fires after `end`. */
-export class HastyWorld implements types.World {
+export class HastyWorld implements types.Clock {
   private time = 0;
   private isEnded = false;
 
@@ -21,7 +21,7 @@
     return 0.5;
   }
 
-  after(ms: number, run: () => void): types.Tick {
+  schedule(ms: number, run: () => void): types.Timer {
     const handle = setImmediate(this.fire.bind(this, this.time + ms, run));
     return {
       stop(): void {
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -1,11 +1,11 @@
 // Control nodes with a disk of their own over a simulated network: restarted, wiped, stalled and filled by a test. The
 // register, its membership and the feed are the program's own.
 import * as parts from "../../src/config/parts.js";
-import * as voterManagers from "../../src/control/voters/voter-manager.js";
+import * as voterManager from "../../src/control/voters/voter-manager.js";
 import * as cores from "../../src/control/core.js";
 import * as operators from "../../src/control/operator/operator.js";
 import type * as serve from "../../src/wire/serve.js";
-import * as dialers from "../../src/feed/dialer.js";
+import * as dialer from "../../src/feed/dialer.js";
 import * as feeds from "../../src/feed/feed.js";
 import * as registers from "../../src/register/value.js";
 import * as voters from "../../src/register/voter.js";
@@ -24,7 +24,7 @@
   return `${name}:1`;
 }
 
-export class NetworkDialer extends dialers.Dialer {
+export class NetworkDialer extends dialer.Dialer {
   reach: (address: string) => Promise<link.Link | null> = () => Promise.resolve(null);
   protected override connect(address: string): Promise<link.Link | null> {
     return this.reach(address);
@@ -39,7 +39,7 @@
   wipes = 0;
   largest = 0;
 
-  constructor(private readonly clock: types.World) {}
+  constructor(private readonly clock: types.Clock) {}
 
   async write(body: Buffer): Promise<void> {
     await this.wait(SYNC_MS);
@@ -50,7 +50,7 @@
   }
 
   private wait(ms: number): Promise<void> {
-    return new Promise((resolve) => this.clock.after(ms, resolve));
+    return new Promise((resolve) => this.clock.schedule(ms, resolve));
   }
 }
 
@@ -61,7 +61,7 @@
   readonly core: cores.Core;
   readonly feed: feeds.Feed;
   private readonly operator: operators.Operator;
-  private readonly voterManager: voterManagers.VoterManager;
+  private readonly voterManager: voterManager.VoterManager;
   private readonly callers = new Set<link.Link>();
   isOver = false;
 
@@ -77,7 +77,7 @@
     this.feed = new feeds.Feed(life);
     this.core = new cores.Core(world, { life, address: addressOf(name), first }, this.dial);
     this.operator = new operators.Operator(this.core, new Set(["north"]), () => null);
-    this.voterManager = new voterManagers.VoterManager(world, this.core, () => [this.describe(), ...this.peers()]);
+    this.voterManager = new voterManager.VoterManager(world, this.core, () => [this.describe(), ...this.peers()]);
     this.handle();
     this.every(TURN_MS, () => this.turn());
     this.every(link.BEAT_MS, () => this.beat());
@@ -122,10 +122,10 @@
   private every(ms: number, run: () => void): void {
     const again = (): void => {
       if (this.isOver) return;
-      this.node.world.after(ms, again);
+      this.node.world.schedule(ms, again);
       run();
     };
-    this.node.world.after(ms * this.node.world.random(), again);
+    this.node.world.schedule(ms * this.node.world.random(), again);
   }
 
   private turn(): void {
--- a/tests/sim/edge.ts
+++ b/tests/sim/edge.ts
@@ -9,10 +9,10 @@
 import * as batches from "../../src/router/batches.js";
 import * as servers from "../../src/router/client/server.js";
 import * as tenancies from "../../src/router/tenancy.js";
-import * as shares from "../../src/shares/shares.js";
-import * as standin from "../../src/standin/runner.js";
+import * as shares from "../../src/limits/shares.js";
+import * as runner from "../../src/emulator/runner.js";
 import * as types from "../../src/wire/types.js";
-import * as memory from "./memory-net.js";
+import * as memoryNet from "./memory-net.js";
 import * as raws from "./raw.js";
 
 /** A route under /NAME/ of the host h; `more` replaces or adds fields. */
@@ -44,19 +44,19 @@
 export interface EdgeRunner {
   readonly id: string;
   readonly address: string;
-  readonly seen: standin.Seen[];
+  readonly seen: runner.Seen[];
   start(): Promise<void>;
   stop(): void;
 }
 
-export class Edge<Runner extends EdgeRunner = standin.StandInRunner> {
+export class Edge<Runner extends EdgeRunner = runner.StandInRunner> {
   readonly fleet: fleets.Fleet;
   readonly server: servers.RouterServer;
   isReady = true;
   private isInMemory = false;
 
   private constructor(
-    readonly clock: types.World,
+    readonly clock: types.Clock,
     readonly runners: Runner[],
     tenancy = new tenancies.Tenancy(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
   ) {
@@ -96,15 +96,15 @@
     this.server.limit(CONFIG.limits);
   }
 
-  static start(clock: types.World, options: Partial<standin.RunnerOptions>[], tenancy?: tenancies.Tenancy): Promise<Edge> {
+  static start(clock: types.Clock, options: Partial<runner.RunnerOptions>[], tenancy?: tenancies.Tenancy): Promise<Edge> {
     return Edge.over(
       clock,
-      options.map((item) => new standin.StandInRunner(item)),
+      options.map((item) => new runner.StandInRunner(item)),
       tenancy,
     );
   }
 
-  static async over<Runner extends EdgeRunner>(clock: types.World, runners: Runner[], tenancy?: tenancies.Tenancy): Promise<Edge<Runner>> {
+  static async over<Runner extends EdgeRunner>(clock: types.Clock, runners: Runner[], tenancy?: tenancies.Tenancy): Promise<Edge<Runner>> {
     for (const runner of runners) await runner.start();
     const edge = new Edge(clock, runners, tenancy);
     await edge.server.listen("127.0.0.1:0");
@@ -112,7 +112,7 @@
   }
 
   /** As `over`, with no sockets: the runners are in memory too, and so is the library's connector. */
-  static async inMemory<Runner extends EdgeRunner>(clock: types.World, runners: Runner[]): Promise<Edge<Runner>> {
+  static async inMemory<Runner extends EdgeRunner>(clock: types.Clock, runners: Runner[]): Promise<Edge<Runner>> {
     for (const runner of runners) await runner.start();
     const edge = new Edge(clock, runners);
     edge.isInMemory = true;
@@ -126,14 +126,14 @@
   }
 
   /** All that reached any runner. */
-  seen(): standin.Seen[] {
+  seen(): runner.Seen[] {
     return this.runners.flatMap((runner) => runner.seen);
   }
 
   /** Sends bytes as they are; what came back until the connection ended, or one whole reply of the router's own. */
   send(text: string): Promise<string> {
     if (!this.isInMemory) return raws.sendRaw(this.server.port, text);
-    const [client, server] = memory.MemorySocket.pair();
+    const [client, server] = memoryNet.MemorySocket.pair();
     // A server takes any stream as a connection that is handed to it so.
     (this.server as unknown as { server: nodeHttp.Server }).server.emit("connection", server);
     return raws.talk(client, text);
--- a/tests/sim/fleet.ts
+++ b/tests/sim/fleet.ts
@@ -2,8 +2,8 @@
 import * as events from "node:events";
 import type * as net from "node:net";
 import * as sessions from "../../src/control/members/sessions.js";
-import * as dialers from "../../src/feed/dialer.js";
-import * as selectors from "../../src/feed/session-selector.js";
+import * as dialer from "../../src/feed/dialer.js";
+import * as sessionSelector from "../../src/feed/session-selector.js";
 import * as calls from "../../src/wire/calls.js";
 import * as link from "../../src/wire/link.js";
 import * as schema from "../../src/wire/schema.js";
@@ -23,16 +23,16 @@
   setNoDelay(): void {}
   write(bytes: Buffer): void {
     const { other } = this;
-    if (!this.isCut) this.clock.after(DELAY_MS, () => other?.emit("data", bytes));
+    if (!this.isCut) this.clock.schedule(DELAY_MS, () => other?.emit("data", bytes));
   }
   destroy(): void {
     const { other } = this;
     this.other = null;
-    if (other && !this.isCut) this.clock.after(DELAY_MS, () => other.emit("close"));
+    if (other && !this.isCut) this.clock.schedule(DELAY_MS, () => other.emit("close"));
   }
 }
 
-class SimDialer extends dialers.Dialer {
+class SimDialer extends dialer.Dialer {
   reach: (address: string) => Promise<link.Link | null> = () => Promise.resolve(null);
   protected override connect(address: string): Promise<link.Link | null> {
     return this.reach(address);
@@ -113,7 +113,7 @@
     readonly region: string,
     seeds: string[],
   ) {
-    const selector = new selectors.SessionSelector(fleet.clock, { name, region });
+    const selector = new sessionSelector.SessionSelector(fleet.clock, { name, region });
     this.dial = new SimDialer(
       fleet.clock,
       "",
@@ -166,9 +166,9 @@
   private every(ms: number, run: () => void): void {
     const again = (): void => {
       run();
-      this.clock.after(ms, again);
+      this.clock.schedule(ms, again);
     };
-    this.clock.after(ms * this.clock.random(), again);
+    this.clock.schedule(ms * this.clock.random(), again);
   }
 
   control(name: string, region: string, seeds: string[]): SimControl {
@@ -191,7 +191,7 @@
   connect(address: string, handlers: link.Handlers): Promise<link.Link | null> {
     const target = this.controls.get(address);
     return new Promise((resolve) => {
-      this.clock.after(this.holes.has(address) ? 900 : DELAY_MS, () => {
+      this.clock.schedule(this.holes.has(address) ? 900 : DELAY_MS, () => {
         if (!target?.isUp) return resolve(null);
         const [near, far] = [new SimSocket(this.clock), new SimSocket(this.clock)];
         near.other = far;
--- a/tests/sim/key-lease-days.ts
+++ b/tests/sim/key-lease-days.ts
@@ -1,9 +1,9 @@
 // Random days of words and changes for the lease on keys. Played by the tests and by `npm run model`.
-import * as keyLeases from "../../src/tenants/key-lease.js";
+import * as keyLease from "../../src/tenants/key-lease.js";
 import * as types from "../../src/wire/types.js";
 import * as sim from "./world.js";
 
-export const STRICT: keyLeases.RevocationBounds = { revocation_strict: true, revoke_delay_ms: 5000 };
+export const STRICT: keyLease.RevocationBounds = { revocation_strict: true, revoke_delay_ms: 5000 };
 const CONFIRMED_MS = 1200;
 
 function epoch(number: number): types.Epoch {
@@ -17,7 +17,7 @@
 export function worst(seed: number, countsFromReply: boolean): number {
   const clock = new sim.SimWorld(seed * 7919 + 3);
   for (let turn = 0; turn < 9; turn += 1) clock.random();
-  const lease = new keyLeases.KeyLease(clock, STRICT);
+  const lease = new keyLease.KeyLease(clock, STRICT);
   const ackedAt = [0];
   const mail: { at: number; run: () => void }[] = [];
   let held = 0;
--- a/tests/sim/lease-guards.ts
+++ b/tests/sim/lease-guards.ts
@@ -1,13 +1,13 @@
 /** Owners and tenures of leases with at most one guard broken on purpose. */
-import * as owners from "../../src/shares/owner.js";
-import type * as parts from "../../src/shares/parts.js";
-import * as tenures from "../../src/shares/tenure.js";
+import * as owner from "../../src/limits/owner.js";
+import type * as parts from "../../src/limits/parts.js";
+import * as tenure from "../../src/limits/tenure.js";
 import * as world from "./world.js";
 
 /** A guard that a test may break on purpose, to see the checker fail. */
 export type Broken = "none" | "full_bucket" | "no_fence" | "unreported_comes_back";
 
-export class SimTenure extends tenures.Tenure {
+export class SimTenure extends tenure.Tenure {
   constructor(
     clock: world.SimWorld,
     private readonly broken: Broken,
@@ -19,12 +19,12 @@
   }
 }
 
-export class SimOwner extends owners.LeaseOwner {
+export class SimOwner extends owner.LeaseOwner {
   constructor(
     clock: world.SimWorld,
     life: string,
     bounds: parts.Bounds,
-    tenure: tenures.Tenure,
+    tenure: tenure.Tenure,
     private readonly broken: Broken,
   ) {
     super(clock, life, bounds, tenure);
--- a/tests/sim/leases.ts
+++ b/tests/sim/leases.ts
@@ -1,16 +1,16 @@
 // Owners and routers of leases over a simulated network with faults by seed, and a checker that knows nothing of leases.
-import * as owners from "../../src/shares/owner.js";
-import type * as parts from "../../src/shares/parts.js";
-import * as shares from "../../src/shares/shares.js";
-import * as borrowers from "../../src/router/leases.js";
+import * as owner from "../../src/limits/owner.js";
+import type * as parts from "../../src/limits/parts.js";
+import * as shares from "../../src/limits/shares.js";
+import * as leases from "../../src/router/leases.js";
 import * as leaseSchema from "../../src/wire/lease-schema.js";
 import * as schema from "../../src/wire/schema.js";
-import * as guards from "./lease-guards.js";
+import * as leaseGuards from "./lease-guards.js";
 import * as voters from "./voters.js";
 
 /** A control node that owns a slot of the bounds. */
 export class Node extends voters.VoterNode {
-  owner!: owners.LeaseOwner;
+  owner!: owner.LeaseOwner;
 
   constructor(
     private readonly sim: LeaseSim,
@@ -21,8 +21,8 @@
   }
 
   protected override begin(): void {
-    this.tenure = new guards.SimTenure(this.sim.clock, this.sim.broken);
-    this.owner = new guards.SimOwner(this.sim.clock, this.life, this.sim.bounds, this.tenure, this.sim.broken);
+    this.tenure = new leaseGuards.SimTenure(this.sim.clock, this.sim.broken);
+    this.owner = new leaseGuards.SimOwner(this.sim.clock, this.life, this.sim.bounds, this.tenure, this.sim.broken);
   }
 }
 
@@ -50,7 +50,7 @@
     voting: number,
     routers: number,
     readonly bounds: parts.Bounds,
-    readonly broken: guards.Broken = "none",
+    readonly broken: leaseGuards.Broken = "none",
   ) {
     super(seed, disks, voting);
     this.startNodes(disks, (disk) => new Node(this, disk, this.value));
@@ -76,7 +76,7 @@
     for (const node of this.nodes) {
       const place = granting.indexOf(node);
       const own = needs
-        .map((need) => (place < 0 ? null : borrowers.split(need, place, granting.length, router.turn)))
+        .map((need) => (place < 0 ? null : leases.split(need, place, granting.length, router.turn)))
         .filter((need) => need !== null);
       const ask: leaseSchema.LeaseAsk = { router: router.name, life: node.life, needs: own, done: router.share.held.done(node.life) };
       this.toNode(router.name, node, () => {
--- a/tests/sim/links.ts
+++ b/tests/sim/links.ts
@@ -1,6 +1,6 @@
 // Feeds and a follower joined by links that a test delays, cuts and garbles; no sockets.
 import * as events from "node:events";
-import type * as dialers from "../../src/feed/dialer.js";
+import type * as dialer from "../../src/feed/dialer.js";
 import * as feeds from "../../src/feed/feed.js";
 import * as followers from "../../src/feed/follower.js";
 import type * as mirrors from "../../src/feed/mirror.js";
@@ -48,7 +48,7 @@
     let read = pair.ask.fromBuffer(bytes);
     if (this.garble && pair.name === "change") read = { ...read, digest: "0123456789abcdef" };
     this.frames.push({ name: pair.name, ask: read, bytes: bytes.length });
-    this.clock.after(this.delayMs, () => this.isOpen && this.deliver(pair.name, read));
+    this.clock.schedule(this.delayMs, () => this.isOpen && this.deliver(pair.name, read));
   }
 
   end(cause: string): void {
@@ -59,14 +59,14 @@
 }
 
 export interface Session {
-  control: dialers.Control;
+  control: dialer.Control;
   down: SimLink;
   up: SimLink;
 }
 
 /** A router's follower over simulated links to feeds that stand for control nodes. */
 export class SimRouter extends events.EventEmitter {
-  readonly controls = new Map<string, dialers.Control>();
+  readonly controls = new Map<string, dialer.Control>();
   readonly sessions = new Map<string, Session>();
   readonly epochs: number[] = [];
   readonly applied: mirrors.Applied[] = [];
@@ -80,7 +80,7 @@
     region = "a",
   ) {
     super();
-    this.follower = new followers.Follower(clock, region, this as unknown as dialers.Dialer, this.handlers, () => this.topics, {
+    this.follower = new followers.Follower(clock, region, this as unknown as dialer.Dialer, this.handlers, () => this.topics, {
       leave: (topic, keys) => this.left.push([topic, keys]),
       take: (applied) => {
         this.applied.push(applied);
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -9,10 +9,10 @@
 import * as leases from "../../src/control/leases/leases.js";
 import * as membership from "../../src/control/members/membership.js";
 import * as operators from "../../src/control/operator/operator.js";
-import * as operatorChains from "../../src/control/operator/operator-chain.js";
+import * as operatorChain from "../../src/control/operator/operator-chain.js";
 import type * as serve from "../../src/wire/serve.js";
 import * as sessions from "../../src/control/members/sessions.js";
-import * as dialers from "../../src/feed/dialer.js";
+import * as dialer from "../../src/feed/dialer.js";
 import * as feeds from "../../src/feed/feed.js";
 import * as registers from "../../src/register/value.js";
 import * as voters from "../../src/register/voter.js";
@@ -36,7 +36,7 @@
   quota_tolerance: 20,
 };
 
-export class MemberDialer extends dialers.Dialer {
+export class MemberDialer extends dialer.Dialer {
   reach: (address: string) => Promise<link.Link | null> = () => Promise.resolve(null);
   protected override connect(address: string): Promise<link.Link | null> {
     return this.reach(address);
@@ -48,7 +48,7 @@
 
 class BrokenConfirmation extends confirmations.Confirmation {
   constructor(
-    world: types.World,
+    world: types.Clock,
     private readonly broken: Broken,
   ) {
     super(world);
@@ -113,7 +113,7 @@
     this.contact = new contacts.Contact(world, this.core, this.dial, this.leaseServer.takeReply.bind(this.leaseServer), confirmation);
     const operator = new operators.Operator(this.core, ZONES, () => ({ contact: this.contact.status() }));
     const { handlers, dial, core, contact } = this;
-    this.reply = operatorChains.chain({ world, handlers, dial, core, contact }, operator.reply.bind(operator));
+    this.reply = operatorChain.chain({ world, handlers, dial, core, contact }, operator.reply.bind(operator));
     this.handle();
     if (options.isVoter !== false) this.vote(first);
     this.run();
@@ -140,7 +140,7 @@
   private vote(first: schema.Value): void {
     const accepted = { ballot: registers.NO_BALLOT, value: first };
     const state = { disk: registers.firstDisk(addressOf(this.name)), promised: registers.NO_BALLOT, accepted };
-    const write = (): Promise<void> => new Promise((resolve) => this.world.after(this.syncMs, resolve));
+    const write = (): Promise<void> => new Promise((resolve) => this.world.schedule(this.syncMs, resolve));
     this.core.enter(new voters.Voter({ write }, state));
   }
 
@@ -220,10 +220,10 @@
 }
 
 /** Each process at a phase of its own. */
-export function every(world: types.World, ms: number, run: () => void): void {
+export function every(world: types.Clock, ms: number, run: () => void): void {
   const again = (): void => {
-    world.after(ms, again);
+    world.schedule(ms, again);
     run();
   };
-  world.after(ms * world.random(), again);
+  world.schedule(ms * world.random(), again);
 }
--- a/tests/sim/membership.ts
+++ b/tests/sim/membership.ts
@@ -1,7 +1,7 @@
 // Control nodes over the simulated core that run the real membership policy: news of chosen values, heartbeats,
 // driving of values not known to be chosen, and the voterManager.
-import * as voterManagers from "../../src/control/voters/voter-manager.js";
-import * as drivers from "../../src/register/driver.js";
+import * as voterManager from "../../src/control/voters/voter-manager.js";
+import * as driver from "../../src/register/driver.js";
 import * as proposers from "../../src/register/proposer.js";
 import * as registers from "../../src/register/value.js";
 import * as result from "true-myth/result";
@@ -20,11 +20,11 @@
   isLeaving: boolean;
 }
 
-export class Member implements voterManagers.Register, drivers.Register {
+export class Member implements voterManager.Register, driver.Register {
   chosen: schema.Value | null = null;
-  private voterManager: voterManagers.VoterManager;
+  private voterManager: voterManager.VoterManager;
   private readonly heard = new Map<Member, Heard>();
-  private driver: drivers.Driver;
+  private driver: driver.Driver;
   private nextBeat = 0;
   isLeaving = false;
 
@@ -32,8 +32,8 @@
     private readonly fleet: Fleet,
     readonly node: core.SimNode,
   ) {
-    this.driver = new drivers.Driver(fleet.made.clock, this);
-    this.voterManager = new voterManagers.VoterManager(fleet.made.clock, this, this.nodesInTouch.bind(this));
+    this.driver = new driver.Driver(fleet.made.clock, this);
+    this.voterManager = new voterManager.VoterManager(fleet.made.clock, this, this.nodesInTouch.bind(this));
     this.begin();
   }
 
@@ -67,8 +67,8 @@
     this.heard.clear();
     const accepted = this.node.voter?.accepted;
     if (accepted) this.node.proposer.learnAccepted(accepted.value);
-    this.voterManager = new voterManagers.VoterManager(this.fleet.made.clock, this, this.nodesInTouch.bind(this));
-    this.driver = new drivers.Driver(this.fleet.made.clock, this);
+    this.voterManager = new voterManager.VoterManager(this.fleet.made.clock, this, this.nodesInTouch.bind(this));
+    this.driver = new driver.Driver(this.fleet.made.clock, this);
   }
 
   learn(value: schema.Value): void {
@@ -189,7 +189,7 @@
     const { isLeaving } = from;
     for (const to of this.members) {
       if (to === from || this.made.isCut(from.node.address, to.node.address) || clock.random() < lossShare) continue;
-      clock.after(10 + clock.random() * 60, () => {
+      clock.schedule(10 + clock.random() * 60, () => {
         if (to.node.isUp && from.node.isUp && !to.node.isFrozen) to.hear(from, isLeaving);
       });
     }
@@ -197,7 +197,7 @@
 
   private step(): void {
     for (const member of this.members) member.turn();
-    this.made.clock.after(STEP_MS, this.step.bind(this));
+    this.made.clock.schedule(STEP_MS, this.step.bind(this));
   }
 
   /** The newest value that any node knows to be chosen. */
--- a/tests/sim/network.ts
+++ b/tests/sim/network.ts
@@ -44,7 +44,7 @@
   }
 
   /** address: NAME:1. */
-  async connect(from: string, address: string, handlers: link.Handlers, world: types.World): Promise<link.Link | null> {
+  async connect(from: string, address: string, handlers: link.Handlers, world: types.Clock): Promise<link.Link | null> {
     const to = address.slice(0, address.indexOf(":"));
     const until = this.clock.now() + CONNECT_MS;
     const isLost = this.losesDials && !(this.passes(from, to) && this.passes(to, from));
@@ -64,12 +64,12 @@
   }
 
   private wait(ms: number): Promise<void> {
-    return new Promise((resolve) => this.clock.after(ms, resolve));
+    return new Promise((resolve) => this.clock.schedule(ms, resolve));
   }
 }
 
 /** A process's own view of the clock: its timers run late when it stood still. */
-export class NodeWorld implements types.World {
+export class NodeWorld implements types.Clock {
   constructor(
     private readonly network: SimNetwork,
     private readonly name: string,
@@ -83,14 +83,14 @@
     return this.network.clock.random();
   }
 
-  after(ms: number, run: () => void): types.Tick {
+  schedule(ms: number, run: () => void): types.Timer {
     let isStopped = false;
     const due = (): void => {
       if (isStopped) return;
-      if (this.network.frozen.has(this.name)) this.network.clock.after(POLL_MS, due);
+      if (this.network.frozen.has(this.name)) this.network.clock.schedule(POLL_MS, due);
       else run();
     };
-    this.network.clock.after(ms, due);
+    this.network.clock.schedule(ms, due);
     return {
       stop(): void {
         isStopped = true;
@@ -133,7 +133,7 @@
     this.queue.push(item);
     if (this.isDelivering) return;
     this.isDelivering = true;
-    this.network.clock.after(this.network.delayMs(this.owner, this.other.owner), () => this.deliver());
+    this.network.clock.schedule(this.network.delayMs(this.owner, this.other.owner), () => this.deliver());
   }
 
   private deliver(): void {
@@ -145,7 +145,7 @@
       return;
     }
     this.isDelivering = true;
-    this.network.clock.after(POLL_MS, () => this.deliver());
+    this.network.clock.schedule(POLL_MS, () => this.deliver());
   }
 
   private hand(other: SimSocket, item: Buffer | null): void {
--- a/tests/sim/order-load.ts
+++ b/tests/sim/order-load.ts
@@ -3,7 +3,7 @@
 import type * as serve from "../../src/wire/serve.js";
 import * as members from "./members.js";
 import * as networks from "./network.js";
-import * as quantiles from "./quantile.js";
+import * as quantile from "./quantile.js";
 import * as sim from "./world.js";
 
 const NAMES = ["a", "b", "c", "d", "e"];
@@ -66,11 +66,11 @@
 function freezeAgainAndAgain({ clock, network }: Stage, name: string): void {
   function begin(): void {
     network.frozen.add(name);
-    clock.after(FREEZE_MS, () => network.frozen.delete(name));
+    clock.schedule(FREEZE_MS, () => network.frozen.delete(name));
   }
   function plan(): void {
-    clock.after(clock.random() * (FREEZE_EVERY_MS - FREEZE_MS), begin);
-    clock.after(FREEZE_EVERY_MS, plan);
+    clock.schedule(clock.random() * (FREEZE_EVERY_MS - FREEZE_MS), begin);
+    clock.schedule(FREEZE_EVERY_MS, plan);
   }
   plan();
 }
@@ -101,8 +101,8 @@
   took.sort((left, right) => left - right);
   return {
     perSecond: (took.length * 1000) / load.playMs,
-    medianMs: quantiles.quantile(took, 0.5),
-    p99Ms: quantiles.quantile(took, 0.99),
+    medianMs: quantile.quantile(took, 0.5),
+    p99Ms: quantile.quantile(took, 0.99),
     longestMs: took[took.length - 1] ?? Number.NaN,
     orders: took.length + late,
     late,
--- a/tests/sim/pace.ts
+++ b/tests/sim/pace.ts
@@ -5,7 +5,7 @@
 import * as registers from "../../src/register/value.js";
 import type * as schema from "../../src/wire/schema.js";
 import * as cores from "./core.js";
-import * as quantiles from "./quantile.js";
+import * as quantile from "./quantile.js";
 import * as sim from "./world.js";
 
 /** As operators' calls: longer, and the answer is no clear one. */
@@ -75,8 +75,8 @@
   took.sort((left, right) => left - right);
   return {
     perSecond: (took.length * 1000) / PLAY_MS,
-    medianMs: quantiles.quantile(took, 0.5),
-    p99Ms: quantiles.quantile(took, 0.99),
+    medianMs: quantile.quantile(took, 0.5),
+    p99Ms: quantile.quantile(took, 0.99),
     unclear,
   };
 }
--- a/tests/sim/quota-days.ts
+++ b/tests/sim/quota-days.ts
@@ -1,30 +1,30 @@
 // Days of quotas by seed: everybody asks for thrice the limit while nodes fail. Played by the tests and by `npm run model`.
-import * as parts from "../../src/tenants/quota-part.js";
-import * as sims from "./quotas.js";
+import * as quotaPart from "../../src/tenants/quota-part.js";
+import * as quotas from "./quotas.js";
 import * as voters from "./voters.js";
 
-export const LIMITS: [string, parts.Limit][] = [
+export const LIMITS: [string, quotaPart.Limit][] = [
   ["large", { perS: 51, burst: 51 }],
   ["usual", { perS: 6, burst: 6 }],
   ["small", { perS: 0.8, burst: 0 }],
 ];
 
 /** The most that any window saw beyond the bound. */
-export function over(sim: sims.QuotaSim, tenant: string, limit: parts.Limit): number {
-  const windowMs = sims.BOUNDS.quota_window_s * 1000;
-  return voters.excess(sim.recordOf(tenant).ran, windowMs, () => parts.boundOf(sims.BOUNDS, limit));
+export function over(sim: quotas.QuotaSim, tenant: string, limit: quotaPart.Limit): number {
+  const windowMs = quotas.BOUNDS.quota_window_s * 1000;
+  return voters.excess(sim.recordOf(tenant).ran, windowMs, () => quotaPart.boundOf(quotas.BOUNDS, limit));
 }
 
 export interface Play {
   seed: number;
   seconds: number;
-  broken?: sims.Broken;
+  broken?: quotas.Broken;
 }
 
 /** Everybody asks for twice the limit or more, while nodes fail. */
-export async function storm({ seed, seconds, broken = "none" }: Play): Promise<sims.QuotaSim> {
+export async function storm({ seed, seconds, broken = "none" }: Play): Promise<quotas.QuotaSim> {
   const voting = seed % 2 === 0 ? 3 : 5;
-  const sim = new sims.QuotaSim(seed, voting + 1, voting, LIMITS, broken);
+  const sim = new quotas.QuotaSim(seed, voting + 1, voting, LIMITS, broken);
   sim.join(12, 3);
   const random = sim.clock.random.bind(sim.clock);
   const pick = <T>(items: readonly T[]): T => items[Math.floor(random() * items.length)];
@@ -39,12 +39,12 @@
   return sim;
 }
 
-function request(sim: sims.QuotaSim, pick: <T>(items: readonly T[]) => T, tenant: string): void {
+function request(sim: quotas.QuotaSim, pick: <T>(items: readonly T[]) => T, tenant: string): void {
   const router = pick(sim.routers);
   if (sim.clock.now() >= router.frozenUntil) router.request(tenant);
 }
 
-function fault(sim: sims.QuotaSim, pick: <T>(items: readonly T[]) => T): void {
+function fault(sim: quotas.QuotaSim, pick: <T>(items: readonly T[]) => T): void {
   const random = sim.clock.random.bind(sim.clock);
   const now = sim.clock.now();
   const node = pick(sim.nodes);
@@ -64,7 +64,7 @@
   }
 }
 
-function changeVoters(sim: sims.QuotaSim, pick: <T>(items: readonly T[]) => T): void {
+function changeVoters(sim: quotas.QuotaSim, pick: <T>(items: readonly T[]) => T): void {
   const now = sim.value.voters.map((voter) => voter.disk);
   const spare = sim.nodes.map((node) => node.disk).filter((disk) => !now.includes(disk));
   const gone = pick(now);
--- a/tests/sim/quotas.ts
+++ b/tests/sim/quotas.ts
@@ -1,12 +1,12 @@
 // Owners of quotas and routers that ask them for units, over a simulated network with faults by seed, and a record of
 // what ran that knows nothing of units.
-import type * as dialers from "../../src/feed/dialer.js";
-import type * as claims from "../../src/tenants/quota-claim.js";
-import * as clients from "../../src/tenants/quota-client.js";
-import * as owners from "../../src/tenants/quota-owner.js";
-import type * as parts from "../../src/tenants/quota-part.js";
-import * as tenures from "../../src/tenants/quota-tenure.js";
-import * as sources from "../../src/tenants/quota-sources.js";
+import type * as dialer from "../../src/feed/dialer.js";
+import type * as quotaClaim from "../../src/tenants/quota-claim.js";
+import * as quotaClient from "../../src/tenants/quota-client.js";
+import * as quotaOwner from "../../src/tenants/quota-owner.js";
+import type * as quotaPart from "../../src/tenants/quota-part.js";
+import * as quotaTenure from "../../src/tenants/quota-tenure.js";
+import * as quotaSources from "../../src/tenants/quota-sources.js";
 import type * as schema from "../../src/wire/schema.js";
 import type * as tenantSchema from "../../src/wire/tenant-schema.js";
 import * as types from "../../src/wire/types.js";
@@ -15,23 +15,23 @@
 /** A guard that a test may break on purpose, to see the checker fail. */
 export type Broken = "none" | "full_bucket" | "no_fence" | "stale_units";
 
-export const BOUNDS: parts.QuotaBounds = { quota_window_s: 5, quota_overshoot: 0.1, quota_tolerance: 20 };
+export const BOUNDS: quotaPart.QuotaBounds = { quota_window_s: 5, quota_overshoot: 0.1, quota_tolerance: 20 };
 const STEP_MS = 10;
 
-class SimTenure extends tenures.QuotaTenure {
+class SimTenure extends quotaTenure.QuotaTenure {
   constructor(private readonly sim: QuotaSim) {
-    super(sim.clock, { fenceMs: tenures.FENCE_MS, lifeMs: clients.UNIT_MS });
+    super(sim.clock, { fenceMs: quotaTenure.FENCE_MS, lifeMs: quotaClient.UNIT_MS });
   }
   protected override hasMajority(slots: number, isOwnCounted: boolean): boolean {
     return this.sim.broken === "no_fence" || super.hasMajority(slots, isOwnCounted);
   }
 }
 
-class SimOwner extends owners.QuotaOwner {
+class SimOwner extends quotaOwner.QuotaOwner {
   constructor(
     private readonly sim: QuotaSim,
     life: string,
-    tenure: tenures.QuotaTenure,
+    tenure: quotaTenure.QuotaTenure,
   ) {
     super(sim.clock, life, BOUNDS, tenure);
   }
@@ -40,10 +40,10 @@
   }
 }
 
-class SimClient extends clients.QuotaClient {
+class SimClient extends quotaClient.QuotaClient {
   constructor(
     private readonly sim: QuotaSim,
-    known: sources.Sources,
+    known: quotaSources.Sources,
   ) {
     super(sim.clock, known, () => undefined);
   }
@@ -52,7 +52,7 @@
   }
 }
 
-export class Owner extends voters.VoterNode<tenures.QuotaTenure> {
+export class Owner extends voters.VoterNode<quotaTenure.QuotaTenure> {
   owner!: SimOwner;
 
   constructor(
@@ -92,8 +92,8 @@
 
 /** A router with links to all owners, or to some. */
 export class Router {
-  readonly controls = new Map<string, dialers.Control>();
-  readonly client: clients.QuotaClient;
+  readonly controls = new Map<string, dialer.Control>();
+  readonly client: quotaClient.QuotaClient;
   frozenUntil = 0;
   asks = 0;
   private thawing: (() => void)[] = [];
@@ -103,7 +103,7 @@
     readonly name: string,
     region: string,
   ) {
-    const known = new sources.Sources(sim.clock, region, this.controls);
+    const known = new quotaSources.Sources(sim.clock, region, this.controls);
     this.client = new SimClient(sim, known);
   }
 
@@ -112,14 +112,14 @@
       this.call(owner, ask, withinMs, tripMs);
     const node = { region } as schema.NodeInfo;
     Object.defineProperty(node, "life", { get: () => owner.life });
-    const control = { address: owner.disk, node, link: { isOpen: true, call }, tripMs } as unknown as dialers.Control;
+    const control = { address: owner.disk, node, link: { isOpen: true, call }, tripMs } as unknown as dialer.Control;
     this.controls.set(owner.disk, control);
   }
 
   private call(owner: Owner, ask: tenantSchema.QuotaAsk, withinMs: number, tripMs: number): Promise<tenantSchema.QuotaReply | null> {
     this.asks += 1;
     return new Promise((resolve) => {
-      const tick = this.sim.clock.after(withinMs, () => this.whenAwake(() => resolve(null)));
+      const tick = this.sim.clock.schedule(withinMs, () => this.whenAwake(() => resolve(null)));
       this.sim.ask(this, owner, ask, tripMs, (reply) => {
         tick.stop();
         this.whenAwake(() => resolve(reply));
@@ -142,7 +142,7 @@
   /** A request of the tenant; it runs as soon as it has its unit. */
   request(tenant: string): void {
     const record = this.sim.recordOf(tenant);
-    this.client.take(tenant, (verdict: claims.Verdict) => {
+    this.client.take(tenant, (verdict: quotaClaim.Verdict) => {
       if (verdict.kind === "exhausted") record.exhausted += 1;
       else if (verdict.kind === "unreached") record.unreached += 1;
       else record.ran.push(this.sim.clock.now());
@@ -153,13 +153,13 @@
 export class QuotaSim extends voters.VoterSim<Owner> {
   readonly routers: Router[] = [];
   readonly records = new Map<string, Record>();
-  limits = new Map<string, parts.Limit>();
+  limits = new Map<string, quotaPart.Limit>();
 
   constructor(
     seed: number,
     disks: number,
     voting: number,
-    limits: Iterable<[string, parts.Limit]>,
+    limits: Iterable<[string, quotaPart.Limit]>,
     readonly broken: Broken = "none",
   ) {
     super(seed, disks, voting);
@@ -191,7 +191,7 @@
     return record;
   }
 
-  setLimits(limits: Iterable<[string, parts.Limit]>): void {
+  setLimits(limits: Iterable<[string, quotaPart.Limit]>): void {
     this.limits = new Map(limits);
     for (const node of this.nodes) node.owner.setLimits(this.limits);
   }
--- a/tests/sim/raw-runner.ts
+++ b/tests/sim/raw-runner.ts
@@ -1,7 +1,7 @@
 // A stand-in for a model runner that works on bytes: it counts every request that began to reach it, answers in any
 // form, and fails at any byte of a request or of an answer.
 import * as net from "node:net";
-import * as memory from "./memory-net.js";
+import * as memoryNet from "./memory-net.js";
 
 export type Fault = "none" | "reset" | "close" | "silent" | "garbage" | "extra";
 
@@ -70,7 +70,7 @@
 export class RawRunner {
   readonly streams: Stream[] = [];
   readonly seen: never[] = [];
-  readonly sockets: memory.TestSocket[] = [];
+  readonly sockets: memoryNet.TestSocket[] = [];
   address = "";
   /** A script with "silent" took effect, and nothing more will come. */
   isSilent = false;
@@ -87,7 +87,7 @@
 
   async start(): Promise<void> {
     if (this.isInMemory) {
-      this.address = memory.listen(this.accept.bind(this));
+      this.address = memoryNet.listen(this.accept.bind(this));
       return;
     }
     await new Promise<void>((resolve) => this.server.listen(0, "127.0.0.1", resolve));
@@ -95,12 +95,12 @@
   }
 
   stop(): void {
-    if (this.isInMemory) memory.close(this.address);
+    if (this.isInMemory) memoryNet.close(this.address);
     else this.server.close();
     for (const socket of this.sockets) socket.destroy();
   }
 
-  private accept(socket: memory.TestSocket): void {
+  private accept(socket: memoryNet.TestSocket): void {
     this.sockets.push(socket);
     const connection = new RawConnection(this, socket);
     socket.on("error", () => undefined);
@@ -118,7 +118,7 @@
 
   constructor(
     private readonly runner: RawRunner,
-    private readonly socket: memory.TestSocket,
+    private readonly socket: memoryNet.TestSocket,
   ) {}
 
   take(chunk: Buffer): void {
--- a/tests/sim/router-node.ts
+++ b/tests/sim/router-node.ts
@@ -1,7 +1,7 @@
 // Routers over a simulated network, as far as they follow control nodes and start.
-import * as selectors from "../../src/feed/session-selector.js";
+import * as sessionSelector from "../../src/feed/session-selector.js";
 import * as followers from "../../src/feed/follower.js";
-import * as serveGates from "../../src/router/serve-gate.js";
+import * as serveGate from "../../src/router/serve-gate.js";
 import * as calls from "../../src/wire/calls.js";
 import * as link from "../../src/wire/link.js";
 import type * as schema from "../../src/wire/schema.js";
@@ -14,7 +14,7 @@
   readonly handlers = new link.Handlers();
   readonly dial: members.MemberDialer;
   readonly follower: followers.Follower;
-  readonly gate: serveGates.ServeGate;
+  readonly gate: serveGate.ServeGate;
   readonly epochs: { at: number; epoch: number }[] = [];
   openedAt = -1;
   epoch = types.NO_EPOCH;
@@ -27,11 +27,11 @@
     unconfirmedMs = 900_000,
   ) {
     const world = new networks.NodeWorld(network, name);
-    const selector = new selectors.SessionSelector(world, { name, region });
+    const selector = new sessionSelector.SessionSelector(world, { name, region });
     const describe = (): schema.NodeInfo => ({ ...fleet.nodeOf(name, "router", region, ""), isReady: this.gate.allows() });
     this.dial = new members.MemberDialer(world, "", this.handlers, describe, link.SILENT_MS, selector);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
-    this.gate = new serveGates.ServeGate(world, this.dial.controls, unconfirmedMs, () => (this.openedAt = network.clock.now()));
+    this.gate = new serveGate.ServeGate(world, this.dial.controls, unconfirmedMs, () => (this.openedAt = network.clock.now()));
     this.dial.on("beat", () => this.judge());
     this.follower = new followers.Follower(world, region, this.dial, this.handlers, () => [], this);
     this.handlers.on(calls.controls, (_from, told) => {
--- a/tests/sim/runners.ts
+++ b/tests/sim/runners.ts
@@ -4,7 +4,7 @@
 import * as fleets from "../../src/router/runners/fleet.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as systems from "../../src/whatif/system.js";
+import * as system from "../../src/whatif/system.js";
 import * as worlds from "../../src/whatif/world.js";
 import * as check from "../../src/config/check.js";
 import * as routes from "../../src/config/routes.js";
@@ -56,7 +56,7 @@
 
 export class RunnersSim {
   readonly world: worlds.PlannedWorld;
-  readonly routers: systems.ModelRouter[] = [];
+  readonly routers: system.ModelRouter[] = [];
   readonly met: Met[] = [];
   /** State changes of any runner as a router sees it: at, router, runner, to. */
   readonly changes: [number, number, string, string][] = [];
@@ -79,15 +79,15 @@
       })),
     );
     for (let index = 0; index < shape.routers; index += 1) {
-      const router = new systems.ModelRouter(regions[index % regions.length], this.world, regions, TABLE);
+      const router = new system.ModelRouter(regions[index % regions.length], this.world, regions, TABLE);
       router.fleet.takeList(list);
       router.share.deal(shape.routers);
       router.fleet.cohorts.routers = shape.routers;
       this.routers.push(router);
-      this.world.after(100 * this.world.random(), () => this.tell(index));
+      this.world.schedule(100 * this.world.random(), () => this.tell(index));
     }
-    this.world.after(1, () => this.arrive());
-    this.world.after(1, () => this.report());
+    this.world.schedule(1, () => this.arrive());
+    this.world.schedule(1, () => this.report());
   }
 
   play(untilS: number): void {
@@ -113,12 +113,12 @@
   }
 
   private tell(from: number): void {
-    this.world.after(100, () => this.tell(from));
+    this.world.schedule(100, () => this.tell(from));
     const router = this.routers[from];
     const ids = router.fleet.newSuspects();
     for (const runner of router.fleet.all()) this.note(from, runner);
     if (ids.length === 0) return;
-    this.world.after(5 + 40 * this.world.random(), () => {
+    this.world.schedule(5 + 40 * this.world.random(), () => {
       for (const other of this.routers) if (other !== router) other.fleet.takeSuspects(ids);
     });
   }
@@ -132,7 +132,7 @@
   }
 
   private report(): void {
-    this.world.after(600, () => this.report());
+    this.world.schedule(600, () => this.report());
     const { isSpeaking } = this.shape;
     const now = this.world.now();
     for (const router of this.routers) {
@@ -149,7 +149,7 @@
   }
 
   private arrive(): void {
-    this.world.after((-Math.log(1 - this.world.random()) * 1000) / this.shape.perS, () => this.arrive());
+    this.world.schedule((-Math.log(1 - this.world.random()) * 1000) / this.shape.perS, () => this.arrive());
     this.requests += 1;
     const router = Math.floor(this.world.random() * this.routers.length);
     const type = ["read_only", "mutating", "streaming"][Math.floor(this.world.random() * 3)];
@@ -159,7 +159,7 @@
   private send(from: number, type: string, id: string, tried: Set<string>): void {
     const router = this.routers[from];
     const entry = TABLE.find("h", `/${type}/`)!;
-    const request = systems.requestOf(
+    const request = system.requestOf(
       entry,
       id,
       [
@@ -192,12 +192,12 @@
       { method: "POST", path: "/", headers: [], body: null, requestId: types.small(id), isStream, ticket: choice.ticket },
     );
     attempt.start(request.parts[1].tokens);
-    this.world.after(answer === "hang" ? 2000 : 20_000, () => attempt.cancel());
+    this.world.schedule(answer === "hang" ? 2000 : 20_000, () => attempt.cancel());
   }
 
   private dispatch(answer: Answer, id: string, handlers: attempts.Attempt): boolean {
     const { world } = this;
-    if (answer === "refused") world.after(1, () => handlers.onError());
+    if (answer === "refused") world.schedule(1, () => handlers.onError());
     if (answer === "refused" || answer === "unreached") return true;
     handlers.onConnect(() => undefined);
     if (answer === "hang") return true;
@@ -206,14 +206,15 @@
     const raw = [Buffer.from("X-Cranewind-Request-Id"), Buffer.from(id)];
     if (answer === "shed") raw.push(Buffer.from("X-Cranewind-Not-Executed"), Buffer.from("1"));
     if (status !== 200) {
-      world.after(3, () => (handlers.onHeaders(status, raw, () => undefined), handlers.onComplete()));
+      world.schedule(3, () => (handlers.onHeaders(status, raw, () => undefined), handlers.onComplete()));
       return true;
     }
     const times = answer === "slow" ? 8 : 1;
-    world.after(usual * times, () => handlers.onHeaders(200, raw, () => undefined));
-    for (let piece = 0; piece < PIECES; piece += 1) world.after((usual + piece * GAP_MS) * times, () => handlers.onData(Buffer.from("x")));
+    world.schedule(usual * times, () => handlers.onHeaders(200, raw, () => undefined));
+    for (let piece = 0; piece < PIECES; piece += 1)
+      world.schedule((usual + piece * GAP_MS) * times, () => handlers.onData(Buffer.from("x")));
     const endMs = (usual + PIECES * GAP_MS) * times;
-    world.after(endMs, () => (answer === "cut" ? handlers.onError() : handlers.onComplete()));
+    world.schedule(endMs, () => (answer === "cut" ? handlers.onError() : handlers.onComplete()));
     return true;
   }
 }
--- a/tests/sim/signs.ts
+++ b/tests/sim/signs.ts
@@ -1,6 +1,6 @@
 /** Signs, and links that keep what they are told. */
-import * as log from "../../src/startup/log.js";
-import * as marks from "../../src/signs/marks.js";
+import * as log from "../../src/runtime/log.js";
+import * as marks from "../../src/hints/marks.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 
--- a/tests/sim/system.ts
+++ b/tests/sim/system.ts
@@ -2,14 +2,14 @@
 import type * as serve from "../../src/wire/serve.js";
 import * as members from "./members.js";
 import * as networks from "./network.js";
-import * as routerNodes from "./router-node.js";
+import * as routerNode from "./router-node.js";
 import * as sim from "./world.js";
 
 export interface System {
   clock: sim.SimWorld;
   network: networks.SimNetwork;
   controls: Map<string, members.ControlNode>;
-  routers: routerNodes.RouterNode[];
+  routers: routerNode.RouterNode[];
 }
 
 export const NAMES = ["a", "b", "c"];
@@ -27,7 +27,7 @@
     controls.set(name, new members.ControlNode(network, name, { seeds: names, region: name, broken }));
   }
   const system: System = { clock, network, controls, routers: [] };
-  if (withRouters) for (const name of names) system.routers.push(new routerNodes.RouterNode(network, `r${name}`, name, names));
+  if (withRouters) for (const name of names) system.routers.push(new routerNode.RouterNode(network, `r${name}`, name, names));
   await clock.play(4000);
   return system;
 }
@@ -50,6 +50,6 @@
   expect(told.status).toBe(200);
 }
 
-export function router(system: System, name: string): routerNodes.RouterNode {
+export function router(system: System, name: string): routerNode.RouterNode {
   return system.routers.find((item) => item.name === name)!;
 }
--- a/tests/sim/tallies.ts
+++ b/tests/sim/tallies.ts
@@ -1,13 +1,13 @@
 // Control nodes that keep tallies over links that a test cuts, with disks that it stalls, wipes and takes the power from.
 import * as events from "node:events";
-import type * as dialers from "../../src/feed/dialer.js";
+import type * as dialer from "../../src/feed/dialer.js";
 import * as tallies from "../../src/tallies/tallies.js";
 import type * as calls from "../../src/wire/calls.js";
 import * as features from "../../src/wire/features.js";
 import * as link from "../../src/wire/link.js";
 import type * as types from "../../src/wire/types.js";
-import * as clocks from "../model/clock.js";
-import * as disks from "./tally-disk.js";
+import * as clock from "../model/clock.js";
+import * as tallyDisk from "./tally-disk.js";
 
 const TURN_MS = 100;
 const REDIAL_MS = 100;
@@ -23,8 +23,8 @@
   asksOneDisk?: boolean;
 }
 
-class SimDial extends events.EventEmitter<dialers.DialerEvents> {
-  readonly controls = new Map<string, dialers.Control>();
+class SimDial extends events.EventEmitter<dialer.DialerEvents> {
+  readonly controls = new Map<string, dialer.Control>();
 }
 
 /** One life of one node's process. */
@@ -38,7 +38,7 @@
 
 /** One machine. */
 export class SimNode {
-  readonly disk: disks.MemoryDisk;
+  readonly disk: tallyDisk.MemoryDisk;
   life: Life | null = null;
   lives = 0;
   wipes = 0;
@@ -47,7 +47,7 @@
     private readonly cluster: TallyCluster,
     readonly address: string,
   ) {
-    this.disk = new disks.MemoryDisk(cluster.clock, 3);
+    this.disk = new tallyDisk.MemoryDisk(cluster.clock, 3);
     this.disk.losesSyncs = cluster.weak.losesSyncs ?? false;
   }
 
@@ -63,10 +63,10 @@
     const dial = new SimDial();
     const handlers = new link.Handlers();
     const isDead = (): boolean => life.isDead;
-    const world: types.World = {
+    const world: types.Clock = {
       now: () => cluster.clock.now(),
       random: () => cluster.clock.random(),
-      after: (ms, run) => cluster.clock.after(ms, () => !isDead() && run()),
+      schedule: (ms, run) => cluster.clock.schedule(ms, () => !isDead() && run()),
     };
     const kept = new tallies.Tallies(world, {
       life: name,
@@ -86,7 +86,7 @@
       if (isDead()) return;
       cluster.dialAll(this);
       kept.turn();
-      cluster.clock.after(TURN_MS, turn);
+      cluster.clock.schedule(TURN_MS, turn);
     };
     turn();
   }
@@ -117,7 +117,7 @@
     const { cluster, from, to, lives } = this;
     const bytes = pair.ask.toBuffer(ask);
     return new Promise((resolve) => {
-      cluster.clock.after(withinMs, () => !lives[0].isDead && resolve(null));
+      cluster.clock.schedule(withinMs, () => !lives[0].isDead && resolve(null));
       this.deliver(from, to, () => {
         const run = lives[1].handlers.get(pair.code);
         if (!run || lives[1].isDead) return;
@@ -137,13 +137,13 @@
     const { clock } = this.cluster;
     const at = Math.max(this.lastAt, clock.now() + 2 + clock.random() * this.cluster.delayMs);
     this.lastAt = at;
-    clock.after(at - clock.now(), () => this.isOpen && !this.cluster.isCut(from.address, to.address) && run());
+    clock.schedule(at - clock.now(), () => this.isOpen && !this.cluster.isCut(from.address, to.address) && run());
   }
 }
 
 /** All nodes and what is between them. */
 export class TallyCluster {
-  readonly clock: clocks.ModelClock;
+  readonly clock: clock.ModelClock;
   readonly nodes = new Map<string, SimNode>();
   /** `from>to`: nothing passes that way. */
   readonly cuts = new Set<string>();
@@ -157,7 +157,7 @@
     readonly tolerated: number,
     readonly weak: Weaknesses = {},
   ) {
-    this.clock = new clocks.ModelClock(seed);
+    this.clock = new clock.ModelClock(seed);
     for (let index = 1; index <= count; index += 1) this.nodes.set(`n${index}`, new SimNode(this, `n${index}`));
     for (const node of this.nodes.values()) node.start();
   }
@@ -194,9 +194,9 @@
       node: { address: other.address, zone: other.address },
       link: made,
       beat: { index: features.OWN_FEATURES },
-    } as unknown as dialers.Control;
+    } as unknown as dialer.Control;
     life.dial.controls.set(other.address, control);
-    this.clock.after(REDIAL_MS, () => !life.isDead && made.isOpen && life.dial.emit("beat", control));
+    this.clock.schedule(REDIAL_MS, () => !life.isDead && made.isOpen && life.dial.emit("beat", control));
   }
 
   play(ms: number): Promise<void> {
--- a/tests/sim/tally-disk.ts
+++ b/tests/sim/tally-disk.ts
@@ -17,7 +17,7 @@
   losesSyncs = false;
 
   constructor(
-    private readonly world: types.World,
+    private readonly world: types.Clock,
     private readonly syncMs: number,
   ) {}
 
@@ -35,8 +35,8 @@
   }
 
   private async wait(isDead: () => boolean): Promise<void> {
-    await new Promise<void>((resolve) => this.world.after(this.syncMs * (0.5 + this.world.random()), resolve));
-    while (this.isStalled && !isDead()) await new Promise<void>((resolve) => this.world.after(STALL_STEP_MS, resolve));
+    await new Promise<void>((resolve) => this.world.schedule(this.syncMs * (0.5 + this.world.random()), resolve));
+    while (this.isStalled && !isDead()) await new Promise<void>((resolve) => this.world.schedule(STALL_STEP_MS, resolve));
     if (isDead()) await new Promise<never>(() => {});
   }
 
--- a/tests/sim/tally-guards.ts
+++ b/tests/sim/tally-guards.ts
@@ -3,19 +3,19 @@
 import * as ledgers from "../../src/tallies/ledger.js";
 import * as readinesses from "../../src/tallies/readiness.js";
 import type * as types from "../../src/wire/types.js";
-import type * as sim from "./tallies.js";
+import type * as tallies from "./tallies.js";
 
 /** Each guard (design/tallies 2 to 6). */
 export type Guard = "none" | "dedupe" | "memory" | "life" | "sync" | "copies" | "wait_after_loss";
 
-const WEAKNESSES: Partial<Record<Guard, sim.Weaknesses>> = {
+const WEAKNESSES: Partial<Record<Guard, tallies.Weaknesses>> = {
   life: { sharesLives: true },
   sync: { losesSyncs: true },
   copies: { asksOneDisk: true },
 };
 
 /** What a history without the guard is made with. */
-export function weaknessOf(guard: Guard): sim.Weaknesses {
+export function weaknessOf(guard: Guard): tallies.Weaknesses {
   return WEAKNESSES[guard] ?? {};
 }
 
@@ -23,7 +23,7 @@
 export async function withEras<T>(eraMs: number, work: () => Promise<T>): Promise<T> {
   const prototype = eras.Eras.prototype as unknown as Record<string, unknown>;
   const usual = prototype["isDue"];
-  prototype["isDue"] = function isDue(this: { world: types.World; since: number }): boolean {
+  prototype["isDue"] = function isDue(this: { world: types.Clock; since: number }): boolean {
     return this.world.now() - this.since >= eraMs;
   };
   try {
--- a/tests/sim/tally-storm.ts
+++ b/tests/sim/tally-storm.ts
@@ -1,7 +1,7 @@
 // Random histories of tallies: callers on all sides, cuts of every shape, crashes, losses of power and of disks, stalls.
-import * as checkers from "./tally-checker.js";
-import * as sim from "./tallies.js";
-import * as cuts from "./tally-cuts.js";
+import * as tallyChecker from "./tally-checker.js";
+import * as tallies from "./tallies.js";
+import * as tallyCuts from "./tally-cuts.js";
 
 const TALLIES = ["t1", "t2"];
 const STEP_MS = 20;
@@ -18,7 +18,7 @@
   seed: number;
   nodes?: number;
   seconds?: number;
-  weak?: sim.Weaknesses;
+  weak?: tallies.Weaknesses;
   /** Adds are sent again only so long after they were first sent, in ms; else at any time. */
   repeatsWithinMs?: number;
 }
@@ -31,8 +31,8 @@
 
 /** One history. */
 export class TallyStorm {
-  readonly cluster: sim.TallyCluster;
-  readonly checker = new checkers.TallyChecker();
+  readonly cluster: tallies.TallyCluster;
+  readonly checker = new tallyChecker.TallyChecker();
   private cutsFound = 0;
   /** Since when each node has been up and able to reach enough others; Infinity: it is not. */
   private readonly joinedSince = new Map<string, number>();
@@ -46,7 +46,7 @@
 
   constructor(private readonly options: StormOptions) {
     const count = options.nodes ?? 5;
-    this.cluster = new sim.TallyCluster(options.seed, count, Math.floor((count - 1) / 2), options.weak);
+    this.cluster = new tallies.TallyCluster(options.seed, count, Math.floor((count - 1) / 2), options.weak);
   }
 
   private get now(): number {
@@ -61,7 +61,7 @@
     return Math.floor(this.cluster.clock.random() * count);
   }
 
-  private node(): sim.SimNode {
+  private node(): tallies.SimNode {
     return [...this.cluster.nodes.values()][this.below(this.cluster.nodes.size)];
   }
 
@@ -88,7 +88,7 @@
       const since = this.joinedSince.get(node.address) ?? Infinity;
       if (!areEnough || !usable.includes(node)) this.joinedSince.set(node.address, Infinity);
       else if (since === Infinity) this.joinedSince.set(node.address, this.now);
-      else if (this.now - since > checkers.MERGE_MS) this.checker.merged(node.address, this.now - checkers.MERGE_MS);
+      else if (this.now - since > tallyChecker.MERGE_MS) this.checker.merged(node.address, this.now - tallyChecker.MERGE_MS);
     }
   }
 
@@ -99,7 +99,7 @@
     if (mayBreak && this.chance(0.5)) void this.call();
   }
 
-  private times(): checkers.Times {
+  private times(): tallyChecker.Times {
     const calmSince = this.troubles.size > 0 ? Infinity : this.calmSince;
     const uncutSince = this.cutsFound > 0 ? Infinity : this.uncutSince;
     return { askedAt: this.now, calmSince, uncutSince };
@@ -120,7 +120,7 @@
     await this.add(tallies, place);
   }
 
-  private async add(tallies: NonNullable<sim.SimNode["tallies"]>, place: checkers.Place): Promise<void> {
+  private async add(tallies: NonNullable<tallies.SimNode["tallies"]>, place: tallyChecker.Place): Promise<void> {
     const { checker } = this;
     const earliest = this.now - (this.options.repeatsWithinMs ?? Infinity);
     const repeatable = this.ids.filter((known) => known.sentAt >= earliest);
@@ -180,11 +180,11 @@
     if (cluster.cuts.size > 0) return;
     const addresses = [...cluster.nodes.keys()];
     cluster.cutsRouters = this.chance(0.7);
-    for (const [from, to] of cuts.draw(addresses, () => cluster.clock.random())) cluster.cuts.add(`${from}>${to}`);
+    for (const [from, to] of tallyCuts.draw(addresses, () => cluster.clock.random())) cluster.cuts.add(`${from}>${to}`);
     this.cutsFound += 1;
     this.begin(500 + this.below(12_000), () => {
       cluster.cuts.clear();
-      cluster.clock.after(FOUND_MS, () => {
+      cluster.clock.schedule(FOUND_MS, () => {
         this.cutsFound -= 1;
         this.uncutSince = this.now;
       });
@@ -214,7 +214,7 @@
   }
 
   /** As many disks as may be lost at once; all other machines lose power, or not. The next ones only once all is joined. */
-  private wipe(first: sim.SimNode): void {
+  private wipe(first: tallies.SimNode): void {
     const { cluster } = this;
     this.isWipeDue = false;
     if (this.now - this.lastWipeAt < 8000 || [...this.troubles].some((trouble) => trouble.isDiskLost)) return;
--- a/tests/sim/usage.ts
+++ b/tests/sim/usage.ts
@@ -2,8 +2,8 @@
 import * as feeds from "../../src/feed/feed.js";
 import type * as mirrors from "../../src/feed/mirror.js";
 import * as fleets from "../../src/router/runners/fleet.js";
-import * as publishers from "../../src/usage/publisher.js";
-import * as readers from "../../src/usage/reader.js";
+import * as publisher from "../../src/load/publisher.js";
+import * as reader from "../../src/load/reader.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import * as links from "./links.js";
@@ -54,7 +54,7 @@
 export class System {
   readonly clock = new sims.SimWorld(11);
   readonly feed = new feeds.Feed("place");
-  readonly publisher = new publishers.Publisher(this.clock, this.feed);
+  readonly publisher = new publisher.Publisher(this.clock, this.feed);
   readonly regions: Region[];
 
   constructor(names: readonly string[], perRegion: number, capacity: number, perS: number) {
@@ -84,13 +84,13 @@
 
 export class Router {
   readonly fleet: fleets.Fleet;
-  readonly reader: readers.Reader;
+  readonly reader: reader.Reader;
   readonly made: links.SimRouter;
   readonly session: links.Session;
 
   constructor(system: System, region: string) {
     this.fleet = new fleets.Fleet(system.clock, new Map(system.regions.map(({ name }) => [name, name])));
-    this.reader = new readers.Reader(system.clock, this.fleet, region, () => undefined);
+    this.reader = new reader.Reader(system.clock, this.fleet, region, () => undefined);
     this.fleet.takeList(system.instances());
     this.made = new links.SimRouter(system.clock, region);
     this.made.topics = this.reader.topics();
--- a/tests/sim/voters.ts
+++ b/tests/sim/voters.ts
@@ -1,13 +1,13 @@
 // Voters of a register and owners of bounds over a simulated network with faults by seed: fences, changes of voters,
 // crashes, freezes and cuts. What is owned, and who asks for it, is up to the simulations built on it.
 import * as registers from "../../src/register/value.js";
-import type * as tenures from "../../src/shares/tenure.js";
+import type * as tenure from "../../src/limits/tenure.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import * as world from "./world.js";
 
 /** A control node: a disk with the newest accepted voter epoch, and a process that may end. */
-export abstract class VoterNode<Tenure extends tenures.Tenure = tenures.Tenure> {
+export abstract class VoterNode<Tenure extends tenure.Tenure = tenure.Tenure> {
   accepted: types.Epoch;
   chosen: schema.Value | null;
   tenure!: Tenure;
--- a/tests/sim/watch.ts
+++ b/tests/sim/watch.ts
@@ -1,9 +1,9 @@
 /** What the tests of the list and of the reports share: siblings, a stand-in platform, a clock beside real sockets. */
 import type * as dialer from "../../src/feed/dialer.js";
 import * as keyed from "../../src/feed/keyed.js";
-import * as platforms from "../../src/standin/platform.js";
+import * as platforms from "../../src/emulator/platform.js";
 import * as schema from "../../src/wire/schema.js";
-import * as world from "../../src/wire/world.js";
+import * as timers from "../../src/runtime/timers.js";
 import * as sim from "./world.js";
 
 export interface Told {
@@ -45,9 +45,9 @@
 }
 
 export class MixedWorld extends sim.SimWorld {
-  private readonly real = new world.RealWorld();
-  override after(ms: number, run: () => void): ReturnType<sim.SimWorld["after"]> {
-    return this.real.after(Math.min(ms, 400), run);
+  private readonly real = new timers.SystemClock();
+  override schedule(ms: number, run: () => void): ReturnType<sim.SimWorld["schedule"]> {
+    return this.real.schedule(Math.min(ms, 400), run);
   }
 }
 
--- a/tests/sim/world.ts
+++ b/tests/sim/world.ts
@@ -1,6 +1,6 @@
 // A world whose clock, chance and ticks a test decides.
 import * as types from "../../src/wire/types.js";
-import * as world from "../../src/wire/world.js";
+import * as timers from "../../src/runtime/timers.js";
 
 interface Planned {
   at: number;
@@ -9,7 +9,7 @@
   isStopped: boolean;
 }
 
-export class SimWorld implements types.World {
+export class SimWorld implements types.Clock {
   private clock = 0;
   private order = 0;
   private planned: Planned[] = [];
@@ -32,7 +32,7 @@
     return this.seed / 4294967296;
   }
 
-  after(ms: number, run: () => void): types.Tick {
+  schedule(ms: number, run: () => void): types.Timer {
     const item: Planned = { at: this.clock + Math.max(0, ms), order: (this.order += 1), run, isStopped: false };
     this.planned.push(item);
     return {
@@ -78,7 +78,7 @@
 }
 
 /** The real clock, set ahead by hand. */
-export class SkewedWorld extends world.RealWorld {
+export class SkewedWorld extends timers.SystemClock {
   aheadMs = 0;
   override now(): types.SteadyMs {
     return types.small(super.now() + this.aheadMs);
--- a/tests/slot-note.test.ts
+++ b/tests/slot-note.test.ts
@@ -2,22 +2,22 @@
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
-import * as slotNotes from "../src/control/leases/slot-note.js";
+import * as slotNote from "../src/control/leases/slot-note.js";
 import * as registers from "../src/register/value.js";
 import * as files from "../src/store/files.js";
-import * as quotaTenures from "../src/tenants/quota-tenure.js";
+import * as quotaTenure from "../src/tenants/quota-tenure.js";
 import type * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sim from "./sim/world.js";
 
-const NOTE: slotNotes.Note = { disk: "d1", epoch: 3, slot: 1, slots: 5 };
+const NOTE: slotNote.Note = { disk: "d1", epoch: 3, slot: 1, slots: 5 };
 let folder: string;
 
 beforeEach(() => (folder = fs.mkdtempSync(path.join(os.tmpdir(), "cranewind-note-"))));
 afterEach(() => fs.rmSync(folder, { recursive: true }));
 
-async function keep(note: slotNotes.Note): Promise<void> {
-  const notes = new slotNotes.SlotNote(new files.RealFolder(folder));
+async function keep(note: slotNote.Note): Promise<void> {
+  const notes = new slotNote.SlotNote(new files.RealFolder(folder));
   await notes.read();
   notes.keep(note);
   const file = path.join(folder, "quota-slot");
@@ -25,22 +25,22 @@
 }
 
 test("a note comes back whole, and a shorter one leaves nothing of a longer one", async () => {
-  expect(await new slotNotes.SlotNote(new files.RealFolder(folder)).read()).toBeNull();
+  expect(await new slotNote.SlotNote(new files.RealFolder(folder)).read()).toBeNull();
   await keep({ ...NOTE, epoch: 123456, disk: "a-much-longer-name-of-a-disk" });
   await keep(NOTE);
-  expect(await new slotNotes.SlotNote(new files.RealFolder(folder)).read()).toEqual(NOTE);
+  expect(await new slotNote.SlotNote(new files.RealFolder(folder)).read()).toEqual(NOTE);
 });
 
 test("a torn note is none", async () => {
   await keep(NOTE);
   const file = path.join(folder, "quota-slot");
   const bytes = fs.readFileSync(file);
-  for (const length of [0, 1, 44, 60, 85]) expect(slotNotes.parse(bytes.subarray(0, length))).toBeNull();
+  for (const length of [0, 1, 44, 60, 85]) expect(slotNote.parse(bytes.subarray(0, length))).toBeNull();
   const mixed = Buffer.from(bytes);
   mixed.write("9", bytes.indexOf('"epoch":') + 8);
-  expect(slotNotes.parse(mixed)).toBeNull();
+  expect(slotNote.parse(mixed)).toBeNull();
   fs.writeFileSync(file, "not a note");
-  expect(await new slotNotes.SlotNote(new files.RealFolder(folder)).read()).toBeNull();
+  expect(await new slotNote.SlotNote(new files.RealFolder(folder)).read()).toBeNull();
 });
 
 function valueOf(voterEpoch: number, disks: string[]): schema.Value {
@@ -51,16 +51,16 @@
 const FIVE = ["d0", "d1", "d2", "d3", "d4"];
 
 /** When a life that starts at 10 s, and at once knows this value, opens its slot; -1: it has none. */
-function opens(value: schema.Value, note: slotNotes.Note | null): number {
+function opens(value: schema.Value, note: slotNote.Note | null): number {
   const clock = new sim.SimWorld();
   clock.skip(10_000);
-  const tenure = new quotaTenures.QuotaTenure(clock, { fenceMs: 4000, lifeMs: 300 });
+  const tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: 4000, lifeMs: 300 });
   tenure.take(value, "d1");
   if (note) tenure.restore(note.disk, types.small(note.epoch), note);
   return tenure.slot < 0 ? -1 : tenure.openAt - 10_000;
 }
 
-test.each<[string, schema.Value, slotNotes.Note | null, number]>([
+test.each<[string, schema.Value, slotNote.Note | null, number]>([
   ["no note: the fence is waited out", valueOf(3, FIVE), null, 4500],
   ["a note of this epoch: only the former life's units", valueOf(3, FIVE), NOTE, 500],
   ["of the epoch before, with a place in both", valueOf(4, ["d9", "d1", "d2", "d3"]), NOTE, 500],
@@ -74,7 +74,7 @@
 
 test("after another number of voters the former place binds until whoever left has stopped", () => {
   const clock = new sim.SimWorld();
-  const tenure = new quotaTenures.QuotaTenure(clock, { fenceMs: 4000, lifeMs: 300 });
+  const tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: 4000, lifeMs: 300 });
   tenure.take(valueOf(4, ["d1", "d2", "d3", "d4"]), "d1");
   tenure.restore("d1", types.small(3), NOTE);
   clock.skip(1000);
--- a/tests/summary.test.ts
+++ b/tests/summary.test.ts
@@ -1,12 +1,12 @@
 // Summaries of regions: what they count, when they are fresh, and how routers judge a region by them (design/usage 4).
-import * as usages from "./sim/usage.js";
+import * as usage from "./sim/usage.js";
 import * as cells from "../src/router/policies/cells.js";
-import * as regionReports from "../src/usage/region-reports.js";
-import * as summaries from "../src/usage/summary.js";
+import * as regionReports from "../src/load/region-reports.js";
+import * as summary from "../src/load/summary.js";
 import * as schema from "../src/wire/schema.js";
 import * as sims from "./sim/world.js";
 
-const { report, instance } = usages;
+const { report, instance } = usage;
 
 test("a summary counts good runners, usage and room; a stale region's says nothing", () => {
   const picture = new regionReports.RegionReports("r");
@@ -21,16 +21,16 @@
     100,
   );
   const expected = { isFresh: true, total: 4, good: 2, usage: 8, room: 3 };
-  expect(summaries.summarise(picture, instances, 100).get("s")).toEqual(expected);
-  expect(summaries.summarise(picture, instances, 2200).get("s")!.isFresh).toBe(false);
-  expect(summaries.withHysteresis(expected, { ...expected, usage: 9, room: 2 })).toEqual(expected);
-  expect(summaries.withHysteresis(expected, { ...expected, usage: 10, room: 0, good: 1 })).toEqual({
+  expect(summary.summarise(picture, instances, 100).get("s")).toEqual(expected);
+  expect(summary.summarise(picture, instances, 2200).get("s")!.isFresh).toBe(false);
+  expect(summary.withHysteresis(expected, { ...expected, usage: 9, room: 2 })).toEqual(expected);
+  expect(summary.withHysteresis(expected, { ...expected, usage: 10, room: 0, good: 1 })).toEqual({
     ...expected,
     usage: 10,
     room: 0,
     good: 1,
   });
-  const known = new summaries.Summaries();
+  const known = new summary.Summaries();
   known.take("r/s", schema.summary.toBuffer(expected));
   expect(known.of("r", "s")).toEqual(expected);
   known.take("r/s", schema.summary.toBuffer({ ...expected, isFresh: false }));
@@ -40,7 +40,7 @@
 test("a region that a summary shows to be lost is tried last, though no report of it is followed", () => {
   const clock = new sims.SimWorld(1);
   const runner = (id: string, region: string): unknown => ({ id, region, isSuspect: () => false, instance: instance(id, region) });
-  const known = new summaries.Summaries();
+  const known = new summary.Summaries();
   const policy = new cells.CellPolicy("a", known);
   const order = (): string[] => {
     const plan = {
@@ -67,7 +67,7 @@
   ["a long prompt at home", 5000, ["a"], ["a"]],
   ["a long prompt anywhere", 5000, ["a", "b", "c"], ["a", "b", "c"]],
 ])("cells that requests rank by key are followed: %s", (_name, tokens, regions, expected) => {
-  const known = new summaries.Summaries();
+  const known = new summary.Summaries();
   const policy = new cells.CellPolicy("a", known);
   for (let index = 0; index < 50; index += 1) {
     const shared = [{ id: `p${index}`, tokens }];
--- a/tests/system.test.ts
+++ b/tests/system.test.ts
@@ -7,21 +7,21 @@
 import * as commands from "../src/cli/commands.js";
 import * as control from "../src/control/program.js";
 import * as router from "../src/router/program.js";
-import * as platforms from "../src/standin/platform.js";
-import * as runners from "../src/standin/runner.js";
+import * as platforms from "../src/emulator/platform.js";
+import * as runner from "../src/emulator/runner.js";
 import type * as settings from "../src/settings/settings.js";
 import * as schema from "../src/wire/schema.js";
-import * as world from "../src/wire/world.js";
+import * as timers from "../src/runtime/timers.js";
 import * as loopback from "./sim/loopback.js";
 
 const NET = `127.${20 + (process.pid % 200)}`;
 const { REGIONS } = loopback;
-const clock = new world.RealWorld();
+const clock = new timers.SystemClock();
 const EXAMPLE = fs.readFileSync("examples/first.json");
 
 let folder: string;
 let platform: platforms.StandInPlatform;
-let standins: runners.StandInRunner[];
+let standins: runner.StandInRunner[];
 let controls: control.ControlProgram[];
 let edge: router.RouterProgram;
 
@@ -86,7 +86,7 @@
   folder = fs.mkdtempSync(path.join(os.tmpdir(), "cranewind-system-"));
   platform = new platforms.StandInPlatform(2);
   await platform.start();
-  standins = REGIONS.map((region) => new runners.StandInRunner({ id: `i-${region}` }));
+  standins = REGIONS.map((region) => new runner.StandInRunner({ id: `i-${region}` }));
   for (const [index, runner] of standins.entries()) {
     await runner.start();
     platform.instances.push({
--- a/tests/tallies/log.test.ts
+++ b/tests/tallies/log.test.ts
@@ -9,7 +9,7 @@
 const RUNS = 300;
 
 /** Pauses end at once; a life that has ended plays no more of them. */
-class EagerWorld implements types.World {
+class EagerWorld implements types.Clock {
   hasEnded = false;
   private drawn = 0;
   now(): types.SteadyMs {
@@ -19,7 +19,7 @@
     this.drawn += 1;
     return (this.drawn % 1000) / 1000;
   }
-  after(_ms: number, run: () => void): types.Tick {
+  schedule(_ms: number, run: () => void): types.Timer {
     const handle = setImmediate(() => this.hasEnded || run());
     return { stop: () => clearImmediate(handle) };
   }
@@ -56,7 +56,7 @@
     if (life.isPowerLost) this.disk.losePower();
   }
 
-  private async live(world: types.World, folder: simulated.MountedDisk, life: Life): Promise<void> {
+  private async live(world: types.Clock, folder: simulated.MountedDisk, life: Life): Promise<void> {
     const opened = await this.open(world, folder);
     const ledger = new ledgers.Ledger();
     for (const record of opened.records) expect(records.restore(ledger, record)).toBe(true);
@@ -75,7 +75,7 @@
   }
 
   /** A disk that refuses is opened again, as the store does. */
-  private async open(world: types.World, folder: simulated.MountedDisk): ReturnType<typeof logs.TallyLog.open> {
+  private async open(world: types.Clock, folder: simulated.MountedDisk): ReturnType<typeof logs.TallyLog.open> {
     for (;;) {
       const opened = await logs.TallyLog.open(world, folder).catch(() => null);
       if (opened) return opened;
--- a/tests/tallies/storm.test.ts
+++ b/tests/tallies/storm.test.ts
@@ -1,7 +1,7 @@
 // Histories of callers, cuts, crashes, losses of power and of disks: nothing twice, nothing stale, nothing lost (design/tallies 2 to 6).
-import * as guards from "../sim/tally-guards.js";
-import * as storms from "../sim/tally-storm.js";
-import * as sim from "../sim/tallies.js";
+import * as tallyGuards from "../sim/tally-guards.js";
+import * as tallyStorm from "../sim/tally-storm.js";
+import * as tallies from "../sim/tallies.js";
 
 const SEEDS = 25;
 /** Seeds tried for a missing guard from the one given; after a change of the sources another may be the first to show it. */
@@ -11,7 +11,7 @@
   let acknowledged = 0;
   let apart = 0;
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const storm = new storms.TallyStorm({ seed, nodes });
+    const storm = new tallyStorm.TallyStorm({ seed, nodes });
     expect([seed, await storm.play()]).toEqual([seed, []]);
     acknowledged += storm.checker.acknowledged;
     apart += storm.checker.acknowledgedApart;
@@ -22,12 +22,12 @@
 
 test("no history breaks a rule where eras end every four seconds", async () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const storm = new storms.TallyStorm({ seed, nodes: 3 + (seed % 3), repeatsWithinMs: 3000 });
-    expect([seed, await guards.withEras(4000, () => storm.play())]).toEqual([seed, []]);
+    const storm = new tallyStorm.TallyStorm({ seed, nodes: 3 + (seed % 3), repeatsWithinMs: 3000 });
+    expect([seed, await tallyGuards.withEras(4000, () => storm.play())]).toEqual([seed, []]);
   }
 });
 
-test.each<[guards.Guard, number]>([
+test.each<[tallyGuards.Guard, number]>([
   ["dedupe", 1],
   ["memory", 1],
   ["life", 1],
@@ -39,8 +39,8 @@
   async (guard, from) => {
     let isSeen = false;
     for (let seed = from; seed < from + MAX_SEEDS && !isSeen; seed += 1) {
-      const storm = new storms.TallyStorm({ seed, weak: guards.weaknessOf(guard) });
-      isSeen = (await guards.without(guard, () => storm.play())).length > 0;
+      const storm = new tallyStorm.TallyStorm({ seed, weak: tallyGuards.weaknessOf(guard) });
+      isSeen = (await tallyGuards.without(guard, () => storm.play())).length > 0;
     }
     expect(isSeen).toBe(true);
   },
@@ -48,14 +48,14 @@
 );
 
 /** Five nodes, of which the last is cut off from all others at once, as with its region. */
-async function cutOff(): Promise<sim.TallyCluster> {
-  const cluster = new sim.TallyCluster(11, 5, 2);
+async function cutOff(): Promise<tallies.TallyCluster> {
+  const cluster = new tallies.TallyCluster(11, 5, 2);
   await cluster.play(8000);
   for (const other of ["n1", "n2", "n3", "n4"]) cluster.cuts.add(`n5>${other}`).add(`${other}>n5`);
   return cluster;
 }
 
-async function outcomeOf<T>(cluster: sim.TallyCluster, work: Promise<T>, withinMs: number): Promise<T | "no answer"> {
+async function outcomeOf<T>(cluster: tallies.TallyCluster, work: Promise<T>, withinMs: number): Promise<T | "no answer"> {
   let outcome: T | "no answer" = "no answer";
   void work.then((told) => (outcome = told));
   await cluster.play(withinMs);
@@ -101,7 +101,7 @@
 });
 
 test("ids are forgotten after three eras, everywhere, and all totals stay the same", async () => {
-  const cluster = new sim.TallyCluster(5, 3, 1);
+  const cluster = new tallies.TallyCluster(5, 3, 1);
   await cluster.play(8000);
   const nodes = [...cluster.nodes.values()].map((node) => node.tallies!);
   expect(await outcomeOf(cluster, nodes[0].add("t", { id: "a", amount: 2 }), 300)).toBe("added");
--- a/tests/tenancy.test.ts
+++ b/tests/tenancy.test.ts
@@ -1,12 +1,12 @@
 // Keys and quotas at a router over real sockets: who is let in, what the runner sees, and what becomes of units.
 import * as net from "node:net";
-import type * as dialers from "../src/feed/dialer.js";
+import type * as dialer from "../src/feed/dialer.js";
 import * as tenancies from "../src/router/tenancy.js";
 import * as digests from "../src/tenants/digest.js";
-import * as tenants from "../src/tenants/tenant.js";
+import * as tenant from "../src/tenants/tenant.js";
 import type * as tenantSchema from "../src/wire/tenant-schema.js";
 import * as types from "../src/wire/types.js";
-import * as world from "../src/wire/world.js";
+import * as timers from "../src/runtime/timers.js";
 import * as edges from "./sim/edge.js";
 
 /** One owner, whose replies a test decides. */
@@ -15,12 +15,12 @@
   units = Infinity;
   epoch = 1;
   readonly unused: number[] = [];
-  readonly controls = new Map<string, dialers.Control>();
+  readonly controls = new Map<string, dialer.Control>();
 
   constructor() {
     const node = { life: "life", region: "r" };
     const call = (_pair: unknown, ask: tenantSchema.QuotaAsk): Promise<tenantSchema.QuotaReply> => this.answer(ask);
-    this.controls.set("a", { address: "a", node, link: { isOpen: true, call }, tripMs: 1 } as unknown as dialers.Control);
+    this.controls.set("a", { address: "a", node, link: { isOpen: true, call }, tripMs: 1 } as unknown as dialer.Control);
   }
 
   /** Until it is opened, the units are counted and the replies are on their way. */
@@ -49,19 +49,19 @@
   }
 }
 
-const clock = new world.RealWorld();
+const clock = new timers.SystemClock();
 let owner: FakeOwner;
 let tenancy: tenancies.Tenancy;
 let edge: edges.Edge;
 
-function tenantOf(name: string, key: string, isLimited: boolean, homes: string[] = []): tenants.Tenant {
+function tenantOf(name: string, key: string, isLimited: boolean, homes: string[] = []): tenant.Tenant {
   return { name, keys: [digests.digestOf(key)], priority: null, isLimited, homes };
 }
 
 beforeEach(async () => {
   owner = new FakeOwner();
   tenancy = new tenancies.Tenancy(clock, "r", owner.controls, { revocation_strict: true, revoke_delay_ms: 5000 });
-  const table = new tenants.TenantTable();
+  const table = new tenant.TenantTable();
   table.amend(
     [tenantOf("yard", "k-yard", true), tenantOf("school", "k-school", false), tenantOf("far", "k-far", false, ["elsewhere"])],
     [],
--- a/tests/tenants-system.test.ts
+++ b/tests/tenants-system.test.ts
@@ -7,13 +7,13 @@
 import * as tenants from "../src/cli/tenants.js";
 import * as control from "../src/control/program.js";
 import * as router from "../src/router/program.js";
-import * as platforms from "../src/standin/platform.js";
-import * as runners from "../src/standin/runner.js";
-import * as world from "../src/wire/world.js";
+import * as platforms from "../src/emulator/platform.js";
+import * as runners from "../src/emulator/runner.js";
+import * as timers from "../src/runtime/timers.js";
 import * as loopback from "./sim/loopback.js";
 
 const NET = `127.${20 + (process.pid % 200)}`;
-const clock = new world.RealWorld();
+const clock = new timers.SystemClock();
 const FIRST = JSON.parse(fs.readFileSync("examples/first.json", "utf8")) as object;
 const TENANTS = [
   { name: "yard", api_keys: ["key-yard-1", "key-yard-2"], rate_per_s: 2, burst: 3 },
--- a/tests/tenants.test.ts
+++ b/tests/tenants.test.ts
@@ -4,7 +4,7 @@
 import * as parts from "../src/config/parts.js";
 import * as registers from "../src/register/value.js";
 import * as digests from "../src/tenants/digest.js";
-import * as tenants from "../src/tenants/tenant.js";
+import * as tenant from "../src/tenants/tenant.js";
 import type * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 
@@ -69,12 +69,12 @@
   expect([...rekeyed].filter(([key, body]) => !before.get(key)?.equals(body)).map(([key]) => key)).toEqual(["tenant:yard"]);
 });
 
-function tenantOf(name: string, keys: string[]): tenants.Tenant {
+function tenantOf(name: string, keys: string[]): tenant.Tenant {
   return { name, keys: keys.map(digests.digestOf), priority: null, isLimited: false, homes: [] };
 }
 
 test("a key moves between tenants, is taken away and given back", () => {
-  const table = new tenants.TenantTable();
+  const table = new tenant.TenantTable();
   expect(table.isEmpty).toBe(true);
   table.amend([tenantOf("a", ["k", "l"]), tenantOf("b", [])], []);
   expect(table.find("k")?.name).toBe("a");
--- a/tests/usage.test.ts
+++ b/tests/usage.test.ts
@@ -1,14 +1,14 @@
 // What is told of runners' usage, to whom, and how much it is (design/usage 3, 4).
-import * as resolutions from "../src/usage/resolution.js";
-import * as regionReports from "../src/usage/region-reports.js";
-import * as interests from "../src/usage/interest.js";
-import * as relays from "../src/signs/relay.js";
-import * as marks from "../src/signs/marks.js";
-import * as publishers from "../src/usage/publisher.js";
+import * as resolution from "../src/load/resolution.js";
+import * as regionReports from "../src/load/region-reports.js";
+import * as interest from "../src/load/interest.js";
+import * as relay from "../src/hints/relay.js";
+import * as marks from "../src/hints/marks.js";
+import * as publisher from "../src/load/publisher.js";
 import * as types from "../src/wire/types.js";
-import * as usages from "./sim/usage.js";
+import * as usage from "./sim/usage.js";
 
-const { report, instance } = usages;
+const { report, instance } = usage;
 
 test.each([
   [1, 1],
@@ -19,7 +19,7 @@
   [64, 4],
   [200, 13],
 ])("a runner of capacity %d is told to %d requests", (capacity, expected) => {
-  expect(resolutions.resolutionOf(capacity)).toBe(expected);
+  expect(resolution.resolutionOf(capacity)).toBe(expected);
 });
 
 test.each([
@@ -36,17 +36,17 @@
   ["still silent, with other numbers", { isSpeaking: false }, { isSpeaking: false, active: 9 }, 8, false],
   ["another memory", {}, { kvCapacity: 90_000 }, 64, true],
 ])("material or not: %s", (_name, told, now, capacity, expected) => {
-  expect(resolutions.deviation(report("a", told), report("a", now), capacity) >= 1).toBe(expected);
+  expect(resolution.deviation(report("a", told), report("a", now), capacity) >= 1).toBe(expected);
 });
 
 test("a report travels as its item says, kept tokens to a sixty-fourth", () => {
   for (const kvUsed of [0, 700, 800, 50_000, 100_000, 120_000]) {
     const sent = report("a", { active: 5, waiting: 2, kvUsed });
-    const back = resolutions.reportOf(sent.id, resolutions.bodyOf(sent));
-    expect(back).toEqual(resolutions.rounded(sent));
+    const back = resolution.reportOf(sent.id, resolution.bodyOf(sent));
+    expect(back).toEqual(resolution.rounded(sent));
     expect(Math.abs(back.kvUsed - Math.min(100_000, kvUsed))).toBeLessThanOrEqual(100_000 / 128 + 1);
   }
-  expect(resolutions.reportOf(types.small("a"), resolutions.bodyOf(report("a", { kvCapacity: 0 }))).kvUsed).toBe(0);
+  expect(resolution.reportOf(types.small("a"), resolution.bodyOf(report("a", { kvCapacity: 0 }))).kvUsed).toBe(0);
 });
 
 const CAPACITY_64 = { get: () => 64 };
@@ -96,8 +96,8 @@
 });
 
 test("a router's picture after differences equals the full reports within the quantum", async () => {
-  const system = new usages.System(["a", "b"], 20, 16, 1);
-  const router = new usages.Router(system, "a");
+  const system = new usage.System(["a", "b"], 20, 16, 1);
+  const router = new usage.Router(system, "a");
   for (let turn = 0; turn < 150; turn += 1) {
     await system.turn(router);
     const region = system.regions[0];
@@ -112,8 +112,8 @@
 }, 20_000);
 
 test("a router follows its own region, those it sends to, and no longer those it left", async () => {
-  const system = new usages.System(["a", "b", "c"], 4, 16, 1);
-  const router = new usages.Router(system, "a");
+  const system = new usage.System(["a", "b", "c"], 4, 16, 1);
+  const router = new usage.Router(system, "a");
   await system.turn(router);
   expect(router.cells()).toEqual(["cell:a"]);
   router.reader.sent("b");
@@ -122,7 +122,7 @@
   expect(router.cells()).toEqual(["cell:a", "cell:b", "cell:c"]);
   const runner = [...router.fleet.all()].find((item) => item.region === "b")!;
   expect(runner.kvCapacity).toBe(100_000);
-  for (let turn = 0; turn < interests.RETENTION_MS / usages.PERIOD_MS + 1; turn += 1) {
+  for (let turn = 0; turn < interest.RETENTION_MS / usage.PERIOD_MS + 1; turn += 1) {
     router.reader.sent("c");
     await system.turn(router);
   }
@@ -134,8 +134,8 @@
 }, 20_000);
 
 test("a region whose reports stand still fades at the router, and counts again whole when they come again", async () => {
-  const system = new usages.System(["a"], 4, 16, 1);
-  const router = new usages.Router(system, "a");
+  const system = new usage.System(["a"], 4, 16, 1);
+  const router = new usage.Router(system, "a");
   for (let turn = 0; turn < 5; turn += 1) await system.turn(router);
   const used = (): number => [...router.fleet.all()].reduce((sum, runner) => sum + runner.usage(), 0);
   const before = used();
@@ -163,11 +163,11 @@
 test("items are named by marks, by the id where two runners share a mark", () => {
   const made = new marks.Marks<types.RunnerId>((id) => (id === "c" ? 40 : 7));
   made.takeList([types.small("a"), types.small("b"), types.small("c")]);
-  expect(["a", "b", "c"].map((id) => publishers.keyOf(made, types.small(id)))).toEqual(["=a", "=b", "14"]);
+  expect(["a", "b", "c"].map((id) => publisher.keyOf(made, types.small(id)))).toEqual(["=a", "=b", "14"]);
 });
 
-async function bytesPerS(system: usages.System, region: string, alsoSent: readonly string[]): Promise<number> {
-  const router = new usages.Router(system, region);
+async function bytesPerS(system: usage.System, region: string, alsoSent: readonly string[]): Promise<number> {
+  const router = new usage.Router(system, region);
   const turns = 40;
   for (let turn = 0; turn < 10 + turns; turn += 1) {
     if (turn === 10) router.bytes();
@@ -181,10 +181,10 @@
     const truth = own.reports.find((item) => item.id === runner.id);
     if (!truth) continue;
     expect(runner.isSpeaking).toBe(truth.isSpeaking);
-    if (truth.isSpeaking && resolutions.deviation(report(runner.id, runner), truth, 64) >= 2) far += 1;
+    if (truth.isSpeaking && resolution.deviation(report(runner.id, runner), truth, 64) >= 2) far += 1;
   }
   expect(far).toBeLessThanOrEqual(own.reports.length * 0.02);
-  return (router.bytes() * 1000) / (turns * usages.PERIOD_MS);
+  return (router.bytes() * 1000) / (turns * usage.PERIOD_MS);
 }
 
 const THIRTEEN = Array.from({ length: 13 }, (_item, index) => `region-${index}`);
@@ -196,12 +196,12 @@
 ] as const)(
   "bytes a second to one router: %s",
   async (name, regions, perRegion, alsoSent, bound) => {
-    const system = new usages.System(regions, perRegion, 64, 2.7);
+    const system = new usage.System(regions, perRegion, 64, 2.7);
     const measured = await bytesPerS(system, regions[0], alsoSent);
     if (process.env["SHOW_BYTES"]) process.stdout.write(`${name}: ${Math.round(measured)} B/s\n`);
     expect(measured).toBeLessThan(bound);
     // With the signs that one of 96 routers of a control node is told, it stays within 2 KB a second.
-    expect(measured + relays.bytesPerS(96)).toBeLessThan(2000);
+    expect(measured + relay.bytesPerS(96)).toBeLessThan(2000);
     expect(measured).toBeGreaterThan(50);
   },
   60_000,
