--- a/src/batch/owner.ts
+++ b/src/batch/owner.ts
@@ -162,7 +162,7 @@
     this.isChanging = true;
     const outcome = await this.needs.register.order(registerStep(step), CHANGE_MS);
     this.isChanging = false;
-    if (outcome.isErr) log.count(`batch.change_${outcome.error.kind}`);
+    if (outcome.isErr) log.count(`batch.change_${outcome.error.code}`);
     return outcome.isOk ? tables.tableOf(outcome.value) : null;
   }
 }
--- a/src/batch/records.ts
+++ b/src/batch/records.ts
@@ -3,6 +3,7 @@
  * a batch, so that a dropped batch frees its bytes. Used by this node alone; `replicas.ts` spreads records over the core.
  */
 import type * as schema from "../wire/batch-schema.js";
+import * as errors from "../runtime/errors.js";
 import * as log from "../runtime/log.js";
 import type * as files from "../store/files.js";
 import type * as types from "../wire/types.js";
@@ -44,7 +45,7 @@
       return true;
     } catch (cause) {
       log.count("batch.record_refused");
-      log.state(`batch: a record was not written: ${(cause as Error).message}`);
+      log.state(`batch: a record was not written: ${errors.messageOf(cause)}`);
       return false;
     }
   }
--- a/src/batch/steps.ts
+++ b/src/batch/steps.ts
@@ -84,7 +84,7 @@
 }
 
 function sameKey(key: string): Outcome {
-  return result.err(errors.fail("invalid", `key: another batch was submitted as ${key}`, "choose a key that was not used before"));
+  return result.err(new errors.InvalidRequestError(`key: another batch was submitted as ${key}`, "choose a key that was not used before"));
 }
 
 function sumBytes(batches: readonly schema.Batch[]): number {
@@ -96,7 +96,9 @@
 /** The batches that stay beside a new one: ended ones give way, the oldest first; open ones never do. */
 function withRoomFor(table: schema.BatchTable, bytes: number): result.Result<schema.Batch[], errors.CranewindError> {
   if (tables.openBatches(table).length >= bounds.MAX_OPEN) {
-    return result.err(errors.fail("full", `${bounds.MAX_OPEN} batches are open, which is the bound`, "wait until one ends, or cancel one"));
+    return result.err(
+      new errors.CapacityExceededError(`${bounds.MAX_OPEN} batches are open, which is the bound`, "wait until one ends, or cancel one"),
+    );
   }
   const kept = [...table.batches];
   while (kept.length >= bounds.MAX_BATCHES || sumBytes(kept) + bytes > bounds.MAX_BYTES) {
@@ -109,13 +111,13 @@
 
 function noBytes(bytes: number): errors.CranewindError {
   const message = `${bytes} bytes for it and its results would pass the bound of ${bounds.MAX_BYTES} for all batches`;
-  return errors.fail("full", message, "send fewer items, wait until a batch ends, or cancel one");
+  return new errors.CapacityExceededError(message, "send fewer items, wait until a batch ends, or cancel one");
 }
 
 /** Waiting items are never sent; those at work end as they do. An ended batch stays as it is. */
 export function cancel(table: schema.BatchTable, number: number): Outcome {
   const batch = tables.findNumber(table, number);
-  if (!batch) return result.err(errors.fail("not_found", `there is no batch ${number}`, "cranewind batch list shows all"));
+  if (!batch) return result.err(new errors.NotFoundError(`there is no batch ${number}`, "cranewind batch list shows all"));
   if (batch.isCancelled || !tables.isOpen(batch)) return result.ok(table);
   let packed = batch.items;
   for (const index of items.indexesOf(batch.items, "waiting"))
@@ -132,7 +134,9 @@
 /** Applies what the owner did; an owner whose term is over is told so, and nothing changes. */
 export function advance(table: schema.BatchTable, owner: string, change: OwnerChange): Outcome {
   if (table.term !== change.term || table.owner !== owner) {
-    return result.err(errors.fail("race", "another control node owns the batches now", "nothing is to be done: it goes on with them"));
+    return result.err(
+      new errors.RevisionConflictError("another control node owns the batches now", "nothing is to be done: it goes on with them"),
+    );
   }
   const clockMs = table.clockMs + Math.max(0, change.elapsedMs);
   let next: schema.BatchTable = { ...table, clockMs };
--- a/src/cli/batch.ts
+++ b/src/cli/batch.ts
@@ -69,7 +69,7 @@
 function numberOf(text: string): number | errors.CranewindError {
   const number = Number(text);
   if (Number.isSafeInteger(number) && number > 0) return number;
-  return errors.fail("usage", `${text} is no number of a batch`, "cranewind batch list shows all");
+  return new errors.UsageError(`${text} is no number of a batch`, "cranewind batch list shows all");
 }
 
 function withNumber(shell: Shell, text: string, run: (number: number) => Promise<number>): Promise<number> {
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -56,17 +56,18 @@
   for (const address of addresses) {
     const response = await sendFollowingRedirects(world, address, request);
     if (!response) {
-      lastError = errors.fail("timeout", `${address} does not reply`, "check that a node runs there, or name another with --control");
+      lastError = new errors.TimeoutError(`${address} does not reply`, "check that a node runs there, or name another with --control");
       continue;
     }
     const json = parse(response.body);
     if (response.status < 300) return result.ok({ status: response.status, json });
     // The node's own message names the remedy already.
     const message = messageOf(json) ?? `${address} replied ${response.status}; see its log`;
-    if (response.status < 500) return result.err(errors.fail(response.status === 412 ? "race" : "invalid", message, ""));
-    lastError = errors.fail("no_majority", message, "");
+    if (response.status === 412) return result.err(new errors.RevisionConflictError(message, ""));
+    if (response.status < 500) return result.err(new errors.InvalidRequestError(message, ""));
+    lastError = new errors.NoQuorumError(message, "");
   }
-  return result.err(lastError ?? errors.fail("usage", "no address was given", "name one with --control HOST:PORT"));
+  return result.err(lastError ?? new errors.UsageError("no address was given", "name one with --control HOST:PORT"));
 }
 
 function parse(body: Buffer): unknown {
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -27,9 +27,9 @@
 }
 
 function exitCodeOf(error: errors.CranewindError): number {
-  if (error.kind === "timeout" || error.kind === "no_majority") return EXIT.unreachable;
-  if (error.kind === "startup") return EXIT.startup;
-  return error.kind === "usage" ? EXIT.usage : EXIT.denied;
+  if (error.code === "timeout" || error.code === "no_majority") return EXIT.unreachable;
+  if (error.code === "startup") return EXIT.startup;
+  return error.code === "usage" ? EXIT.usage : EXIT.denied;
 }
 
 /** Prints the error's one line; its exit code. */
@@ -43,7 +43,7 @@
   try {
     return fs.readFileSync(file);
   } catch (cause) {
-    return errors.fail("usage", `cannot read ${file}: ${(cause as Error).message}`, "name a readable file");
+    return new errors.UsageError(`cannot read ${file}: ${errors.messageOf(cause)}`, "name a readable file", { cause });
   }
 }
 
@@ -113,7 +113,7 @@
   isUpdate: boolean,
 ): Promise<number> {
   if (!/^\d+$/.test(base))
-    return reportFailure(output, errors.fail("usage", `--base ${base} is no revision`, "give the revision it builds on, 0 for the first"));
+    return reportFailure(output, new errors.UsageError(`--base ${base} is no revision`, "give the revision it builds on, 0 for the first"));
   const body = readFile(file);
   if (body instanceof Error) return reportFailure(output, body);
   const parsed = isUpdate ? check.parseJson(body) : check.parseJson(body).andThen(check.check);
@@ -129,7 +129,7 @@
 /** Starts or stops the evacuation of a zone; any other verb is wrong use. */
 export async function evacuate(world: types.Clock, output: Output, controls: string[], verb: string, zone: string): Promise<number> {
   const call = verb === "start" ? "Start" : verb === "stop" ? "Stop" : null;
-  if (!call) return reportFailure(output, errors.fail("usage", `evacuate ${verb} is no order`, "use start or stop"));
+  if (!call) return reportFailure(output, new errors.UsageError(`evacuate ${verb} is no order`, "use start or stop"));
   const outcome = await client.send(world, controls, { method: "POST", path: `/-/Evacuations.${call}/${encodeURIComponent(zone)}` });
   if (outcome.isErr) return reportFailure(output, outcome.error);
   const { evacuations } = outcome.value.json as { evacuations: string[] };
--- a/src/config/change.ts
+++ b/src/config/change.ts
@@ -26,8 +26,7 @@
 
 function lostRace(base: number, value: schema.Value): Made {
   return result.err(
-    errors.fail(
-      "race",
+    new errors.RevisionConflictError(
       `revision ${value.revision} is in place, not ${base}`,
       "read the current configuration with Config.Describe and build on it",
     ),
@@ -36,8 +35,7 @@
 
 function forgotten(base: number): Made {
   return result.err(
-    errors.fail(
-      "forgotten",
+    new errors.UnknownOutcomeError(
       `base ${base} is older than all changes that are remembered: whether this one was taken is not known`,
       "read the current configuration with Config.Describe",
     ),
@@ -49,8 +47,7 @@
   const text = Buffer.from(JSON.stringify(document));
   if (text.length <= MAX_DOCUMENT_BYTES) return result.ok(registers.packText(text));
   return result.err(
-    errors.fail(
-      "too_large",
+    new errors.PayloadTooLargeError(
       `the configuration comes to ${text.length} bytes, the bound is ${MAX_DOCUMENT_BYTES}`,
       "remove routes or services, or send shorter ones",
     ),
--- a/src/config/check.ts
+++ b/src/config/check.ts
@@ -98,7 +98,7 @@
 
 /** An error of kind `invalid` that names the field, what is wrong with it, and the remedy. */
 export function invalid<T>(field: string, what: string, remedy: string): Checked<T> {
-  return result.err(errors.fail("invalid", `${field}: ${what}`, remedy));
+  return result.err(new errors.InvalidRequestError(`${field}: ${what}`, remedy));
 }
 
 /** The value of UTF-8 JSON, or an error. */
--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -53,13 +53,13 @@
     if (method === "GET" && call === "Status") return this.withNumber(argument, (number) => this.status(number));
     if (method === "GET" && call === "Results") return this.withNumber(argument, (number) => this.results(number, asked.query));
     if (method === "GET" && call === "List") return this.list();
-    return serve.errorReply(errors.fail("not_found", `no call ${method} ${path}`, "see docs/batch.md for the calls"));
+    return serve.errorReply(new errors.NotFoundError(`no call ${method} ${path}`, "see docs/batch.md for the calls"));
   }
 
   private withNumber(argument: string | undefined, run: (number: number) => Promise<serve.Told>): Promise<serve.Told> | serve.Told {
     const number = Number(argument);
     if (Number.isSafeInteger(number) && number > 0) return run(number);
-    return serve.errorReply(errors.fail("usage", `${argument ?? "nothing"} is no number of a batch`, "cranewind batch list shows all"));
+    return serve.errorReply(new errors.UsageError(`${argument ?? "nothing"} is no number of a batch`, "cranewind batch list shows all"));
   }
 
   /** What is known of the table here; it may lag behind by a moment. */
@@ -81,10 +81,9 @@
     const { view } = this.needs;
     const service = view.serviceOf(outline.route);
     if (service === null)
-      return errors.fail("invalid", `route: there is no route ${outline.route}`, "name a route of the configuration in force");
+      return new errors.InvalidRequestError(`route: there is no route ${outline.route}`, "name a route of the configuration in force");
     if (view.roomsOf(outline, service).length > 0) return null;
-    return errors.fail(
-      "not_ready",
+    return new errors.NotReadyError(
       `no runner of ${service} reports in a region that is allowed`,
       "check homes, evacuations and the runners",
     );
@@ -121,7 +120,7 @@
     if (!(await this.needs.replicas.put({ digest, ...records.SUBMISSION }, body))) return serve.errorReply(notDurable());
     const step = owners.registerStep((table) => steps.submit(table, this.order(submission, body, digest, quote)));
     const outcome = await this.needs.register.order(step, CHANGE_MS);
-    log.count(outcome.isOk ? "batch.submitted" : `batch.submit_${outcome.error.kind}`);
+    log.count(outcome.isOk ? "batch.submitted" : `batch.submit_${outcome.error.code}`);
     if (outcome.isErr) return serve.errorReply(outcome.error);
     const table = tables.tableOf(outcome.value);
     const taken = tables.findKey(table, submission.key)!;
@@ -177,7 +176,7 @@
   private async results(number: number, query: URLSearchParams): Promise<serve.Told> {
     const from = Number(query.get("from") ?? 0);
     if (!Number.isSafeInteger(from) || from < 0)
-      return serve.errorReply(errors.fail("usage", `from=${query.get("from")}`, "give the index of an item"));
+      return serve.errorReply(new errors.UsageError(`from=${query.get("from")}`, "give the index of an item"));
     const read = await this.read();
     if (read.isErr) return serve.errorReply(read.error);
     const batch = tables.findNumber(read.value, number);
@@ -202,15 +201,15 @@
 }
 
 function notDurable(): Denied {
-  return errors.fail("no_majority", "the batch could not be stored at a majority of the core", "send the call again, to any control node");
+  return new errors.NoQuorumError("the batch could not be stored at a majority of the core", "send the call again, to any control node");
 }
 
 function noBatch(number: number): Denied {
-  return errors.fail("not_found", `there is no batch ${number}`, "cranewind batch list shows all");
+  return new errors.NotFoundError(`there is no batch ${number}`, "cranewind batch list shows all");
 }
 
 function unread(number: number): Denied {
-  return errors.fail("no_majority", `batch ${number} can't be read from any node in touch`, "send the call again, to any control node");
+  return new errors.NoQuorumError(`batch ${number} can't be read from any node in touch`, "send the call again, to any control node");
 }
 
 function projectedOf(quote: quotes.Quote): batchSchema.Projection | null {
@@ -240,5 +239,5 @@
 
 /** What control nodes with the setting `batches` off reply. */
 export function off(): serve.Told {
-  return serve.errorReply(errors.fail("not_found", "batches are off on this node", "set batches=on in the settings of all control nodes"));
+  return serve.errorReply(new errors.NotFoundError("batches are off on this node", "set batches=on in the settings of all control nodes"));
 }
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -10,6 +10,7 @@
 import type * as worklist from "../../batch/worklist.js";
 import type * as dialer from "../../feed/dialer.js";
 import type * as feeds from "../../feed/feed.js";
+import * as errors from "../../runtime/errors.js";
 import * as log from "../../runtime/log.js";
 import type * as tree from "../../supervisor/tree.js";
 import type * as settings from "../../settings/settings.js";
@@ -195,7 +196,7 @@
       this.hasRecords = true;
     } catch (cause) {
       log.count("batch.records_refused");
-      log.state(`batch: the records can't be opened: ${(cause as Error).message}`);
+      log.state(`batch: the records can't be opened: ${errors.messageOf(cause)}`);
       this.world.schedule(OPEN_AGAIN_MS, () => void this.openRecords());
     }
   }
--- a/src/control/operator/operator.ts
+++ b/src/control/operator/operator.ts
@@ -38,12 +38,12 @@
     if (method === "POST" && path.startsWith(operatorPaths.STOP_EVACUATION)) return this.evacuate(path, false);
     if (path.startsWith(batchCalls.PREFIX)) return this.batches?.reply(asked) ?? batchCalls.off();
     if (method === "GET" && path === "/-/status") return { status: 200, json: this.status() };
-    return serve.errorReply(errors.fail("not_found", `no call ${method} ${path}`, "see docs/operating.md for the calls"));
+    return serve.errorReply(new errors.NotFoundError(`no call ${method} ${path}`, "see docs/operating.md for the calls"));
   }
 
   private async run(step: proposers.Step, told: (value: schema.Value) => unknown): Promise<serve.Told> {
     const outcome = await this.register.order(step, CHANGE_MS);
-    log.count(outcome.isOk ? "operator.taken" : `operator.${outcome.error.kind}`);
+    log.count(outcome.isOk ? "operator.taken" : `operator.${outcome.error.code}`);
     return outcome.isOk ? { status: 200, json: told(outcome.value) } : serve.errorReply(outcome.error);
   }
 
@@ -60,14 +60,14 @@
     if (outcome.isErr) return serve.errorReply(outcome.error);
     const document = registers.unpack(outcome.value.config);
     if (document === null)
-      return serve.errorReply(errors.fail("not_found", "no configuration has been taken yet", "send Config.Replace with base version 0"));
+      return serve.errorReply(new errors.NotFoundError("no configuration has been taken yet", "send Config.Replace with base version 0"));
     return { status: 200, json: document };
   }
 
   private evacuate(path: string, isStart: boolean): Promise<serve.Told> | serve.Told {
     const zone = decodeURIComponent(path.slice(path.lastIndexOf("/") + 1));
     if (!this.zones.has(zone))
-      return serve.errorReply(errors.fail("not_found", `no zone ${zone}`, "name one of the zones of the settings"));
+      return serve.errorReply(new errors.NotFoundError(`no zone ${zone}`, "name one of the zones of the settings"));
     function step(value: schema.Value): ReturnType<proposers.Step> {
       return result.ok(registers.withEvacuation(value, zone, isStart));
     }
--- a/src/experiment/command.ts
+++ b/src/experiment/command.ts
@@ -52,7 +52,7 @@
 
 function denied(output: commands.Output, error: errors.CranewindError): number {
   output.failure(error.message);
-  return error.kind === "usage" ? commands.EXIT.usage : commands.EXIT.denied;
+  return error.code === "usage" ? commands.EXIT.usage : commands.EXIT.denied;
 }
 
 async function play(world: types.Clock, output: commands.Output, places: readonly sweep.SweepPoint[], raw: Raw): Promise<number> {
@@ -80,7 +80,10 @@
   try {
     bytes = fs.readFileSync(file);
   } catch (cause) {
-    return denied(output, errors.fail("usage", `cannot read ${file}: ${(cause as Error).message}`, "name a readable plan with --plan"));
+    return denied(
+      output,
+      new errors.UsageError(`cannot read ${file}: ${errors.messageOf(cause)}`, "name a readable plan with --plan", { cause }),
+    );
   }
   const places = check.parseJson(bytes).andThen(sweep.pointsOf);
   if (places.isErr) return denied(output, places.error);
@@ -91,7 +94,7 @@
 function runTable(output: commands.Output, raw: Raw, file: string, make: (times: number) => readonly object[]): number {
   const times = Number(raw["times"]);
   if (!Number.isInteger(times) || times < MIN_TIMES || times > MAX_TIMES) {
-    return denied(output, errors.fail("usage", `times ${String(raw["times"])} is out of range`, `give ${MIN_TIMES} to ${MAX_TIMES}`));
+    return denied(output, new errors.UsageError(`times ${String(raw["times"])} is out of range`, `give ${MIN_TIMES} to ${MAX_TIMES}`));
   }
   const out = String(raw["out"]);
   fs.mkdirSync(out, { recursive: true });
--- a/src/experiment/launcher.ts
+++ b/src/experiment/launcher.ts
@@ -37,11 +37,11 @@
     const item = this.pending.get(id);
     this.pending.delete(id);
     if (failure === "") item?.resolve(response);
-    else item?.reject(errors.fail("usage", `${this.name}: ${failure}`, REMEDY));
+    else item?.reject(new errors.UsageError(`${this.name}: ${failure}`, REMEDY));
   }
 
   private hasEndedError(): Error {
-    return errors.fail("usage", `${this.name} has ended`, REMEDY);
+    return new errors.UsageError(`${this.name} has ended`, REMEDY);
   }
 
   private onExit(): void {
--- a/src/experiment/options.ts
+++ b/src/experiment/options.ts
@@ -72,7 +72,7 @@
 type Checked<T> = result.Result<T, errors.CranewindError>;
 
 function usage<T>(message: string, remedy: string): Checked<T> {
-  return result.err(errors.fail("usage", message, remedy));
+  return result.err(new errors.UsageError(message, remedy));
 }
 
 /** Checks shape and ranges; the error names the field and the range. */
--- a/src/experiment/run.ts
+++ b/src/experiment/run.ts
@@ -121,8 +121,7 @@
     const startedMs = this.world.now();
     while (!(await isSo())) {
       if (this.world.now() - startedMs > withinMs) {
-        throw errors.fail(
-          "timeout",
+        throw new errors.TimeoutError(
           `not so within ${withinMs / 1000} s: ${what}`,
           "give fewer nodes or wait until the machine is less busy",
         );
@@ -170,7 +169,7 @@
     const readings: window.Reading[] = [];
     for (const index of this.controls.keys()) {
       const status = await this.statusOf(index);
-      if (!status) throw errors.fail("timeout", `${this.layout.controlName(index)} tells no status`, `read its log in ${this.folder}`);
+      if (!status) throw new errors.TimeoutError(`${this.layout.controlName(index)} tells no status`, `read its log in ${this.folder}`);
       readings.push({
         atMs: clock.machineMs(),
         vitals: status.vitals,
--- a/src/experiment/sweep.ts
+++ b/src/experiment/sweep.ts
@@ -43,8 +43,7 @@
   const [failure, plan] = superstruct.validate(raw, shape);
   if (failure)
     return result.err(
-      errors.fail(
-        "usage",
+      new errors.UsageError(
         `plan field ${failure.path.join(".") || "the file"}: ${failure.message}`,
         "see docs/experiment.md for the plan's fields",
       ),
@@ -112,14 +111,14 @@
       const one = await playOne(point, environment, `${index + 1}/${all.length}`);
       for (const field of ["nodes", "links", "changes", "losses"] as const) (outcome[field] as unknown[]).push(...one[field]);
     } catch (cause) {
-      failures.push(`${point.sweep} at ${point.field} ${point.options[point.field]}: ${(cause as Error).message}`);
+      failures.push(`${point.sweep} at ${point.field} ${point.options[point.field]}: ${errors.messageOf(cause)}`);
       environment.progress(`failed: ${failures[failures.length - 1]}`);
     }
     write(all, outcome, environment.out);
   }
   if (environment.hasPlots) await draw(all, outcome, environment.out);
   if (failures.length === 0) return null;
-  return errors.fail("timeout", `${failures.length} of ${all.length} runs failed: ${failures.join(" | ")}`, "");
+  return new errors.TimeoutError(`${failures.length} of ${all.length} runs failed: ${failures.join(" | ")}`, "");
 }
 
 function fieldsOf(all: readonly SweepPoint[]): Map<string, SweepPoint["field"]> {
--- a/src/metrics/prometheus.ts
+++ b/src/metrics/prometheus.ts
@@ -26,7 +26,7 @@
   const found = /^(\d{1,5})(\/\S+)$/.exec(text);
   const port = Number(found?.[1]);
   if (found && port >= 1 && port <= MAX_PORT) return result.ok({ port, path: found[2] });
-  return result.err(errors.fail("usage", `--metrics ${text} is no PORT/PATH`, "write it like 9464/metrics"));
+  return result.err(new errors.UsageError(`--metrics ${text} is no PORT/PATH`, "write it like 9464/metrics"));
 }
 
 /** Counter names with dots become names that the format allows. */
--- a/src/plots/plot.ts
+++ b/src/plots/plot.ts
@@ -61,7 +61,7 @@
   try {
     return { drawing: await import("vega"), compiling: await import("vega-lite") };
   } catch {
-    throw errors.fail("usage", "the plotting library is not there", "run npm ci with development dependencies, or give --no-plots");
+    throw new errors.UsageError("the plotting library is not there", "run npm ci with development dependencies, or give --no-plots");
   }
 }
 
--- a/src/register/batch.ts
+++ b/src/register/batch.ts
@@ -153,11 +153,11 @@
 }
 
 function noMajority(): proposers.Outcome {
-  return result.err(errors.fail("no_majority", "no majority of the core replied in time", "send the call again, to any control node"));
+  return result.err(new errors.NoQuorumError("no majority of the core replied in time", "send the call again, to any control node"));
 }
 
 function failed(cause: unknown): proposers.Outcome {
   return result.err(
-    errors.fail("no_majority", `the change failed: ${(cause as Error).message}`, "send the call again, to any control node"),
+    new errors.NoQuorumError(`the change failed: ${errors.messageOf(cause)}`, "send the call again, to any control node", { cause }),
   );
 }
--- a/src/register/proposer.ts
+++ b/src/register/proposer.ts
@@ -106,7 +106,7 @@
       const isKeptApart = isPatient() && this.contention.isActive();
       pause = Math.min(isKeptApart ? MAX_CONTENDED_PAUSE_MS : MAX_PAUSE_MS, pause * 2);
     }
-    return result.err(errors.fail("no_majority", "no majority of the core replied in time", "send the call again, to any control node"));
+    return result.err(new errors.NoQuorumError("no majority of the core replied in time", "send the call again, to any control node"));
   }
 
   /** Null: not decided in this round, which is run again with a higher ballot. */
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -110,7 +110,7 @@
     if (bare === "" || bare.startsWith("#")) continue;
     const equals = bare.indexOf("=");
     if (equals <= 0) {
-      return result.err(errors.fail("startup", `settings line ${index + 1} is not key=value`, "write it as a.b=value"));
+      return result.err(new errors.StartupError(`settings line ${index + 1} is not key=value`, "write it as a.b=value"));
     }
     const key = bare.slice(0, equals).trim();
     if (key.includes("__proto__")) continue;
@@ -120,7 +120,7 @@
   if (failure) {
     const field = failure.path.join(".") || "the file";
     return result.err(
-      errors.fail("startup", `settings field ${field}: ${failure.message}`, `set ${field} to what docs/operating.md names`),
+      new errors.StartupError(`settings field ${field}: ${failure.message}`, `set ${field} to what docs/operating.md names`),
     );
   }
   return result.ok(settings);
@@ -145,7 +145,9 @@
     return parse(fs.readFileSync(path, "utf8"));
   } catch (cause) {
     return result.err(
-      errors.fail("startup", `cannot read settings ${path}: ${(cause as Error).message}`, "point CRANEWIND_NODE_FILE at a readable file"),
+      new errors.StartupError(`cannot read settings ${path}: ${errors.messageOf(cause)}`, "point CRANEWIND_NODE_FILE at a readable file", {
+        cause,
+      }),
     );
   }
 }
--- a/src/store/files.ts
+++ b/src/store/files.ts
@@ -136,7 +136,7 @@
   while (done < bytes.length) {
     const written = await file.write(bytes.subarray(done), position + done);
     if (written <= 0)
-      throw errors.fail("store", `a write stopped after ${done} of ${bytes.length} bytes`, "free space on the disk of data_dir");
+      throw new errors.StorageError(`a write stopped after ${done} of ${bytes.length} bytes`, "free space on the disk of data_dir");
     done += written;
   }
 }
--- a/src/store/format.ts
+++ b/src/store/format.ts
@@ -124,8 +124,7 @@
 }
 
 function unknownVersion(version: string): errors.CranewindError {
-  return errors.fail(
-    "store",
+  return new errors.StorageError(
     `the files of data_dir have the format version ${version}, this release reads ${FORMAT_VERSION}`,
     "start the release that wrote them, or empty data_dir: this node then takes a new identity",
   );
--- a/src/store/inspection.ts
+++ b/src/store/inspection.ts
@@ -102,8 +102,7 @@
 }
 
 function unknownLayout(): errors.CranewindError {
-  return errors.fail(
-    "store",
+  return new errors.StorageError(
     "the voter's record in data_dir has the layout of another release",
     "start the release that wrote it, or empty data_dir: this node then takes a new identity",
   );
--- a/src/store/owner.ts
+++ b/src/store/owner.ts
@@ -88,5 +88,8 @@
 }
 
 function inUse(name: string, pid: number): errors.CranewindError {
-  return errors.fail("store", `data_dir ${name} is in use by process ${pid}`, "stop that process, or give this node a data_dir of its own");
+  return new errors.StorageError(
+    `data_dir ${name} is in use by process ${pid}`,
+    "stop that process, or give this node a data_dir of its own",
+  );
 }
--- a/src/tallies/calls.ts
+++ b/src/tallies/calls.ts
@@ -31,7 +31,7 @@
     if (method === "POST" && path.startsWith(UPDATE)) return this.update(path.slice(UPDATE.length), asked.body);
     if (method === "GET" && path.startsWith(DESCRIBE)) return this.describe(path.slice(DESCRIBE.length));
     if (method === "GET" && path === LIST) return this.list();
-    return denied(404, errors.fail("not_found", `no call ${method} ${path}`, "see docs/tallies.md for the calls"));
+    return denied(404, new errors.NotFoundError(`no call ${method} ${path}`, "see docs/tallies.md for the calls"));
   }
 
   private async update(encoded: string, body: Buffer): Promise<serve.Told> {
@@ -60,10 +60,10 @@
 
 const ANSWERS: { readonly [Outcome in tallies.Added]: () => serve.Told } = {
   added: () => ({ status: 200, json: {} }),
-  conflict: () => denied(409, errors.fail("invalid", "this instance_id was added with another amount", "send a new instance_id")),
+  conflict: () => denied(409, new errors.InvalidRequestError("this instance_id was added with another amount", "send a new instance_id")),
   busy: () => retryLater(503, SOON_S, "too few other control nodes are in reach to keep an add; nothing was done"),
   full: () => retryLater(429, FULL_S, "too many adds wait for control nodes that are cut off; nothing was done"),
-  unknown: () => denied(504, errors.fail("timeout", "not enough disks hold the add yet", "send it again with the same instance_id")),
+  unknown: () => denied(504, new errors.TimeoutError("not enough disks hold the add yet", "send it again with the same instance_id")),
 };
 
 function notReady(): serve.Told {
--- a/src/tallies/frame.ts
+++ b/src/tallies/frame.ts
@@ -65,8 +65,7 @@
 }
 
 function unknownVersion(version: number): errors.CranewindError {
-  return errors.fail(
-    "store",
+  return new errors.StorageError(
     `the tallies in data_dir have the format version ${version}, this release reads ${VERSION}`,
     "start the release that wrote them, or empty data_dir: this node then takes the tallies from the others",
   );
--- a/src/tallies/request.ts
+++ b/src/tallies/request.ts
@@ -26,7 +26,7 @@
   } catch {
     // Said below, as of any other bad name.
   }
-  return result.err(errors.fail("invalid", "the tally's name", `give 1 to ${MAX_NAME} printable characters, percent-encoded`));
+  return result.err(new errors.InvalidRequestError("the tally's name", `give 1 to ${MAX_NAME} printable characters, percent-encoded`));
 }
 
 /** The body of an add. */
@@ -35,11 +35,11 @@
   try {
     document = JSON.parse(bytes.toString("utf8"));
   } catch {
-    return result.err(errors.fail("invalid", "the body is no JSON", 'send {"instance_id":"...","actor":1}'));
+    return result.err(new errors.InvalidRequestError("the body is no JSON", 'send {"instance_id":"...","actor":1}'));
   }
   const [failure, asked] = superstruct.validate(document, body);
   if (!failure) return result.ok({ id: asked.instance_id, amount: asked.actor });
   const field = failure.path.join(".") || "the body";
   const remedy = `send instance_id as 1 to ${MAX_NAME} printable characters, and actor as a whole number up to ${MAX_AMOUNT}`;
-  return result.err(errors.fail("invalid", `${field} is not right`, remedy));
+  return result.err(new errors.InvalidRequestError(`${field} is not right`, remedy));
 }
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -168,7 +168,7 @@
 
   private garbled(what: string): void {
     log.count("link.garbled");
-    this.end(errors.fail("link", what, "run the same release on both ends").message);
+    this.end(new errors.ConnectionError(what, "run the same release on both ends").message);
   }
 
   private take(kind: number, code: number, id: number, body: Buffer): void {
@@ -214,7 +214,7 @@
       if (kind === CALL && reply !== null) this.write(REPLY, pair.code, id, pair.reply.toBuffer(reply));
     } catch (cause) {
       log.count("link.handler_failed");
-      log.state(`${pair.name} failed: ${(cause as Error).message}`);
+      log.state(`${pair.name} failed: ${errors.messageOf(cause)}`);
     }
   }
 }
--- a/src/wire/release.ts
+++ b/src/wire/release.ts
@@ -90,7 +90,7 @@
 
   private end(counter: string, what: string, remedy: string): void {
     this.stop();
-    const { message } = errors.fail("link", what, remedy);
+    const { message } = new errors.ConnectionError(what, remedy);
     log.count(counter);
     if (told.get(this.host) !== message) log.state(`link: denied: ${message}`);
     if (told.size >= MAX_TOLD) told.clear();
--- a/src/wire/serve.ts
+++ b/src/wire/serve.ts
@@ -23,7 +23,7 @@
   json: unknown;
 }
 
-const STATUS = new Map<errors.Kind, number>([
+const STATUS = new Map<errors.ErrorCode, number>([
   ["invalid", 400],
   ["race", 412],
   ["forgotten", 503],
@@ -38,7 +38,7 @@
 
 /** The response that an error becomes: a 4xx for what a majority refused, 503 while nothing is decided. */
 export function errorReply(error: errors.CranewindError): Told {
-  const status = STATUS.get(error.kind) ?? 500;
+  const status = STATUS.get(error.code) ?? 500;
   const headers = status === 503 ? { "Retry-After": "0.3" } : undefined;
   return { status, headers, json: { message: error.message } };
 }
--- a/tests/batch.test.ts
+++ b/tests/batch.test.ts
@@ -42,14 +42,14 @@
 function only(zone: string): proposers.Step {
   return (value) =>
     value.evacuations.includes(zone)
-      ? result.err(errors.fail("race", `${zone} is evacuated`, "read again"))
+      ? result.err(new errors.RevisionConflictError(`${zone} is evacuated`, "read again"))
       : result.ok(registers.withEvacuation(value, zone, true));
 }
 
 function told(promise: Promise<proposers.Outcome>): { outcome: string } {
   const seen = { outcome: "waiting" };
   void promise.then(
-    (outcome) => (seen.outcome = outcome.isOk ? outcome.value.evacuations.join() : outcome.error.kind),
+    (outcome) => (seen.outcome = outcome.isOk ? outcome.value.evacuations.join() : outcome.error.code),
     (cause: Error) => (seen.outcome = `threw ${cause.message}`),
   );
   return seen;
@@ -120,7 +120,7 @@
   const late = told(queue.change(start("c"), 2000));
   await clock.play(1500);
   expect(long.outcome).toBe("no_majority");
-  register.end(result.err(errors.fail("no_majority", "none", "again")));
+  register.end(result.err(new errors.NoQuorumError("none", "again")));
   await sim.settle();
   expect([late.outcome, register.steps.length]).toEqual(["waiting", 2]);
 });
--- a/tests/batches/history.ts
+++ b/tests/batches/history.ts
@@ -146,7 +146,7 @@
     if (outcome?.isOk) this.choose(outcome.value);
     await this.wait(5 + 60 * this.clock.random(), world);
     if (outcome?.isOk && outcome.value.epoch > this.views.get(name)!.epoch) this.views.set(name, outcome.value);
-    if (!outcome || this.chance(0.05)) return result.err(errors.fail("no_majority", "silence", ""));
+    if (!outcome || this.chance(0.05)) return result.err(new errors.NoQuorumError("silence", ""));
     return outcome;
   }
 
--- a/tests/batches/steps.test.ts
+++ b/tests/batches/steps.test.ts
@@ -17,7 +17,7 @@
 }
 
 function kindOf(outcome: steps.Outcome): string {
-  return outcome.isErr ? outcome.error.kind : "taken";
+  return outcome.isErr ? outcome.error.code : "taken";
 }
 
 function made(...submissions: steps.Submission[]): schema.BatchTable {
--- a/tests/batches/system.test.ts
+++ b/tests/batches/system.test.ts
@@ -55,7 +55,7 @@
   const bytes = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
   const outcome = await client.send(clock, [addressOf(index), addressOf((index + 1) % 3)], { method, path: target, headers, body: bytes });
   if (outcome.isOk) return { status: outcome.value.status, json: outcome.value.json as Record<string, unknown> };
-  return { status: 0, json: { kind: outcome.error.kind, message: outcome.error.message } };
+  return { status: 0, json: { kind: outcome.error.code, message: outcome.error.message } };
 }
 
 function batch(key: string, count: number, route = "stream"): unknown {
--- a/tests/config.test.ts
+++ b/tests/config.test.ts
@@ -79,7 +79,7 @@
 
 function kindOf(order: Order, value: schema.Value): string {
   const outcome = play(order, value);
-  return outcome.isOk ? `revision ${outcome.value.revision}` : outcome.error.kind;
+  return outcome.isOk ? `revision ${outcome.value.revision}` : outcome.error.code;
 }
 
 function replace(base: number, document: Doc): Order {
--- a/tests/model/exhaustive/scope.ts
+++ b/tests/model/exhaustive/scope.ts
@@ -24,7 +24,7 @@
 export function order(name: string, revision: number): bounds.Call {
   function step(read: schema.Value): proposers.Outcome {
     if (registers.findOrder(read, 0, name) === "taken") return result.ok(read);
-    if (read.revision !== 0) return result.err(errors.fail("race", "another revision", "read again"));
+    if (read.revision !== 0) return result.err(new errors.RevisionConflictError("another revision", "read again"));
     return result.ok(registers.withConfig(read, revision, Buffer.alloc(0), name));
   }
   return { name, base: 0, step };
--- a/tests/model/mutations.ts
+++ b/tests/model/mutations.ts
@@ -120,8 +120,8 @@
     if (this.missing !== "forget_orders") return step;
     return function forgetting(read) {
       const outcome = step({ ...read, taken: Buffer.alloc(0) });
-      const isForgotten = outcome.isErr && outcome.error.kind === "forgotten";
-      return isForgotten ? result.err(errors.fail("race", "another revision", "read again")) : outcome;
+      const isForgotten = outcome.isErr && outcome.error.code === "forgotten";
+      return isForgotten ? result.err(new errors.RevisionConflictError("another revision", "read again")) : outcome;
     };
   }
 
--- a/tests/model/operators.ts
+++ b/tests/model/operators.ts
@@ -70,7 +70,7 @@
     if (outcome.isOk) {
       sending.reply = "confirmed";
       this.know(revision);
-    } else if (outcome.error.kind === "race" || outcome.error.kind === "invalid") sending.reply = "refused";
+    } else if (outcome.error.code === "race" || outcome.error.code === "invalid") sending.reply = "refused";
     return sending;
   }
 
--- a/tests/register-faults.test.ts
+++ b/tests/register-faults.test.ts
@@ -22,7 +22,7 @@
 function setTo(base: number, mark: string): proposers.Step {
   return function step(value): result.Result<schema.Value, errors.CranewindError> {
     if (histories.lookUp(value.taken, value.revision, base, mark) === "taken") return result.ok(value);
-    if (value.revision !== base) return result.err(errors.fail("race", "another revision", "read again"));
+    if (value.revision !== base) return result.err(new errors.RevisionConflictError("another revision", "read again"));
     return result.ok(registers.withConfig(value, base + 1, Buffer.from(mark), mark));
   };
 }
--- a/tests/register-joint.test.ts
+++ b/tests/register-joint.test.ts
@@ -31,7 +31,7 @@
 
 function setTo(base: number, revision: number, mark: string): proposers.Step {
   return function step(value): result.Result<schema.Value, errors.CranewindError> {
-    if (value.revision !== base) return result.err(errors.fail("race", "another revision", "read again"));
+    if (value.revision !== base) return result.err(new errors.RevisionConflictError("another revision", "read again"));
     return result.ok(registers.withConfig(value, revision, Buffer.from(mark), mark));
   };
 }
--- a/tests/register-membership.test.ts
+++ b/tests/register-membership.test.ts
@@ -21,7 +21,7 @@
 function setTo(base: number, revision: number): proposers.Step {
   return function step(value): result.Result<schema.Value, errors.CranewindError> {
     if (histories.lookUp(value.taken, value.revision, base, `${revision}`) === "taken") return result.ok(value);
-    if (value.revision !== base) return result.err(errors.fail("race", "another revision", "read again"));
+    if (value.revision !== base) return result.err(new errors.RevisionConflictError("another revision", "read again"));
     return result.ok(registers.withConfig(value, revision, Buffer.alloc(10), `${revision}`));
   };
 }
@@ -50,7 +50,7 @@
 
 async function change(fleet: membership.Fleet, base: number, address: string): Promise<void> {
   const outcome = await ended(fleet.made.clock, fleet.at(address).change(setTo(base, base + 1), 4000));
-  expect(outcome.isErr ? outcome.error.kind : "ok").toBe("ok");
+  expect(outcome.isErr ? outcome.error.code : "ok").toBe("ok");
 }
 
 function addresses(fleet: membership.Fleet): string[] {
@@ -225,7 +225,7 @@
         fleet.made.cuts.add(`${from.node.address}>${to.node.address}`);
     old.node.isFrozen = false;
     const alone = await ended(fleet.made.clock, old.change(setTo(1, 9), 2000));
-    expect(alone.isErr && alone.error.kind).toBe("no_majority");
+    expect(alone.isErr && alone.error.code).toBe("no_majority");
     fleet.made.cuts.clear();
     const late = await ended(fleet.made.clock, old.change(setTo(2, 3), 4000));
     expect(late.isOk && late.value.voters.map((voter) => voter.address)).toEqual(["a:1", "b:1", "f:1"]);
--- a/tests/register.test.ts
+++ b/tests/register.test.ts
@@ -12,7 +12,7 @@
 function setTo(base: number, revision: number, mark: string) {
   return function step(value: schema.Value): result.Result<schema.Value, errors.CranewindError> {
     if (registers.findOrder(value, base, mark) === "taken") return result.ok(value);
-    if (value.revision !== base) return result.err(errors.fail("race", "another revision", "read again"));
+    if (value.revision !== base) return result.err(new errors.RevisionConflictError("another revision", "read again"));
     return result.ok(registers.withConfig(value, revision, Buffer.from(mark), mark));
   };
 }
@@ -174,7 +174,7 @@
   const [a, b, c] = [...made.nodes.values()] as [core.SimNode, core.SimNode, core.SimNode];
   b.isUp = c.isUp = false;
   const outcome = await done(clock, a.proposer.change(setTo(7, 8, "x"), 2000));
-  expect(outcome.isErr && outcome.error.kind).toBe("no_majority");
+  expect(outcome.isErr && outcome.error.code).toBe("no_majority");
 });
 
 test("a wiped voter does not count with a promise from before the wipe", async function wiped() {
@@ -207,7 +207,7 @@
   expect((await done(clock, made.nodes.get("e:1")!.proposer.change(setTo(2, 3, "y"), 4000))).isOk).toBe(true);
   made.nodes.get("d:1")!.isUp = false;
   const minority = await done(clock, a.proposer.change(setTo(3, 4, "z"), 2500));
-  expect(minority.isErr && minority.error.kind).toBe("no_majority");
+  expect(minority.isErr && minority.error.code).toBe("no_majority");
 });
 
 test("a frozen voter that wakes denies what is old and takes what is new", async function frozen() {
--- a/tests/system.test.ts
+++ b/tests/system.test.ts
@@ -66,7 +66,7 @@
     body,
     headers: { "Content-Type": "application/json", "X-Cranewind-Base-Version": String(base) },
   });
-  return outcome.isOk ? 200 : outcome.error.kind === "race" ? 412 : outcome.error.kind === "invalid" ? 400 : 503;
+  return outcome.isOk ? 200 : outcome.error.code === "race" ? 412 : outcome.error.code === "invalid" ? 400 : 503;
 }
 
 function get(address: string, target: string, headers: nodeHttp.OutgoingHttpHeaders = {}): Promise<{ status: number; body: string }> {
