--- a/src/admission/verdict.ts
+++ b/src/admission/admission-decision.ts
@@ -9,7 +9,7 @@
 const MIN_JITTER = 0.6;
 
 /** The policy of the runner keeps its order, but for the one that serves in time. */
-export function putFirst(plan: plans.Plan, runner: fleets.Runner): null {
+export function admitAt(plan: plans.Plan, runner: fleets.Runner): null {
   if (plan.candidates[0] === runner) return null;
   plan.candidates = [runner, ...plan.candidates.filter(isOther)];
   log.count("admission.moved");
@@ -23,7 +23,7 @@
  * It fits once the excess has been worked off; chance (`random`, 0 to 1) keeps those denied together from returning
  * together.
  */
-export function rejection(plan: plans.Plan, excessMs: number, random: number): plans.Rejection {
+export function reject(plan: plans.Plan, excessMs: number, random: number): plans.Rejection {
   const waitMs = Math.min(Math.max(0, plan.deadline - plan.now) * HONOURED_SHARE, Math.max(MIN_RETRY_S * 1000, excessMs));
   const jitter = MIN_JITTER + (1 - MIN_JITTER) * random;
   return {
--- a/src/admission/tally.ts
+++ b/src/admission/admission-stats.ts
@@ -2,13 +2,13 @@
  * What this router's judgments came to, over its whole life: how long each refusal took, what became of each request
  * by rank, and how much room was left unused when one was denied (design/admission 10).
  */
-import type * as rooms from "./room.js";
+import type * as cellCapacity from "./cell-capacity.js";
 import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
 import * as histograms from "./histogram.js";
 
 /** `late`: at a runner when its deadline passed; `lost`: at a runner, and no whole reply; `left`: the client went first. */
-export type End = "whole" | "late" | "lost" | "left" | "denied";
+export type RequestOutcome = "whole" | "late" | "lost" | "left" | "denied";
 
 /** Without a refusal for so long, a shortage is over (ours). */
 const SHORTAGE_END_MS = 3000;
@@ -28,7 +28,7 @@
 }
 
 /** Counts and histograms for `status` and the log; nothing is decided by them. */
-export class Tally {
+export class AdmissionStats {
   /** Milliseconds from a request's arrival to its refusal; apart for those that no runner had seen. */
   private readonly atDoor = new histograms.Histogram(PER_MS, Infinity);
   private readonly afterSend = new histograms.Histogram(PER_MS, Infinity);
@@ -37,36 +37,36 @@
   private readonly ends = new Map<string, number>();
   private readonly causes = new Map<string, number>();
   /** Something was refused a moment ago. */
-  isShort = false;
+  isRejecting = false;
   private lastRefusalAt = 0;
 
   constructor(private readonly world: types.Clock) {}
 
   /** A request was refused `ms` milliseconds after its arrival; `hasBeenSent`: a runner had seen it. */
-  refused(ms: number, cause: string, hasBeenSent: boolean): void {
+  recordRejection(ms: number, cause: string, hasBeenSent: boolean): void {
     (hasBeenSent ? this.afterSend : this.atDoor).record(ms);
     this.lastRefusalAt = this.world.now();
-    if (!this.isShort) log.state("admission: refusing; room is short");
-    this.isShort = true;
+    if (!this.isRejecting) log.state("admission: refusing; room is short");
+    this.isRejecting = true;
     this.causes.set(cause, (this.causes.get(cause) ?? 0) + 1);
   }
 
   /** The room of the allowed runners when a request was denied. */
-  recordUnusedRoom(room: rooms.Room): void {
+  recordUnusedCapacity(room: cellCapacity.CellCapacity): void {
     if (room.places > 0) this.unusedRoom.record((PERCENT * room.freePlaces) / room.places);
   }
 
   /** A request is over. */
-  ended(end: End, rank: number): void {
+  recordOutcome(end: RequestOutcome, rank: number): void {
     const name = `${end}_rank_${rank}`;
     this.ends.set(name, (this.ends.get(name) ?? 0) + 1);
   }
 
   /** Called now and then: the end of a shortage is a change of state, logged with what it came to. */
   onTimer(): void {
-    if (!this.isShort || this.world.now() - this.lastRefusalAt < SHORTAGE_END_MS) return;
-    this.isShort = false;
-    log.state(this.line());
+    if (!this.isRejecting || this.world.now() - this.lastRefusalAt < SHORTAGE_END_MS) return;
+    this.isRejecting = false;
+    log.state(this.logLine());
   }
 
   /** The part `tally` of the admission's status; its names are read by operators. */
@@ -81,7 +81,7 @@
   }
 
   /** One line for the log: at the end of a shortage, and when the router leaves. */
-  line(): string {
+  logLine(): string {
     return `admission: ${JSON.stringify(this.status())}`;
   }
 }
--- a/src/admission/status.ts
+++ b/src/admission/admission-status.ts
@@ -2,8 +2,8 @@
  * What admission reports of itself in a router's `status` (docs/admission.md). The names of the fields are read by
  * `cranewind capacity` and by operators: they change only with a note in the docs.
  */
-import type * as pace from "./pace.js";
-import type * as typical from "./typical.js";
+import type * as serviceTimeModel from "./service-time-model.js";
+import type * as typicalRequest from "./typical-request.js";
 
 /** The ranks that pace is learned for; ranks above the last count as the last. */
 const RANKS = [0, 1, 2] as const;
@@ -21,8 +21,8 @@
   readonly returners: number;
   readonly tally: unknown;
   readonly cells: unknown;
-  readonly services: Iterable<[string, pace.Pace]>;
-  readonly routes: Iterable<[string, typical.TypicalRequest]>;
+  readonly services: Iterable<[string, serviceTimeModel.ServiceTimeModel]>;
+  readonly routes: Iterable<[string, typicalRequest.TypicalRequest]>;
 }
 
 /** The part `admission` of a router's status, as plain JSON. */
@@ -44,13 +44,13 @@
   for (const [name, pace] of services) {
     const errors: unknown[] = [];
     for (const rank of RANKS) errors.push(errorOf(pace, rank, now));
-    made.push({ name, heldMs: pace.heldMs(true), errors });
+    made.push({ name, heldMs: pace.occupancyMs(true), errors });
   }
   return made;
 }
 
-function errorOf(pace: pace.Pace, rank: number, now: number): unknown {
-  const error = pace.errorOf(rank);
+function errorOf(pace: serviceTimeModel.ServiceTimeModel, rank: number, now: number): unknown {
+  const error = pace.waitErrorOf(rank);
   return {
     rank,
     replies: error.count,
@@ -61,7 +61,7 @@
   };
 }
 
-function kindsOf(routes: Iterable<[string, typical.TypicalRequest]>): unknown[] {
+function kindsOf(routes: Iterable<[string, typicalRequest.TypicalRequest]>): unknown[] {
   const made: unknown[] = [];
   for (const [route, typical] of routes) made.push({ route, service: typical.service, ...typical.status() });
   return made;
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -11,21 +11,21 @@
 import * as log from "../runtime/log.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
-import * as cells from "./cells.js";
-import * as judge from "./judge.js";
-import * as lru from "./lru.js";
-import * as pace from "./pace.js";
-import * as pauses from "./pauses.js";
-import * as predict from "./predict.js";
-import * as returns from "./returns.js";
-import type * as rooms from "./room.js";
-import * as sizes from "./sizes.js";
-import * as spare from "./spare.js";
-import * as slowness from "./slowness.js";
-import * as status from "./status.js";
-import * as tallies from "./tally.js";
-import * as tickets from "./ticket.js";
-import * as typical from "./typical.js";
+import * as cellLeases from "./cell-leases.js";
+import * as admissionDecider from "./admission-decider.js";
+import * as lruTable from "./lru-table.js";
+import * as serviceTimeModel from "./service-time-model.js";
+import * as interTokenGaps from "./inter-token-gaps.js";
+import * as prediction from "./prediction.js";
+import * as recentRejections from "./recent-rejections.js";
+import type * as cellCapacity from "./cell-capacity.js";
+import * as sizeClasses from "./size-classes.js";
+import * as batchAdmission from "./batch-admission.js";
+import * as runnerSlowdown from "./runner-slowdown.js";
+import * as admissionStatus from "./admission-status.js";
+import * as admissionStats from "./admission-stats.js";
+import * as attemptObserver from "./attempt-observer.js";
+import * as typicalRequest from "./typical-request.js";
 
 /** Services and routes whose learned figures are held; the least recently used make room. */
 const MAX_SERVICES = 64;
@@ -45,67 +45,67 @@
 
 /** What a prediction at one runner is made from. */
 interface PredictionInput {
-  place: rooms.Place;
-  need: predict.Need;
-  slow: slowness.Slowdown;
+  place: cellCapacity.SlotUsage;
+  need: prediction.TokenDemand;
+  slow: runnerSlowdown.Slowdown;
   waitFactor: number;
 }
 
-function newPace(): pace.Pace {
-  return new pace.Pace();
+function newPace(): serviceTimeModel.ServiceTimeModel {
+  return new serviceTimeModel.ServiceTimeModel();
 }
 
-function newSizes(): sizes.Sizes {
-  return new sizes.Sizes();
+function newSizes(): sizeClasses.SizeClasses {
+  return new sizeClasses.SizeClasses();
 }
 
-function newTypicalRequest(): typical.TypicalRequest {
-  return new typical.TypicalRequest();
+function newTypicalRequest(): typicalRequest.TypicalRequest {
+  return new typicalRequest.TypicalRequest();
 }
 
 /** The admission of one router; all methods are called from its event loop. */
-export class Admission implements tickets.Learner, judge.Knowledge {
+export class Admission implements attemptObserver.LearnedModels, admissionDecider.Knowledge {
   /** False lets every request in; learning goes on. Follows the setting `admission`. */
   isOn = true;
-  readonly cells: cells.Cells;
-  readonly pauses = new pauses.Pauses();
-  readonly slowness = new slowness.Slowness();
-  readonly recentRejections = new returns.RecentRejections();
-  readonly tally: tallies.Tally;
-  private readonly paceByService = new lru.LruTable<string, pace.Pace>(MAX_SERVICES, newPace);
-  private readonly sizesByRoute = new lru.LruTable<string, sizes.Sizes>(MAX_ROUTES, newSizes);
-  private readonly typicalByRoute = new lru.LruTable<string, typical.TypicalRequest>(MAX_ROUTES, newTypicalRequest);
+  readonly cells: cellLeases.CellLeases;
+  readonly interTokenGaps = new interTokenGaps.InterTokenGaps();
+  readonly slowdowns = new runnerSlowdown.RunnerSlowdowns();
+  readonly recentRejections = new recentRejections.RecentRejections();
+  readonly stats: admissionStats.AdmissionStats;
+  private readonly paceByService = new lruTable.LruTable<string, serviceTimeModel.ServiceTimeModel>(MAX_SERVICES, newPace);
+  private readonly sizesByRoute = new lruTable.LruTable<string, sizeClasses.SizeClasses>(MAX_ROUTES, newSizes);
+  private readonly typicalByRoute = new lruTable.LruTable<string, typicalRequest.TypicalRequest>(MAX_ROUTES, newTypicalRequest);
   /** How late this router's own loop ran lately, in milliseconds. */
   lagMs = 0;
   private lastTimerAt = -1;
-  private readonly doorJudge = new judge.Judge(this);
+  private readonly doorJudge = new admissionDecider.AdmissionDecider(this);
 
   constructor(
-    readonly world: types.Clock,
+    readonly clock: types.Clock,
     readonly dependencies: Dependencies,
   ) {
-    this.cells = new cells.Cells(world);
-    this.tally = new tallies.Tally(world);
+    this.cells = new cellLeases.CellLeases(clock);
+    this.stats = new admissionStats.AdmissionStats(clock);
   }
 
   /** Takes the runner reports of one region; called after the fleet has taken the same. */
-  takeReport(report: schema.CellReport): void {
-    this.cells.takeReport(report, this.dependencies.runners(report.region), this.dependencies.routers());
+  applyReport(report: schema.CellReport): void {
+    this.cells.applyReport(report, this.dependencies.runners(report.region), this.dependencies.routers());
   }
 
   /** Drops what is known of runners that are no longer listed; called with each new list. */
-  forgetAllBut(listed: { has(id: string): boolean }): void {
-    this.slowness.retainOnly(listed);
-    this.pauses.retainOnly(listed);
+  retainOnly(listed: { has(id: string): boolean }): void {
+    this.slowdowns.retainOnly(listed);
+    this.interTokenGaps.retainOnly(listed);
     this.cells.retainOnly(listed);
   }
 
   /** Called by the router's timer every `everyMs` milliseconds: what comes later than that is this router's own lag. */
-  turn(everyMs: number): void {
-    const now = this.world.now();
+  runPeriodically(everyMs: number): void {
+    const now = this.clock.now();
     if (this.lastTimerAt >= 0) this.recordLag(Math.max(0, now - this.lastTimerAt - everyMs));
     this.lastTimerAt = now;
-    this.tally.onTimer();
+    this.stats.onTimer();
   }
 
   /** A measured lag in milliseconds: up at once, halved with each smaller one. */
@@ -114,45 +114,45 @@
   }
 
   /** The learned timing of a service; empty, which admits all, until responses taught it. */
-  paceOf(service: string): pace.Pace {
+  serviceTimeOf(service: string): serviceTimeModel.ServiceTimeModel {
     return this.paceByService.getOrCreate(service);
   }
 
   /** What a request of a route usually takes. */
-  typicalOf(route: string): typical.TypicalRequest {
+  typicalRequestOf(route: string): typicalRequest.TypicalRequest {
     return this.typicalByRoute.getOrCreate(route);
   }
 
   /** How often requests of a route were admitted, by size. */
-  sizesOf(route: string): sizes.Sizes {
+  sizeClassesOf(route: string): sizeClasses.SizeClasses {
     return this.sizesByRoute.getOrCreate(route);
   }
 
   /** What the request would take at this runner: tokens to read, to produce, and to hold. */
-  needOf(plan: plans.Plan, runner: fleets.Runner): predict.Need {
+  demandOf(plan: plans.Plan, runner: fleets.Runner): prediction.TokenDemand {
     const { prompt, mostOut } = plan.asked;
     return {
-      unread: plan.parts.length > 0 ? this.dependencies.known.unread(runner.id, plan.parts, plan.keys) : 0,
-      out: mostOut,
-      tokens: prompt + mostOut,
+      prefillTokens: plan.parts.length > 0 ? this.dependencies.known.unread(runner.id, plan.parts, plan.keys) : 0,
+      outputTokens: mostOut,
+      totalTokens: prompt + mostOut,
     };
   }
 
   /** When the request would be done at this runner, with waits multiplied by `waitFactor`. */
-  predict(plan: plans.Plan, runner: fleets.Runner, slow: slowness.Slowdown, waitFactor: number): predict.Prediction {
-    return this.predictAt(plan, runner, { place: this.placeOf(plan, runner), need: this.needOf(plan, runner), slow, waitFactor });
+  predict(plan: plans.Plan, runner: fleets.Runner, slow: runnerSlowdown.Slowdown, waitFactor: number): prediction.Prediction {
+    return this.predictAt(plan, runner, { place: this.placeOf(plan, runner), need: this.demandOf(plan, runner), slow, waitFactor });
   }
 
-  private placeOf(plan: plans.Plan, runner: fleets.Runner): rooms.Place {
-    return this.cells.placeOf(this.dependencies.known.backlogMs(runner.id, plan.now), runner);
+  private placeOf(plan: plans.Plan, runner: fleets.Runner): cellCapacity.SlotUsage {
+    return this.cells.slotUsageOf(this.dependencies.known.backlogMs(runner.id, plan.now), runner);
   }
 
-  private predictAt(plan: plans.Plan, runner: fleets.Runner, input: PredictionInput): predict.Prediction {
-    const pace = this.paceOf(plan.service);
+  private predictAt(plan: plans.Plan, runner: fleets.Runner, input: PredictionInput): prediction.Prediction {
+    const pace = this.serviceTimeOf(plan.service);
     const { place, need, slow, waitFactor } = input;
-    return predict.predict(place, need, {
-      rate: this.dependencies.known.rate,
-      heldMs: pace.heldMs(plan.asked.mostOut > 0),
+    return prediction.predict(place, need, {
+      prefillTokensPerMs: this.dependencies.known.rate,
+      occupancyMs: pace.occupancyMs(plan.asked.mostOut > 0),
       tokenMs: pace.tokenMs((place.used + 1) / Math.max(1, place.capacity)),
       waitFactor,
       slowdown: slow,
@@ -162,37 +162,37 @@
   }
 
   /** Called once per request, after the other policies: null lets it in, see `Judge.judge`. */
-  judge(plan: plans.Plan): plans.Rejection | null {
-    if (plan.isBatch) return spare.judge(this, plan);
-    return this.isOn ? this.doorJudge.judge(plan) : null;
+  decide(plan: plans.Plan): plans.Rejection | null {
+    if (plan.isBatch) return batchAdmission.decideBatchItem(this, plan);
+    return this.isOn ? this.doorJudge.decide(plan) : null;
   }
 
   /**
    * The request goes to this runner: its part of the room is spent, and the ticket returned must be ended exactly
    * once by whoever follows the response.
    */
-  sent(plan: plans.Plan, runner: fleets.Runner): tickets.Ticket {
+  recordSend(plan: plans.Plan, runner: fleets.Runner): attemptObserver.AttemptObserver {
     if (plan.tried.size === 0) this.recordAdmitted(plan);
-    const need = this.needOf(plan, runner);
-    const ticket = new tickets.Ticket(this, this.sentRequestOf(plan, runner, need));
-    this.cells.spend(runner, need.unread + need.out);
+    const need = this.demandOf(plan, runner);
+    const ticket = new attemptObserver.AttemptObserver(this, this.sentRequestOf(plan, runner, need));
+    this.cells.spend(runner, need.prefillTokens + need.outputTokens);
     return ticket;
   }
 
   private recordAdmitted(plan: plans.Plan): void {
     log.count("admission.admitted");
     this.recentRejections.forget(plan.returnKey);
-    this.sizesOf(plan.entry.route.name).record(sizes.sizeOf(plan.asked.prompt, plan.asked.mostOut), true);
+    this.sizeClassesOf(plan.entry.route.name).record(sizeClasses.sizeOf(plan.asked.prompt, plan.asked.mostOut), true);
   }
 
-  private sentRequestOf(plan: plans.Plan, runner: fleets.Runner, need: predict.Need): tickets.SentRequest {
+  private sentRequestOf(plan: plans.Plan, runner: fleets.Runner, need: prediction.TokenDemand): attemptObserver.SentAttempt {
     const { route } = plan.entry;
     const { rank } = plan;
-    const pace = this.paceOf(plan.service);
+    const pace = this.serviceTimeOf(plan.service);
     const waitFactor = pace.typicalWaitFactor(rank);
     const safeWaitFactor = Math.max(waitFactor, pace.waitFactor(rank, plan.now));
     const place = this.placeOf(plan, runner);
-    const slow = slowness.NO_SLOWDOWN;
+    const slow = runnerSlowdown.NO_SLOWDOWN;
     return {
       runner,
       need,
@@ -201,7 +201,7 @@
       sentAt: plan.now,
       nominal: this.predictAt(plan, runner, { place, need, slow, waitFactor }),
       waitFactor,
-      safeFirstMs: this.predictAt(plan, runner, { place, need, slow, waitFactor: safeWaitFactor }).firstMs,
+      safeFirstMs: this.predictAt(plan, runner, { place, need, slow, waitFactor: safeWaitFactor }).firstEventMs,
       fullness: runner.usage() / Math.max(1, runner.instance.capacity),
       rank,
       deadline: plan.deadline,
@@ -211,13 +211,13 @@
 
   /** The part `admission` of the router's `status`. */
   status(): unknown {
-    return status.statusOf({
-      now: this.world.now(),
+    return admissionStatus.statusOf({
+      now: this.clock.now(),
       isOn: this.isOn,
       rate: this.dependencies.known.rate,
       lagMs: this.lagMs,
       returners: this.recentRejections.size,
-      tally: this.tally.status(),
+      tally: this.stats.status(),
       cells: this.cells.status(),
       services: this.paceByService.entries(),
       routes: this.typicalByRoute.entries(),
--- a/src/admission/spare.ts
+++ b/src/admission/batch-admission.ts
@@ -5,12 +5,12 @@
 import type * as fleets from "../router/runners/fleet.js";
 import type * as plans from "../router/plan.js";
 import * as log from "../runtime/log.js";
-import type * as cells from "./cells.js";
-import type * as pauses from "./pauses.js";
-import type * as predict from "./predict.js";
-import type * as rooms from "./room.js";
-import * as slowness from "./slowness.js";
-import * as verdict from "./verdict.js";
+import type * as cellLeases from "./cell-leases.js";
+import type * as interTokenGaps from "./inter-token-gaps.js";
+import type * as prediction from "./prediction.js";
+import type * as cellCapacity from "./cell-capacity.js";
+import * as runnerSlowdown from "./runner-slowdown.js";
+import * as admissionDecision from "./admission-decision.js";
 
 /** A cell with more of its places taken has none to spare; somewhat over what control nodes fill it to (*ours*). */
 const FULL_SHARE = 0.8;
@@ -19,26 +19,27 @@
 
 /** What is known of the runners; the router's `Admission` is it. */
 export interface Knowledge {
-  readonly cells: cells.Cells;
-  readonly pauses: pauses.Pauses;
-  predict(plan: plans.Plan, runner: fleets.Runner, slow: slowness.Slowdown, waitFactor: number): predict.Prediction;
+  readonly cells: cellLeases.CellLeases;
+  readonly interTokenGaps: interTokenGaps.InterTokenGaps;
+  predict(plan: plans.Plan, runner: fleets.Runner, slow: runnerSlowdown.Slowdown, waitFactor: number): prediction.Prediction;
 }
 
 /** Null lets the item in, its runner put first. */
-export function judge(known: Knowledge, plan: plans.Plan): plans.Rejection | null {
+export function decideBatchItem(known: Knowledge, plan: plans.Plan): plans.Rejection | null {
   const rooms = new Map<string, boolean>();
   for (const runner of plan.candidates) {
     if (!rooms.has(runner.region)) rooms.set(runner.region, hasRoom(known, plan, runner.region));
-    if (!rooms.get(runner.region) || runner.isSuspect(plan.now) || known.pauses.isNearLimit(runner.id, plan.now)) continue;
-    const predicted = known.predict(plan, runner, slowness.NO_SLOWDOWN, 1);
-    if (predicted.hasPlace && !predicted.neverFits && predicted.endMs <= plan.deadline - plan.now) return verdict.putFirst(plan, runner);
+    if (!rooms.get(runner.region) || runner.isSuspect(plan.now) || known.interTokenGaps.isNearLimit(runner.id, plan.now)) continue;
+    const predicted = known.predict(plan, runner, runnerSlowdown.NO_SLOWDOWN, 1);
+    if (predicted.hasFreeSlot && !predicted.neverFits && predicted.completionMs <= plan.deadline - plan.now)
+      return admissionDecision.admitAt(plan, runner);
   }
   log.count("admission.batch_denied");
   return { status: 503, cause: "there is no room to spare for an item of a batch", retryAfterS: RETRY_S };
 }
 
 function hasRoom(known: Knowledge, plan: plans.Plan, region: string): boolean {
-  const room: rooms.Room = known.cells.roomNow(
+  const room: cellCapacity.CellCapacity = known.cells.capacityNow(
     plan.candidates.filter((runner) => runner.region === region),
     plan.now,
   );
--- a/src/admission/room.ts
+++ b/src/admission/cell-capacity.ts
@@ -4,7 +4,7 @@
  */
 
 /** Load and capacity of one runner. */
-export interface Place {
+export interface SlotUsage {
   /** Requests run at once. */
   capacity: number;
   /** Running and waiting there. */
@@ -19,7 +19,7 @@
 }
 
 /** The sum of the places of a cell, shown in `status`: its names are read by `cranewind capacity`. */
-export interface Room {
+export interface CellCapacity {
   runners: number;
   /** Requests that run at once, and how many more could. */
   places: number;
@@ -37,8 +37,8 @@
 export const HALF_FULL = 0.5;
 
 /** The sum over these places. */
-export function roomOf(places: Iterable<Place>): Room {
-  const room: Room = { runners: 0, places: 0, freePlaces: 0, waiting: 0, tokens: 0, freeTokens: 0, readMs: 0 };
+export function sumCapacity(places: Iterable<SlotUsage>): CellCapacity {
+  const room: CellCapacity = { runners: 0, places: 0, freePlaces: 0, waiting: 0, tokens: 0, freeTokens: 0, readMs: 0 };
   for (const place of places) {
     room.runners += 1;
     room.places += place.capacity;
@@ -52,20 +52,20 @@
 }
 
 /** Under half of the places are taken and nobody waits: nothing is denied then. */
-export function isHalfEmpty(room: Room): boolean {
+export function isUnderHalfUsed(room: CellCapacity): boolean {
   return room.waiting === 0 && room.places - room.freePlaces < HALF_FULL * room.places;
 }
 
 /**
  * A router's part of its cell: what it has at work over what all have, never under half of an even split.
  */
-export function shareOf(own: number, all: number, routers: number): number {
+export function routerFraction(own: number, all: number, routers: number): number {
   const even = 1 / Math.max(1, routers);
   return all > 0 ? Math.min(1, Math.max(own / all, even / 2)) : even;
 }
 
 /** The free places that are this router's to spend: one at least. */
-export function leaseOf(room: Room, part: number): number {
+export function leasedSlots(room: CellCapacity, part: number): number {
   return room.freePlaces === 0 ? 0 : Math.max(1, Math.floor(room.freePlaces * part));
 }
 
@@ -76,15 +76,15 @@
   /** Milliseconds of reading. */
   readMs: number;
   /** Milliseconds that a place is held. */
-  heldMs: number;
+  occupancyMs: number;
 }
 
 /** Requests a second of that kind which still fit, by whatever is short first. */
-export function requestsPerS(room: Room, cost: RequestCost): number {
+export function requestsPerS(room: CellCapacity, cost: RequestCost): number {
   const bounds: number[] = [];
-  if (cost.heldMs > 0) {
-    bounds.push((room.freePlaces * SECOND_MS) / cost.heldMs);
-    if (cost.tokens > 0 && room.tokens > 0) bounds.push((room.freeTokens * SECOND_MS) / (cost.tokens * cost.heldMs));
+  if (cost.occupancyMs > 0) {
+    bounds.push((room.freePlaces * SECOND_MS) / cost.occupancyMs);
+    if (cost.tokens > 0 && room.tokens > 0) bounds.push((room.freeTokens * SECOND_MS) / (cost.tokens * cost.occupancyMs));
   }
   if (cost.readMs > 0) bounds.push(room.readMs / cost.readMs);
   return bounds.length === 0 ? Infinity : Math.min(...bounds);
--- a/src/admission/cells.ts
+++ b/src/admission/cell-leases.ts
@@ -8,13 +8,13 @@
 import type * as fleets from "../router/runners/fleet.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
-import * as rooms from "./room.js";
+import * as cellCapacity from "./cell-capacity.js";
 
 /** What was reported longer ago says nothing any more (ours). */
 const STALE_MS = 3000;
 
 /** The last report of one runner, and what was sent there since. */
-export interface RunnerLoad {
+export interface ReportedLoad {
   /** When the report was taken. */
   at: number;
   waiting: number;
@@ -28,7 +28,7 @@
 /** The part of a cell's free places that this router may spend until the next report. */
 interface Lease {
   at: number;
-  room: rooms.Room;
+  room: cellCapacity.CellCapacity;
   places: number;
   spent: number;
   /** Sends of all other routers to one runner that are expected for each send from here. */
@@ -40,8 +40,8 @@
 }
 
 /** Load and leases of all cells; used by `Admission` alone. */
-export class Cells {
-  private readonly loads = new Map<string, RunnerLoad>();
+export class CellLeases {
+  private readonly loads = new Map<string, ReportedLoad>();
   private readonly leases = new Map<string, Lease>();
 
   constructor(private readonly world: types.Clock) {}
@@ -62,7 +62,7 @@
   }
 
   /** Takes a report and renews the leases of its region; called after the fleet has taken the same report. */
-  takeReport(report: schema.CellReport, runners: Iterable<fleets.Runner>, routers: number): void {
+  applyReport(report: schema.CellReport, runners: Iterable<fleets.Runner>, routers: number): void {
     const at = this.world.now();
     for (const item of report.reports) {
       if (item.isSpeaking)
@@ -86,24 +86,30 @@
       own += runner.inflight;
       all += runner.usage();
     }
-    const room = rooms.roomOf(cell.map(this.reportedPlace.bind(this, 0)));
-    const share = rooms.shareOf(own, all, routers);
-    return { at: this.world.now(), room, places: rooms.leaseOf(room, share), spent: 0, othersPerSend: (1 / share - 1) / cell.length };
+    const room = cellCapacity.sumCapacity(cell.map(this.reportedSlotUsage.bind(this, 0)));
+    const share = cellCapacity.routerFraction(own, all, routers);
+    return {
+      at: this.world.now(),
+      room,
+      places: cellCapacity.leasedSlots(room, share),
+      spent: 0,
+      othersPerSend: (1 / share - 1) / cell.length,
+    };
   }
 
   /**
    * The runner's place with what the other routers are expected to have sent there since, going by this one's own
    * sends.
    */
-  placeOf(backlogMs: number, runner: fleets.Runner): rooms.Place {
-    const place = this.reportedPlace(backlogMs, runner);
+  slotUsageOf(backlogMs: number, runner: fleets.Runner): cellCapacity.SlotUsage {
+    const place = this.reportedSlotUsage(backlogMs, runner);
     const lease = this.leaseFor(runner);
     if (lease) place.used += Math.min(place.capacity, lease.spent * lease.othersPerSend);
     return place;
   }
 
   /** The runner's place by its last report and this router's own requests. A stale report counts as none. */
-  reportedPlace(backlogMs: number, runner: fleets.Runner): rooms.Place {
+  reportedSlotUsage(backlogMs: number, runner: fleets.Runner): cellCapacity.SlotUsage {
     const known = this.loads.get(runner.id);
     const fresh = known && this.isFresh(known) ? known : undefined;
     return {
@@ -118,14 +124,14 @@
   }
 
   /** A runner that handed a request back a moment ago is full whatever is known of it. */
-  roomNow(runners: readonly fleets.Runner[], now: number): rooms.Room {
-    const places: rooms.Place[] = [];
+  capacityNow(runners: readonly fleets.Runner[], now: number): cellCapacity.CellCapacity {
+    const places: cellCapacity.SlotUsage[] = [];
     for (const runner of runners) {
-      const place = this.reportedPlace(0, runner);
+      const place = this.reportedSlotUsage(0, runner);
       if (runner.fullUntil > now) place.used = Math.max(place.used, place.capacity);
       places.push(place);
     }
-    return rooms.roomOf(places);
+    return cellCapacity.sumCapacity(places);
   }
 
   /** A cell that does not report has no lease, and no bound by one. */
--- a/src/admission/pauses.ts
+++ b/src/admission/inter-token-gaps.ts
@@ -16,11 +16,11 @@
 }
 
 /** The longest recent pause of each runner, as a share of the pause allowed; it decays by half-lives. */
-export class Pauses {
+export class InterTokenGaps {
   private readonly byRunner = new Map<types.RunnerId, RecentPause>();
 
   /** A pause of so much of the one allowed has just ended there. */
-  recordPause(runner: types.RunnerId, share: number, now: number): void {
+  recordGap(runner: types.RunnerId, share: number, now: number): void {
     const seen = this.byRunner.get(runner);
     if (!seen) this.byRunner.set(runner, { share, at: now });
     else if (share >= this.shareAt(runner, now)) Object.assign(seen, { share, at: now });
--- a/src/admission/returns.ts
+++ b/src/admission/recent-rejections.ts
@@ -12,7 +12,7 @@
 }
 
 /** The same for each try of one request, whatever its id: its whole prompt, else the head of its body. */
-export function keyOf(route: string, keys: readonly number[], body: Buffer | null): number {
+export function requestKey(route: string, keys: readonly number[], body: Buffer | null): number {
   const last = keys[keys.length - 1];
   if (last !== undefined) return last;
   return body ? shares.hash(`${route}|${body.toString("latin1", 0, BODY_BYTES)}`) : 0;
--- a/src/admission/slowness.ts
+++ b/src/admission/runner-slowdown.ts
@@ -48,7 +48,7 @@
 }
 
 /** Slowdowns of all runners that this router has sent to. */
-export class Slowness {
+export class RunnerSlowdowns {
   private readonly runners = new Map<types.RunnerId, RunnerRecord>();
 
   private recordOf(runner: types.RunnerId): RunnerRecord {
@@ -89,7 +89,7 @@
   }
 
   /** The slowdown of a runner now, overdue requests included. */
-  at(runner: types.RunnerId, now: number): Slowdown {
+  slowdownOf(runner: types.RunnerId, now: number): Slowdown {
     const record = this.runners.get(runner);
     if (!record) return NO_SLOWDOWN;
     let { first } = record;
--- a/src/admission/pace.ts
+++ b/src/admission/service-time-model.ts
@@ -42,7 +42,7 @@
 }
 
 /** Learned timing of one service at one router. All times are milliseconds. */
-export class Pace {
+export class ServiceTimeModel {
   private readonly perTokenByFullness: (histograms.Histogram | null)[] = Array.from({ length: FULLNESS_STEPS }, none);
   private readonly holdTimes = new histograms.Histogram(1);
   /** Wait seen / wait predicted, by rank: runners let the more urgent in first. */
@@ -71,13 +71,13 @@
   }
 
   /** Whether one that had to wait was done by its deadline. */
-  learnOutcome(rank: number, isInTime: boolean): void {
+  recordOutcome(rank: number, isInTime: boolean): void {
     const at = rankClassOf(rank);
     this.caution[at] = Math.min(MAX_CAUTION, Math.max(1, this.caution[at] * (isInTime ? LESS_CAUTION : MORE_CAUTION)));
   }
 
   /** From the first event to the end, over the tokens asked for at most. */
-  learnTokens(fullness: number, out: number, ms: number): void {
+  recordTokens(fullness: number, out: number, ms: number): void {
     if (out < 1) return;
     const step = stepOf(fullness);
     const histogram = (this.perTokenByFullness[step] ??= new histograms.Histogram(TOKEN_TIME_SCALE));
@@ -85,17 +85,17 @@
   }
 
   /** How long one place was taken, in milliseconds. */
-  learnHeld(ms: number): void {
+  recordOccupancy(ms: number): void {
     this.holdTimes.record(ms);
   }
 
   /** A wait is over, or has lasted so long already. */
-  learnWait(rank: number, seenMs: number, predictedMs: number): void {
-    if (predictedMs >= MIN_WAIT_MS) this.errorOf(rank).record(Math.max(0, seenMs) / predictedMs);
+  recordWait(rank: number, seenMs: number, predictedMs: number): void {
+    if (predictedMs >= MIN_WAIT_MS) this.waitErrorOf(rank).record(Math.max(0, seenMs) / predictedMs);
   }
 
   /** Waits seen over waits predicted, for this rank. */
-  errorOf(rank: number): histograms.Histogram {
+  waitErrorOf(rank: number): histograms.Histogram {
     return this.waitErrors[rankClassOf(rank)];
   }
 
@@ -110,7 +110,7 @@
   /**
    * Milliseconds a place is taken: the median for batches, the lower quartile where waiting cannot be told from work.
    */
-  heldMs(hasTokens: boolean): number {
+  occupancyMs(hasTokens: boolean): number {
     return this.holdTimes.percentile(hasTokens ? MEDIAN : LOWER_QUARTILE, 0);
   }
 
@@ -128,7 +128,7 @@
   }
 
   private learnedFactor(rank: number, percent: number, first: number): number {
-    const error = this.errorOf(rank);
+    const error = this.waitErrorOf(rank);
     if (error.count < MIN_RECORDS) return first;
     return Math.min(MAX_WAIT_FACTOR, Math.max(MIN_WAIT_FACTOR, error.percentile(percent, NEUTRAL_FACTOR)));
   }
--- a/src/admission/sizes.ts
+++ b/src/admission/size-classes.ts
@@ -29,7 +29,7 @@
 }
 
 /** The sizes of one route's requests, and how often each class was admitted. */
-export class Sizes {
+export class SizeClasses {
   private readonly histogram = new histograms.Histogram(1);
   private readonly classes = [noneAsked(), noneAsked(), noneAsked()];
   private readonly total = noneAsked();
--- a/src/admission/typical.ts
+++ b/src/admission/typical-request.ts
@@ -1,5 +1,5 @@
 /** What a request of one route usually takes, for "how many more" (design/admission 6). */
-import type * as predict from "./predict.js";
+import type * as prediction from "./prediction.js";
 
 const LEARNING_RATE = 0.05;
 
@@ -13,12 +13,12 @@
   private heldMs = 0;
 
   /** One request was served and held a place for `heldMs` milliseconds. */
-  learn(service: string, need: predict.Need, heldMs: number): void {
+  recordCompletion(service: string, need: prediction.TokenDemand, heldMs: number): void {
     this.service = service;
     this.count += 1;
     const rate = Math.max(LEARNING_RATE, 1 / this.count);
-    this.tokens += rate * (need.tokens - this.tokens);
-    this.unread += rate * (need.unread - this.unread);
+    this.tokens += rate * (need.totalTokens - this.tokens);
+    this.unread += rate * (need.prefillTokens - this.unread);
     this.heldMs += rate * (heldMs - this.heldMs);
   }
 
--- a/src/cli/capacity.ts
+++ b/src/cli/capacity.ts
@@ -4,13 +4,13 @@
  */
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as rooms from "../admission/room.js";
+import * as cellCapacity from "../admission/cell-capacity.js";
 import * as commands from "./commands.js";
 
 interface CellRoom {
   region: string;
   service: string;
-  room: rooms.Room;
+  room: cellCapacity.CellCapacity;
 }
 
 interface KindStatus {
@@ -40,7 +40,7 @@
   for (const instance of instances) byId.set(instance.id, instance);
   const made: CellRoom[] = [];
   for (const { region, reports: items } of reports) {
-    const services = new Map<string, rooms.Place[]>();
+    const services = new Map<string, cellCapacity.SlotUsage[]>();
     for (const item of items) {
       const instance = byId.get(item.id);
       if (!instance || instance.isDraining || !item.isSpeaking) continue;
@@ -55,7 +55,7 @@
       });
       services.set(instance.service, places);
     }
-    for (const [service, places] of services) made.push({ region, service, room: rooms.roomOf(places) });
+    for (const [service, places] of services) made.push({ region, service, room: cellCapacity.sumCapacity(places) });
   }
   return made;
 }
@@ -78,7 +78,11 @@
       return kind.service === cell.service;
     }
     function perS(kind: KindStatus): { route: string; requests_per_s: number | null } {
-      const most = rooms.requestsPerS(cell.room, { tokens: kind.tokens, readMs: rate > 0 ? kind.unread / rate : 0, heldMs: kind.heldMs });
+      const most = cellCapacity.requestsPerS(cell.room, {
+        tokens: kind.tokens,
+        readMs: rate > 0 ? kind.unread / rate : 0,
+        occupancyMs: kind.heldMs,
+      });
       return { route: kind.route, requests_per_s: Number.isFinite(most) ? Math.round(most * 10) / 10 : null };
     }
   }
--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -127,7 +127,7 @@
       this.known.note(runner.id, 0, readings.chainKeys(shared), this.world.now());
     }
     this.fleet.takeReport({ region, reports });
-    admission.takeReport({ region, reports });
+    admission.applyReport({ region, reports });
   }
 
   private prompt(): plans.Part[] {
--- a/src/router/attempt.ts
+++ b/src/router/attempt.ts
@@ -1,7 +1,7 @@
 // One send to one runner. The point of no return is the send itself: only a reply that says so takes it
 // back (design 7.8).
 import type * as undici from "undici";
-import type * as tickets from "../admission/ticket.js";
+import type * as attemptObserver from "../admission/attempt-observer.js";
 import * as log from "../runtime/log.js";
 import * as http from "../wire/http.js";
 import * as types from "../wire/types.js";
@@ -39,7 +39,7 @@
   requestId: types.RequestId;
   isStream: boolean;
   /** What was predicted of it; its reply teaches (design/admission 3). */
-  ticket: tickets.Ticket;
+  ticket: attemptObserver.AttemptObserver;
 }
 
 /** One send; reads the answer as the dispatcher hands it over. */
@@ -169,7 +169,7 @@
     this.received();
     if (this.isHandedBack) return true;
     this.time();
-    this.what.ticket.event();
+    this.what.ticket.recordEvent();
     if (!this.isStreaming && this.what.isStream) {
       this.isStreaming = true;
       this.runner.streaming += 1;
@@ -225,7 +225,7 @@
     this.connectTimer?.stop();
     this.runner.firstByteArrived(this);
     this.runner.inflight -= 1;
-    this.what.ticket.end(ending === "complete" ? "complete" : ending === "broken" ? "stopped" : "not_run");
+    this.what.ticket.recordEnd(ending === "complete" ? "complete" : ending === "broken" ? "stopped" : "not_run");
     if (this.isStreaming) this.runner.streaming -= 1;
     if (!isClean) this.abortSend?.();
     this.runner.connections.give(this.connection, isClean, this.head?.headers.get("keep-alive"));
--- a/src/router/batches.ts
+++ b/src/router/batches.ts
@@ -56,7 +56,7 @@
   private loads(): schema.RouterLoads {
     const routes: schema.RouteLoad[] = [];
     for (const [route, arrivals] of this.arrivals) {
-      const { heldMs, unread } = this.admission.typicalOf(route).status();
+      const { heldMs, unread } = this.admission.typicalRequestOf(route).status();
       routes.push({ route, arrivals, heldMs, unread });
     }
     return { life: this.life, readRate: this.known.rate, routes };
--- a/src/router/chooser.ts
+++ b/src/router/chooser.ts
@@ -1,7 +1,7 @@
 // The fixed chain of policies and what it needs to send on: runner, connection, shares (design 7.2).
 import * as admissions from "../admission/admission.js";
-import * as returns from "../admission/returns.js";
-import type * as tickets from "../admission/ticket.js";
+import * as recentRejections from "../admission/recent-rejections.js";
+import type * as attemptObserver from "../admission/attempt-observer.js";
 import * as routes from "../config/routes.js";
 import * as log from "../runtime/log.js";
 import * as shares from "../limits/shares.js";
@@ -21,7 +21,7 @@
 export interface Choice {
   runner: fleets.Runner;
   connection: connections.Connection;
-  ticket: tickets.Ticket;
+  ticket: attemptObserver.AttemptObserver;
 }
 
 const MIN_CONNECTIONS = 2;
@@ -99,7 +99,7 @@
       now: this.world.now(),
       deadline: request.deadline,
       asked: request.asked,
-      returnKey: returns.keyOf(request.entry.route.name, request.keys, request.body),
+      returnKey: recentRejections.requestKey(request.entry.route.name, request.keys, request.body),
       cells: [],
       candidates: [],
     };
@@ -136,7 +136,7 @@
       hasCold ||= isCold;
       if (isCold && !this.share.takeCold(runner.id, perS)) continue;
       const connection = runner.connections.take(most, plan.entry.isRepeatable);
-      if (connection) return { runner, connection, ticket: this.admission.sent(plan, runner) };
+      if (connection) return { runner, connection, ticket: this.admission.recordSend(plan, runner) };
     }
     log.count(hasCold ? "router.all_cold" : "router.all_busy");
     if (hasCold) return { status: 503, cause: "the runners are warming up", retryAfterS: bounded(this.share.coldWaitS(perS)) };
--- a/src/router/policies/admission.ts
+++ b/src/router/policies/admission.ts
@@ -8,6 +8,6 @@
   constructor(private readonly admission: admissions.Admission) {}
 
   apply(plan: plans.Plan): plans.Rejection | null {
-    return this.admission.judge(plan);
+    return this.admission.decide(plan);
   }
 }
--- a/src/router/program.ts
+++ b/src/router/program.ts
@@ -134,7 +134,7 @@
 
   private watch(): void {
     this.judgeStart();
-    this.chooser.admission.turn(WATCH_MS);
+    this.chooser.admission.runPeriodically(WATCH_MS);
     this.dial.turn();
     this.follower.elect();
     this.follower.narrow();
@@ -194,14 +194,14 @@
     this.fleet.takeChanges(changed, applied.gone);
     if (applied.gone.length > 0) {
       this.known.forgetAllBut(this.fleet);
-      this.chooser.admission.forgetAllBut(this.fleet);
+      this.chooser.admission.retainOnly(this.fleet);
     }
     this.judgeStart();
   }
 
   /** A period of a region's reports is whole. */
   private reported(region: string): void {
-    this.chooser.admission.takeReport({ region, reports: this.fleet.reportsOf(region) });
+    this.chooser.admission.applyReport({ region, reports: this.fleet.reportsOf(region) });
   }
 
   /** Settings read again: seeds and bounds take effect; addresses of its own do not. */
@@ -236,7 +236,7 @@
     this.server.isLeaving = true;
     this.beat();
     await leaving.finishWork(this.clock, this.server, this.startup.bounds.grace_s * 1000);
-    log.state(this.chooser.admission.tally.line());
+    log.state(this.chooser.admission.stats.logLine());
     await this.root.stop();
     this.dial.end();
     this.fleet.closeIdle();
--- a/src/router/request.ts
+++ b/src/router/request.ts
@@ -1,6 +1,6 @@
 // A request as the router holds it, and as a runner gets it (design 7.1).
 import type * as nodeHttp from "node:http";
-import type * as tickets from "../admission/ticket.js";
+import type * as attemptObserver from "../admission/attempt-observer.js";
 import * as routes from "../config/routes.js";
 import * as shares from "../limits/shares.js";
 import * as names from "../wire/names.js";
@@ -80,7 +80,7 @@
   request: Request,
   incoming: nodeHttp.IncomingMessage,
   sending: Pick<headers.Sending, "target" | "budgetMs" | "lastEventId">,
-  ticket: tickets.Ticket,
+  ticket: attemptObserver.AttemptObserver,
 ): attempts.Sendable {
   const { method, url, rawHeaders, headers: parsed } = incoming;
   return {
--- a/src/router/transaction.ts
+++ b/src/router/transaction.ts
@@ -1,6 +1,6 @@
 // One request through the router: explicit states, one function for every change (design 7.1).
 import type * as nodeHttp from "node:http";
-import type * as tallies from "../admission/tally.js";
+import type * as admissionStats from "../admission/admission-stats.js";
 import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
 import * as answer from "./answer.js";
@@ -40,10 +40,10 @@
   }
 
   /** `end`: what it came to, with the last change. */
-  private move(to: states.State, end?: tallies.End): void {
+  private move(to: states.State, end?: admissionStats.RequestOutcome): void {
     this.state = states.moved(this.state, to);
     if (!end) return;
-    this.context.chooser.admission.tally.ended(end, this.request.rank);
+    this.context.chooser.admission.stats.recordOutcome(end, this.request.rank);
     this.deadlineTimer?.stop();
     this.context.finished();
   }
@@ -104,14 +104,14 @@
     else this.finish(502, "the runner broke off and the request may have run", null, "lost");
   }
 
-  private finish(status: number, message: string, retryAfterS: number | null, end: tallies.End): void {
+  private finish(status: number, message: string, retryAfterS: number | null, end: admissionStats.RequestOutcome): void {
     const { world, chooser } = this.context;
-    if (end === "denied") chooser.admission.tally.refused(world.now() - this.request.arrivedAt, message, this.tried.size > 0);
+    if (end === "denied") chooser.admission.stats.recordRejection(world.now() - this.request.arrivedAt, message, this.tried.size > 0);
     this.reply.answer(status, message, retryAfterS);
     this.move("done", end);
   }
 
-  private breakOff(end: tallies.End): void {
+  private breakOff(end: admissionStats.RequestOutcome): void {
     log.count("router.broken_off");
     this.reply.breakOff();
     this.move("done", end);
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -1,7 +1,7 @@
 /** A client of an overload day: a deadline, retries as told by Retry-After, one router a try (design/admission 7). */
 import type * as fleets from "../router/runners/fleet.js";
 import type * as plans from "../router/plan.js";
-import type * as tickets from "../admission/ticket.js";
+import type * as attemptObserver from "../admission/attempt-observer.js";
 import type * as request from "../router/request.js";
 import type * as types from "../wire/types.js";
 import type * as batch from "./batch.js";
@@ -61,7 +61,7 @@
   /** The runner as the router sees it, and the model that does the work. */
   readonly runner: fleets.Runner;
   readonly model: batch.BatchRunner;
-  readonly ticket: tickets.Ticket;
+  readonly ticket: attemptObserver.AttemptObserver;
   readonly request: request.Request;
   /** Ids of the runners that handed this try back. */
   readonly tried: Set<string>;
@@ -129,12 +129,12 @@
         hasFirst = true;
         router.known.learn(tokens, fleet.world.now() - sentAt);
         runner.received(fleet.world.now());
-        ticket.first();
+        ticket.recordFirstEvent();
         recordFirstEvent();
       },
       ended(isWhole): void {
         runner.inflight -= 1;
-        ticket.end(isWhole ? "complete" : "stopped");
+        ticket.recordEnd(isWhole ? "complete" : "stopped");
         recordEnd(isWhole && hasFirst);
       },
     });
@@ -143,7 +143,7 @@
       return;
     }
     runner.inflight -= 1;
-    ticket.end("not_run");
+    ticket.recordEnd("not_run");
     runner.denied(fleet.world.now(), false);
     send.tried.add(model.id);
     if (send.tried.size < MAX_SENDS) this.send(router, send.tried);
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -88,7 +88,7 @@
       }
       for (const router of this.routers) {
         router.fleet.takeReport({ region: region.name, reports });
-        router.chooser.admission.takeReport({ region: region.name, reports });
+        router.chooser.admission.applyReport({ region: region.name, reports });
       }
     }
     this.world.schedule(REPORT_MS, this.report.bind(this));
--- a/tests/admission-judge.test.ts
+++ b/tests/admission-judge.test.ts
@@ -1,10 +1,10 @@
 // The judgment at the door of a busy fleet: calm days change nothing, newcomers are judged by their aim, long
 // readings keep away from streams that pause, and the tally of it all (design/admission 10 to 12).
 import * as admissions from "../src/admission/admission.js";
-import * as pauses from "../src/admission/pauses.js";
-import * as sizes from "../src/admission/sizes.js";
-import * as tallies from "../src/admission/tally.js";
-import * as verdict from "../src/admission/verdict.js";
+import * as interTokenGaps from "../src/admission/inter-token-gaps.js";
+import * as sizeClasses from "../src/admission/size-classes.js";
+import * as admissionStats from "../src/admission/admission-stats.js";
+import * as admissionDecision from "../src/admission/admission-decision.js";
 import * as check from "../src/config/check.js";
 import * as routes from "../src/config/routes.js";
 import * as fleets from "../src/router/runners/fleet.js";
@@ -58,8 +58,8 @@
       })),
     );
     for (let count = 0; count < 30; count += 1) {
-      this.admission.paceOf("s").learnHeld(1000);
-      this.admission.paceOf("s").learnTokens(1, 10, 200);
+      this.admission.serviceTimeOf("s").recordOccupancy(1000);
+      this.admission.serviceTimeOf("s").recordTokens(1, 10, 200);
     }
   }
 
@@ -95,7 +95,7 @@
       kvCapacity: 100_000,
     }));
     this.fleet.takeReport({ region: "r", reports });
-    this.admission.takeReport({ region: "r", reports });
+    this.admission.applyReport({ region: "r", reports });
   }
 
   /** So many milliseconds of prompts are to be read first. */
@@ -104,7 +104,7 @@
   }
 
   pause(id: string, share: number): void {
-    this.admission.pauses.recordPause(types.small(id), share, this.clock.now());
+    this.admission.interTokenGaps.recordGap(types.small(id), share, this.clock.now());
   }
 }
 
@@ -114,7 +114,7 @@
   const looked = jest.spyOn(door.admission, "predict");
   const plan = door.plan(1);
   const { candidates } = plan;
-  expect(door.admission.judge(plan)).toBeNull();
+  expect(door.admission.decide(plan)).toBeNull();
   expect(plan.candidates).toBe(candidates);
   expect(looked).toHaveBeenCalledTimes(1);
 });
@@ -125,7 +125,7 @@
   door.fill("i-1", 1000);
   door.fill("i-2", 900);
   const plan = door.plan(1);
-  expect(door.admission.judge(plan)).toBeNull();
+  expect(door.admission.decide(plan)).toBeNull();
   expect(plan.candidates[0].id).toBe("i-1");
 });
 
@@ -140,7 +140,7 @@
   door.report([8, 8]);
   for (const id of ["i-1", "i-2"]) door.fill(id, backlogMs);
   if (key > 0) door.admission.recentRejections.recordRejection(key, door.clock.now());
-  expect(door.admission.judge(door.plan(rank, key)) === null).toBe(isIn);
+  expect(door.admission.decide(door.plan(rank, key)) === null).toBe(isIn);
 });
 
 test("a newcomer goes where it is within its aim", () => {
@@ -149,7 +149,7 @@
   door.fill("i-1", 900);
   door.fill("i-2", 900);
   const plan = door.plan(1);
-  expect(door.admission.judge(plan)).toBeNull();
+  expect(door.admission.decide(plan)).toBeNull();
   expect(plan.candidates.map((runner) => runner.id)).toEqual(["i-3", "i-1", "i-2"]);
 });
 
@@ -158,8 +158,8 @@
   door.report([8]);
   door.admission.recentRejections.recordRejection(7, 0);
   door.fill("i-1", 3200);
-  expect(door.admission.judge(door.plan(1, 7))).toMatchObject({ status: 503 });
-  expect(door.admission.judge(door.plan(0))).toBeNull();
+  expect(door.admission.decide(door.plan(1, 7))).toMatchObject({ status: 503 });
+  expect(door.admission.decide(door.plan(0))).toBeNull();
 });
 
 test("a long reading keeps away from streams that pause; a short one and the first rank do not", async function pressed() {
@@ -167,14 +167,14 @@
   door.report([8, 8]);
   door.pause("i-1", 0.9);
   const plan = door.plan(1);
-  expect(door.admission.judge(plan)).toBeNull();
+  expect(door.admission.decide(plan)).toBeNull();
   expect(plan.candidates[0].id).toBe("i-2");
   door.pause("i-2", 0.9);
-  expect(door.admission.judge(door.plan(1))).toMatchObject({ status: 503 });
-  expect(door.admission.judge(door.plan(1, 0, 100))).toBeNull();
-  expect(door.admission.judge(door.plan(0))).toBeNull();
+  expect(door.admission.decide(door.plan(1))).toMatchObject({ status: 503 });
+  expect(door.admission.decide(door.plan(1, 0, 100))).toBeNull();
+  expect(door.admission.decide(door.plan(0))).toBeNull();
   await door.clock.play(1000);
-  expect(door.admission.judge(door.plan(1))).toBeNull();
+  expect(door.admission.decide(door.plan(1))).toBeNull();
 });
 
 test.each<[string, number, boolean, boolean]>([
@@ -183,7 +183,7 @@
   ["four times in five", 5, true, false],
   ["as often", 1, false, false],
 ])("the largest tenth is admitted %s: held back, starved", (_name, every, isHeldBack, isStarved) => {
-  const made = new sizes.Sizes();
+  const made = new sizeClasses.SizeClasses();
   for (let count = 0; count < 2000; count += 1) {
     const size = 1 + ((count * 37) % 100);
     const isLarge = made.classOf(size) === 0;
@@ -196,18 +196,18 @@
 
 test("the large ones of a kind do not starve: once they do, pauses hold them back no further", () => {
   const door = new Door(1);
-  for (let count = 0; count < 60; count += 1) door.admission.sent(door.plan(1, 0, 300), [...door.fleet.of("s")][0]);
+  for (let count = 0; count < 60; count += 1) door.admission.recordSend(door.plan(1, 0, 300), [...door.fleet.of("s")][0]);
   door.report([8]);
   door.pause("i-1", 0.9);
-  const isIn = Array.from({ length: 6 }, () => door.admission.judge(door.plan(1, 0, 2500)) === null);
+  const isIn = Array.from({ length: 6 }, () => door.admission.decide(door.plan(1, 0, 2500)) === null);
   expect([isIn[0], isIn[5]]).toEqual([false, true]);
 });
 
 test("pauses: the longest lately counts, and half as much after a while", () => {
-  const made = new pauses.Pauses();
+  const made = new interTokenGaps.InterTokenGaps();
   const id: types.RunnerId = types.small("i-1");
-  made.recordPause(id, 1, 0);
-  made.recordPause(id, 0.2, 10);
+  made.recordGap(id, 1, 0);
+  made.recordGap(id, 0.2, 10);
   expect([made.isNearLimit(id, 100), made.isNearLimit(id, 600)]).toEqual([true, false]);
   made.retainOnly(new Set<string>());
   expect(made.isNearLimit(id, 0)).toBe(false);
@@ -215,20 +215,20 @@
 
 test("Retry-After: the excess, at least 0.2 s, at most a third of the time left, spread by chance", () => {
   const plan = new Door(1).plan(1);
-  expect([0, 1].map((random) => verdict.rejection(plan, 500, random).retryAfterS)).toEqual([0.3, 0.5]);
-  expect(verdict.rejection(plan, -Infinity, 1).retryAfterS).toBe(0.2);
-  expect(verdict.rejection(plan, 9000, 1).retryAfterS).toBeCloseTo(4 / 3);
+  expect([0, 1].map((random) => admissionDecision.reject(plan, 500, random).retryAfterS)).toEqual([0.3, 0.5]);
+  expect(admissionDecision.reject(plan, -Infinity, 1).retryAfterS).toBe(0.2);
+  expect(admissionDecision.reject(plan, 9000, 1).retryAfterS).toBeCloseTo(4 / 3);
 });
 
 test("the tally: refusal times at the door and after a send, ends by rank, room unused, and when a shortage ends", async function told() {
   const clock = new sim.SimWorld(1);
-  const tally = new tallies.Tally(clock);
-  for (let count = 1; count <= 99; count += 1) tally.refused(0.5, "no room", false);
-  tally.refused(40, "no room", false);
-  tally.refused(300, "handed back", true);
-  tally.ended("whole", 0);
-  tally.ended("late", 1);
-  tally.recordUnusedRoom({ runners: 1, places: 8, freePlaces: 2, waiting: 0, tokens: 0, freeTokens: 0, readMs: 0 });
+  const tally = new admissionStats.AdmissionStats(clock);
+  for (let count = 1; count <= 99; count += 1) tally.recordRejection(0.5, "no room", false);
+  tally.recordRejection(40, "no room", false);
+  tally.recordRejection(300, "handed back", true);
+  tally.recordOutcome("whole", 0);
+  tally.recordOutcome("late", 1);
+  tally.recordUnusedCapacity({ runners: 1, places: 8, freePlaces: 2, waiting: 0, tokens: 0, freeTokens: 0, readMs: 0 });
   expect(tally.status()).toMatchObject({
     ends: { whole_rank_0: 1, late_rank_1: 1 },
     causes: { "no room": 100, "handed back": 1 },
@@ -243,8 +243,8 @@
   };
   expect([Math.round(atDoor.worst), Math.round(unused.p50)]).toEqual([40, 25]);
   tally.onTimer();
-  expect(tally.isShort).toBe(true);
+  expect(tally.isRejecting).toBe(true);
   await clock.play(3100);
   tally.onTimer();
-  expect(tally.isShort).toBe(false);
+  expect(tally.isRejecting).toBe(false);
 });
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -1,6 +1,6 @@
 // Admission at the door: denial by rank and load, returning requests, and its line of the settings (design/admission).
 import * as admissions from "../src/admission/admission.js";
-import * as pace from "../src/admission/pace.js";
+import * as serviceTimeModel from "../src/admission/service-time-model.js";
 import * as routes from "../src/config/routes.js";
 import * as check from "../src/config/check.js";
 import * as fleets from "../src/router/runners/fleet.js";
@@ -53,8 +53,8 @@
   );
   const admission = new admissions.Admission(clock, { runners: fleet.all.bind(fleet), known: new readings.Readings(), routers: () => 1 });
   for (let count = 0; count < 30; count += 1) {
-    admission.paceOf("s").learnHeld(2000);
-    admission.paceOf("s").learnTokens(1, 10, 200);
+    admission.serviceTimeOf("s").recordOccupancy(2000);
+    admission.serviceTimeOf("s").recordTokens(1, 10, 200);
   }
   const table = new routes.RouteTable(CONFIG);
   return {
@@ -92,7 +92,7 @@
         })),
       };
       fleet.takeReport(report);
-      admission.takeReport(report);
+      admission.applyReport(report);
     },
   };
 }
@@ -107,42 +107,42 @@
 ])("%s", (_name, active, waiting, rank, isIn) => {
   const { admission, plan, report } = door();
   report(active, waiting);
-  expect(admission.judge(plan(rank)) === null).toBe(isIn);
+  expect(admission.decide(plan(rank)) === null).toBe(isIn);
 });
 
 test("the first runner that serves in time goes first; off, or with nothing learned, all are let in", () => {
   const { admission, plan, report } = door();
   report([12, 1]);
   const moved = plan(0);
-  expect(admission.judge(moved)).toBeNull();
+  expect(admission.decide(moved)).toBeNull();
   expect(moved.candidates[0].id).toBe("i-2");
   report([4, 4], 20);
-  expect(admission.judge(plan(0))).toMatchObject({ status: 503 });
+  expect(admission.decide(plan(0))).toMatchObject({ status: 503 });
   admission.isOn = false;
-  expect(admission.judge(plan(0))).toBeNull();
-  expect(new pace.Pace().heldMs(true)).toBe(0);
+  expect(admission.decide(plan(0))).toBeNull();
+  expect(new serviceTimeModel.ServiceTimeModel().occupancyMs(true)).toBe(0);
 });
 
 test("reports that stopped deny nobody", async function stale() {
   const { clock, admission, plan, report } = door();
   report([4, 4], 20);
-  expect(admission.judge(plan(2))).toMatchObject({ status: 503 });
+  expect(admission.decide(plan(2))).toMatchObject({ status: 503 });
   await clock.play(3100);
-  expect(admission.judge(plan(2))).toBeNull();
+  expect(admission.decide(plan(2))).toBeNull();
 });
 
 test("a returning request is let in where a newcomer of its rank is not; only once", () => {
   const { admission, plan, report } = door();
   report([4, 4], 1);
-  expect(admission.judge(plan(2, 77))).toMatchObject({ status: 503 });
-  expect(admission.judge(plan(2, 78))).toMatchObject({ status: 503 });
-  expect(admission.judge(plan(2, 77))).toBeNull();
+  expect(admission.decide(plan(2, 77))).toMatchObject({ status: 503 });
+  expect(admission.decide(plan(2, 78))).toMatchObject({ status: 503 });
+  expect(admission.decide(plan(2, 77))).toBeNull();
 });
 
 test("Retry-After is spread by chance, and within a third of the time left", () => {
   const { admission, plan, report } = door(5);
   report([4, 4], 20);
-  const told = Array.from({ length: 50 }, () => admission.judge(plan(2))!.retryAfterS);
+  const told = Array.from({ length: 50 }, () => admission.decide(plan(2))!.retryAfterS);
   expect(Math.max(...told)).toBeLessThanOrEqual(1);
   expect(Math.min(...told)).toBeGreaterThan(0.1);
   expect(new Set(told.map((value) => value.toFixed(2))).size).toBeGreaterThan(20);
