--- a/src/batch/owner.ts
+++ b/src/batch/owner.ts
@@ -28,7 +28,7 @@
 /** The batch register, as the owner changes it. */
 export interface Register {
   readonly chosen: registerSchema.Value | null;
-  order(step: proposers.Step, withinMs: number): Promise<proposers.Outcome>;
+  submitOrder(step: proposers.Step, withinMs: number): Promise<proposers.Outcome>;
 }
 
 /** What the owner needs around it. */
@@ -160,7 +160,7 @@
   /** The table that was chosen with the change; null: nothing is known, or another owner's term has begun. */
   private async change(step: (table: schema.BatchTable) => steps.Outcome): Promise<schema.BatchTable | null> {
     this.isChanging = true;
-    const outcome = await this.needs.register.order(registerStep(step), CHANGE_MS);
+    const outcome = await this.needs.register.submitOrder(registerStep(step), CHANGE_MS);
     this.isChanging = false;
     if (outcome.isErr) log.count(`batch.change_${outcome.error.code}`);
     return outcome.isOk ? tables.tableOf(outcome.value) : null;
--- a/src/cli/view.ts
+++ b/src/cli/view.ts
@@ -1,5 +1,5 @@
 /** A node's status as lines for people (design 10.2). The interfaces name what is read of its JSON. */
-import type * as disks from "../control/voters/disk.js";
+import type * as voterDisk from "../control/voters/voter-disk.js";
 import type * as serveGate from "../router/serve-gate.js";
 import type * as counts from "../wire/counts.js";
 import type * as schema from "../wire/schema.js";
@@ -8,7 +8,7 @@
 interface ControlStatus {
   node: schema.NodeInfo;
   isSettled: boolean;
-  disk: disks.DiskStatus | null;
+  disk: voterDisk.DiskStatus | null;
   contact: { isConfirmed: boolean; isLeaving: boolean; sinceMs: number; voters: number; confirming: number };
   register: { epoch: number; revision: number; evacuations: string[]; voters: schema.Voter[]; former: schema.Voter[] } | null;
   members: { control: schema.NodeInfo[]; router: schema.NodeInfo[] };
--- a/src/control/account.ts
+++ b/src/control/account.ts
@@ -3,16 +3,16 @@
 import type * as schema from "../wire/schema.js";
 import * as log from "../runtime/log.js";
 import * as vitals from "../runtime/vitals.js";
-import type * as contacts from "./voters/contact.js";
-import type * as cores from "./core.js";
-import type * as sessions from "./members/sessions.js";
+import type * as quorumContact from "./voters/quorum-contact.js";
+import type * as registerReplica from "./register-replica.js";
+import type * as membership from "./members/membership.js";
 
 /** What the account is put together from. */
 export interface AccountParts {
   node: schema.NodeInfo;
-  core: cores.Core;
-  contact: contacts.Contact;
-  members: sessions.Sessions;
+  core: registerReplica.RegisterReplica;
+  contact: quorumContact.QuorumContact;
+  members: membership.Membership;
   /** State of the voter's disk; null on a node without one. */
   disk: unknown;
   /** The platform's list and the reports, as Cells tells them. */
@@ -42,7 +42,7 @@
       voters: value.voters,
       former: value.former,
     },
-    members: { control: members.members("control"), router: members.members("router") },
+    members: { control: members.withRole("control"), router: members.withRole("router") },
     cells,
     quotas,
     tallies,
--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -18,7 +18,7 @@
 import * as batchSchema from "../../wire/batch-schema.js";
 import type * as types from "../../wire/types.js";
 import type * as batchView from "./batch-view.js";
-import type * as cores from "../core.js";
+import type * as registerReplica from "../register-replica.js";
 import * as serve from "../../wire/serve.js";
 
 const CHANGE_MS = 2600;
@@ -28,7 +28,7 @@
 /** What the calls are answered with. */
 export interface BatchDependencies {
   readonly world: types.Clock;
-  readonly register: Pick<cores.Core, "chosen" | "order" | "read">;
+  readonly register: Pick<registerReplica.RegisterReplica, "chosen" | "submitOrder" | "read">;
   readonly replicas: Pick<replicas.Replicas, "put" | "find">;
   readonly view: batchView.BatchView;
   readonly forecast: Parameters<typeof outlook.cellsOf>[1];
@@ -119,7 +119,7 @@
     const quote = (await this.project(outline, false)) as quotes.Quote;
     if (!(await this.needs.replicas.put({ digest, ...records.SUBMISSION }, body))) return serve.errorReply(notDurable());
     const step = owners.registerStep((table) => steps.submit(table, this.order(submission, body, digest, quote)));
-    const outcome = await this.needs.register.order(step, CHANGE_MS);
+    const outcome = await this.needs.register.submitOrder(step, CHANGE_MS);
     log.count(outcome.isOk ? "batch.submitted" : `batch.submit_${outcome.error.code}`);
     if (outcome.isErr) return serve.errorReply(outcome.error);
     const table = tables.tableOf(outcome.value);
@@ -144,7 +144,7 @@
 
   private async cancel(number: number): Promise<serve.Told> {
     const step = owners.registerStep((table) => steps.cancel(table, number));
-    const outcome = await this.needs.register.order(step, CHANGE_MS);
+    const outcome = await this.needs.register.submitOrder(step, CHANGE_MS);
     if (outcome.isErr) return serve.errorReply(outcome.error);
     return this.told(tables.tableOf(outcome.value), number);
   }
--- a/src/control/batches/batch-loads.ts
+++ b/src/control/batches/batch-loads.ts
@@ -11,7 +11,7 @@
 import type * as feeds from "../../feed/feed.js";
 import * as loads from "../../forecast/loads.js";
 import * as summary from "../../load/summary.js";
-import type * as sessions from "../members/sessions.js";
+import type * as membership from "../members/membership.js";
 
 const ASK_EVERY_MS = 5000;
 const REPLY_MS = 2000;
@@ -37,7 +37,7 @@
   constructor(
     private readonly world: types.Clock,
     private readonly feed: Pick<feeds.Feed, "followersOf">,
-    private readonly members: Pick<sessions.Sessions, "readyRouters">,
+    private readonly members: Pick<membership.Membership, "readyRouters">,
     private readonly dial: Pick<dialer.Dialer, "links">,
   ) {
     this.forecast = new loads.LoadForecast(world);
--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -13,8 +13,8 @@
 import * as owner from "../../store/owner.js";
 import * as voterManager from "../voters/voter-manager.js";
 import type * as channel from "../channel.js";
-import * as cores from "../core.js";
-import * as disks from "../voters/disk.js";
+import * as registerReplica from "../register-replica.js";
+import * as voterDisk from "../voters/voter-disk.js";
 
 /** The folder of the register's files below data_dir. */
 const FOLDER = "batches";
@@ -34,8 +34,8 @@
 
 /** Turned by the control node's timer. */
 export class BatchRegister {
-  readonly core: cores.Core;
-  private readonly disk: disks.VoterDisk;
+  readonly core: registerReplica.RegisterReplica;
+  private readonly disk: voterDisk.VoterDisk;
   private readonly voterManager: voterManager.VoterManager;
   /** Disks of the siblings in this register, by their address. */
   private readonly disksByAddress = new Map<string, string>();
@@ -50,10 +50,10 @@
   ) {
     const { life, address, seeds, isBootstrap } = options;
     const first = registers.firstValue(isBootstrap ? seeds : []);
-    this.core = new cores.Core(world, { life, address, first, channel: this.channel() }, dial);
+    this.core = new registerReplica.RegisterReplica(world, { life, address, first, channel: this.channel() }, dial);
     const folder = new files.RealFolder(path.join(options.dataDir, FOLDER));
     const machine = { world, folder, processes: owner.realProcesses };
-    this.disk = new disks.VoterDisk(machine, { address, seeds, isBootstrap }, this.core.enter.bind(this.core));
+    this.disk = new voterDisk.VoterDisk(machine, { address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
     this.voterManager = new voterManager.VoterManager(world, this.core, this.nodes.bind(this));
     dial.on("up", this.tell.bind(this));
     dial.on("down", (control) => this.disksByAddress.delete(control.address));
@@ -72,7 +72,7 @@
   }
 
   register(handlers: link.Handlers): void {
-    this.core.register(handlers);
+    this.core.registerHandlers(handlers);
     handlers.on(calls.batchNode, (_from, told) => {
       this.disksByAddress.set(told.address, told.disk);
       return null;
@@ -107,8 +107,8 @@
       for (const control of this.dial.controls.values()) this.tell(control);
       this.catchUp();
     }
-    this.core.turn();
-    this.voterManager.turn();
+    this.core.runPeriodically();
+    this.voterManager.runPeriodically();
   }
 
   /** News of a choice may be lost with a link: one sibling after the other is asked what it knows. */
@@ -122,7 +122,7 @@
 
   status(): unknown {
     const { chosen } = this.core;
-    return { disk: this.disk.status(), epoch: chosen?.epoch ?? null, voters: chosen?.voters ?? [], isSettled: this.core.isSettled() };
+    return { disk: this.disk.status(), epoch: chosen?.epoch ?? null, voters: chosen?.voters ?? [], isSettled: this.core.hasQuorum() };
   }
 
   /** Hands its vote over while the links still stand. */
@@ -131,7 +131,7 @@
   }
 
   async stop(): Promise<void> {
-    this.core.leave();
+    this.core.detachVoter();
     await this.disk.stop();
   }
 }
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -24,7 +24,7 @@
 import * as batchView from "./batch-view.js";
 import type * as cells from "../platform/cells.js";
 import type * as serve from "../../wire/serve.js";
-import type * as sessions from "../members/sessions.js";
+import type * as membership from "../members/membership.js";
 
 const REPAIR_MS = 2000;
 const OPEN_AGAIN_MS = 1000;
@@ -38,7 +38,7 @@
   readonly dial: dialer.Dialer;
   readonly handlers: link.Handlers;
   readonly feed: feeds.Feed;
-  readonly members: sessions.Sessions;
+  readonly members: membership.Membership;
   readonly cells: cells.Cells;
   /** The newest chosen value of the configuration's register. */
   configuration(): schema.Value | null;
--- a/src/control/directory/directory.ts
+++ b/src/control/directory/directory.ts
@@ -8,7 +8,7 @@
 
 /** Where routers stand: a region of each zone, and the members known. */
 export interface DirectoryView {
-  routers(): shrinkGuard.SeenNode[];
+  routers(): shrinkGuard.ObservedNode[];
   /** Whether a router that said it leaves still takes connections. */
   stillServes(node: schema.NodeInfo): boolean;
   /** Regions that the routes of a host name are bound to; empty: none. */
@@ -37,7 +37,7 @@
 
 /** Routers that are surely alive go before those that are only believed to be (design/members 5). */
 export function nearest(
-  routers: readonly shrinkGuard.SeenNode[],
+  routers: readonly shrinkGuard.ObservedNode[],
   { region, zone, homes }: Asker,
   stillServes: (node: schema.NodeInfo) => boolean = never,
 ): schema.NodeInfo[] {
@@ -46,10 +46,10 @@
   const usable = ready.length > 0 ? ready : routers;
   const here = usable.filter(isHere);
   const near = here.filter(isNear);
-  function isHere(seen: shrinkGuard.SeenNode): boolean {
+  function isHere(seen: shrinkGuard.ObservedNode): boolean {
     return seen.node.region === region;
   }
-  function isNear(seen: shrinkGuard.SeenNode): boolean {
+  function isNear(seen: shrinkGuard.ObservedNode): boolean {
     return seen.node.zone === zone;
   }
   // One router alone is no zone to lean on: then the whole region serves.
@@ -66,7 +66,7 @@
 }
 
 /** Those in the regions that the routes are bound to; all where there are none. */
-function atHome(usable: readonly shrinkGuard.SeenNode[], homes: ReadonlySet<string> = new Set()): readonly shrinkGuard.SeenNode[] {
+function atHome(usable: readonly shrinkGuard.ObservedNode[], homes: ReadonlySet<string> = new Set()): readonly shrinkGuard.ObservedNode[] {
   const found = usable.filter((seen) => homes.has(seen.node.region));
   return found.length > 0 ? found : usable;
 }
@@ -75,15 +75,15 @@
   return false;
 }
 
-function isSure(seen: shrinkGuard.SeenNode): boolean {
-  return seen.isSure;
+function isSure(seen: shrinkGuard.ObservedNode): boolean {
+  return seen.isConfirmed;
 }
 
-function nodeOf(seen: shrinkGuard.SeenNode): schema.NodeInfo {
+function nodeOf(seen: shrinkGuard.ObservedNode): schema.NodeInfo {
   return seen.node;
 }
 
-function isReady(seen: shrinkGuard.SeenNode): boolean {
+function isReady(seen: shrinkGuard.ObservedNode): boolean {
   return seen.node.isReady;
 }
 
--- a/src/control/leases/leases.ts
+++ b/src/control/leases/lease-server.ts
@@ -8,8 +8,8 @@
 import type * as parts from "../../limits/parts.js";
 import * as tenure from "../../limits/tenure.js";
 import type * as quotaPart from "../../tenants/quota-part.js";
-import type * as contacts from "../voters/contact.js";
-import type * as cores from "../core.js";
+import type * as quorumContact from "../voters/quorum-contact.js";
+import type * as registerReplica from "../register-replica.js";
 import * as quotas from "./quotas.js";
 
 /** The figures of all bounds that are leased. */
@@ -26,32 +26,32 @@
     world: types.Clock,
     life: string,
     bounds: LeaseBounds,
-    private readonly core: cores.Core,
+    private readonly core: registerReplica.RegisterReplica,
   ) {
     this.tenure = new tenure.Tenure(world);
     this.owner = new owner.LeaseOwner(world, life, bounds, this.tenure);
     this.quotas = new quotas.Quotas(world, life, bounds, core);
   }
 
-  resettle(bounds: LeaseBounds): void {
+  updateSettings(bounds: LeaseBounds): void {
     this.owner.resettle(bounds);
-    this.quotas.resettle(bounds);
+    this.quotas.updateSettings(bounds);
   }
 
-  /** Answers routers that ask for leases, and control nodes that ask what this voter knows (contact.ts). */
-  register(handlers: link.Handlers, contact: contacts.Contact): void {
+  /** Answers routers that ask for leases, and control nodes that ask what this voter knows (quorum-contact.ts). */
+  registerHandlers(handlers: link.Handlers, contact: quorumContact.QuorumContact): void {
     handlers.on(calls.lease, this.lease.bind(this, contact));
     handlers.on(calls.fence, this.fence.bind(this));
-    this.quotas.register(handlers, contact);
+    this.quotas.registerHandlers(handlers, contact);
   }
 
-  private lease(contact: contacts.Contact, _from: link.Link, ask: leaseSchema.LeaseAsk): leaseSchema.LeaseReply {
-    this.follow();
+  private lease(contact: quorumContact.QuorumContact, _from: link.Link, ask: leaseSchema.LeaseAsk): leaseSchema.LeaseReply {
+    this.applyChosen();
     return this.owner.reply(ask, contact.isConfirmed() ? this.core.acceptedVoterEpoch : null);
   }
 
   private fence(_from: link.Link, ask: leaseSchema.FenceAsk): leaseSchema.FenceReply {
-    this.follow();
+    this.applyChosen();
     const { disk, acceptedVoterEpoch, acceptedEpoch, chosen } = this.core;
     return {
       disk,
@@ -62,15 +62,15 @@
     };
   }
 
-  private follow(): void {
+  private applyChosen(): void {
     if (this.core.chosen) this.tenure.take(this.core.chosen, this.core.disk);
-    this.quotas.follow();
+    this.quotas.applyChosen();
   }
 
-  /** A voter's reply to one of the contact's asks; see OnReply of contact.ts. */
-  takeReply(asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
-    this.follow();
+  /** A voter's reply to one of the contact's asks; see OnReply of quorum-contact.ts. */
+  recordFenceReply(asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
+    this.applyChosen();
     this.tenure.hear(asked, sentAt, reply);
-    this.quotas.takeReply(asked, sentAt, reply);
+    this.quotas.recordFenceReply(asked, sentAt, reply);
   }
 }
--- a/src/control/leases/quotas.ts
+++ b/src/control/leases/quotas.ts
@@ -14,8 +14,8 @@
 import type * as link from "../../wire/link.js";
 import type * as tenantSchema from "../../wire/tenant-schema.js";
 import * as types from "../../wire/types.js";
-import type * as contacts from "../voters/contact.js";
-import type * as cores from "../core.js";
+import type * as quorumContact from "../voters/quorum-contact.js";
+import type * as registerReplica from "../register-replica.js";
 import * as slotNote from "./slot-note.js";
 
 /** Grants units of quotas. */
@@ -32,7 +32,7 @@
     world: types.Clock,
     life: string,
     bounds: quotaPart.QuotaBounds,
-    private readonly core: cores.Core,
+    private readonly core: registerReplica.RegisterReplica,
   ) {
     this.tenure = new quotaTenure.QuotaTenure(world, { fenceMs: quotaTenure.FENCE_MS, lifeMs: quotaClient.UNIT_MS });
     this.owner = new quotaOwner.QuotaOwner(world, life, bounds, this.tenure);
@@ -42,21 +42,21 @@
   async open(folder: files.StoreFolder): Promise<void> {
     this.note = new slotNote.SlotNote(folder);
     this.formerNote = await this.note.read();
-    this.follow();
+    this.applyChosen();
   }
 
   /** The settings were read again. */
-  resettle(bounds: quotaPart.QuotaBounds): void {
+  updateSettings(bounds: quotaPart.QuotaBounds): void {
     this.owner.resettle(bounds);
   }
 
   /** Answers routers that ask for units. */
-  register(handlers: link.Handlers, contact: contacts.Contact): void {
+  registerHandlers(handlers: link.Handlers, contact: quorumContact.QuorumContact): void {
     handlers.on(calls.quota, (_from, ask) => this.reply(contact, ask));
   }
 
-  private reply(contact: contacts.Contact, ask: tenantSchema.QuotaAsk): tenantSchema.QuotaReply {
-    this.follow();
+  private reply(contact: quorumContact.QuorumContact, ask: tenantSchema.QuotaAsk): tenantSchema.QuotaReply {
+    this.applyChosen();
     const { core } = this;
     const given = this.owner.reply(ask, core.acceptedVoterEpoch);
     return {
@@ -68,7 +68,7 @@
   }
 
   /** Takes what is chosen: voters and limits. */
-  follow(): void {
+  applyChosen(): void {
     const { chosen, disk } = this.core;
     if (!chosen) return;
     this.tenure.take(chosen, disk);
@@ -93,7 +93,7 @@
   }
 
   /** A voter's reply to one of the contact's asks. */
-  takeReply(asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
+  recordFenceReply(asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
     this.tenure.hear(asked, sentAt, reply);
   }
 
--- a/src/control/members/roster.ts
+++ b/src/control/members/roster.ts
@@ -4,24 +4,24 @@
 import * as shares from "../../limits/shares.js";
 
 /** Differences reach back so many removals; whoever is further behind gets the whole. */
-const MAX_GONE = 1024;
+const MAX_REMOVALS = 1024;
 /** Epochs that moved are told so many a beat, whatever the number of routers. */
-const EPOCHS_A_BEAT = 2;
+const MAX_EPOCHS_PER_HEARTBEAT = 2;
 
 interface Entry {
   node: schema.NodeInfo;
   hash: number;
   number: number;
-  isEpochOld: boolean;
+  isEpochStale: boolean;
 }
 
-interface Gone {
+interface Removal {
   name: string;
   number: number;
 }
 
 /** All but the epoch, which moves at every router with every change of the configuration. */
-export function hashOf(node: schema.NodeInfo): number {
+export function hashNode(node: schema.NodeInfo): number {
   const { name, role, life, zone, region, address, outside, disk, isCounted, isReady } = node;
   return shares.hash([name, role, life, zone, region, address, outside, disk, isCounted, isReady].join("\n"));
 }
@@ -30,14 +30,14 @@
 export class Roster {
   private readonly entries = new Map<string, Entry>();
   private readonly leaving = new Map<string, number>();
-  private gone: Gone[] = [];
+  private removals: Removal[] = [];
   private number = 0;
-  private oldest = 0;
+  private oldestDeltaNumber = 0;
   private digest = 0;
 
-  constructor(private readonly life: string) {}
+  constructor(private readonly incarnation: string) {}
 
-  get newest(): number {
+  get newestNumber(): number {
     return this.number;
   }
 
@@ -48,17 +48,17 @@
     for (const node of nodes) {
       names.add(node.name);
       const before = this.entries.get(node.name);
-      if (before && before.node === node && !before.isEpochOld) continue;
-      const hashed = hashOf(node);
+      if (before && before.node === node && !before.isEpochStale) continue;
+      const hashed = hashNode(node);
       if (before && before.hash === hashed) {
-        before.isEpochOld ||= before.node.epoch !== node.epoch;
+        before.isEpochStale ||= before.node.epoch !== node.epoch;
         before.node = node;
-        if (!before.isEpochOld || epochs >= EPOCHS_A_BEAT) continue;
+        if (!before.isEpochStale || epochs >= MAX_EPOCHS_PER_HEARTBEAT) continue;
         epochs += 1;
       }
       this.number += 1;
       this.digest += hashed - (before?.hash ?? 0);
-      this.entries.set(node.name, { node, hash: hashed, number: this.number, isEpochOld: false });
+      this.entries.set(node.name, { node, hash: hashed, number: this.number, isEpochStale: false });
     }
     for (const [name, entry] of this.entries) if (!names.has(name)) this.remove(name, entry);
     this.updateLeaving(leaving);
@@ -68,8 +68,8 @@
     this.number += 1;
     this.digest -= entry.hash;
     this.entries.delete(name);
-    this.gone.push({ name, number: this.number });
-    while (this.gone.length > MAX_GONE) this.oldest = this.gone.shift()!.number;
+    this.removals.push({ name, number: this.number });
+    while (this.removals.length > MAX_REMOVALS) this.oldestDeltaNumber = this.removals.shift()!.number;
   }
 
   private updateLeaving(leaving: Iterable<string>): void {
@@ -79,11 +79,11 @@
   }
 
   /** What changed after number `from`; all of it when that is not known (-1) or too long ago. */
-  since(from: number): schema.Sessions {
-    const isWhole = from < this.oldest || from > this.number;
+  deltaSince(from: number): schema.Sessions {
+    const isWhole = from < this.oldestDeltaNumber || from > this.number;
     const after = isWhole ? -1 : from;
     const told: schema.Sessions = {
-      life: this.life,
+      life: this.incarnation,
       isWhole,
       from: after,
       number: this.number,
@@ -98,16 +98,16 @@
     for (const entry of this.entries.values()) if (entry.number > after) told.nodes.push(entry.node);
     for (const [life, number] of this.leaving) if (number > after) told.leaving.push(life);
     if (!isWhole) {
-      for (const item of this.gone) if (item.number > after && !this.entries.has(item.name)) told.gone.push(item.name);
+      for (const item of this.removals) if (item.number > after && !this.entries.has(item.name)) told.gone.push(item.name);
     }
     return told;
   }
 }
 
 /** The listener's side: a sibling's roster as far as it was told. */
-export class ToldRoster {
+export class PeerRoster {
   private readonly nodes = new Map<string, schema.NodeInfo>();
-  private life = "";
+  private incarnation = "";
   private number = -1;
   private digest = 0;
 
@@ -116,12 +116,12 @@
   }
 
   /** False when something is missing: the whole must be asked for, and until then what was known stays. */
-  hear(told: schema.Sessions): boolean {
+  applyUpdate(told: schema.Sessions): boolean {
     if (told.isWhole) this.clear();
-    else if (told.life !== this.life || told.from !== this.number) return false;
+    else if (told.life !== this.incarnation || told.from !== this.number) return false;
     for (const name of told.gone) this.set(name, null);
     for (const node of told.nodes) this.set(node.name, node);
-    this.life = told.life;
+    this.incarnation = told.life;
     this.number = told.number;
     const isSame = this.nodes.size === told.count && this.digest === told.digest;
     if (!isSame) this.number = -1;
@@ -130,9 +130,9 @@
 
   private set(name: string, node: schema.NodeInfo | null): void {
     const before = this.nodes.get(name);
-    if (before) this.digest -= hashOf(before);
+    if (before) this.digest -= hashNode(before);
     if (node) {
-      this.digest += hashOf(node);
+      this.digest += hashNode(node);
       this.nodes.set(name, node);
     } else this.nodes.delete(name);
   }
--- a/src/control/members/shrink-guard.ts
+++ b/src/control/members/shrink-guard.ts
@@ -14,9 +14,9 @@
 }
 
 /** One router of the view. isSure: it is heard now; else it is only believed to be there still. */
-export interface SeenNode {
+export interface ObservedNode {
   node: schema.NodeInfo;
-  isSure: boolean;
+  isConfirmed: boolean;
 }
 
 /** Keeps the former view for a moment when many routers vanish at once. */
@@ -32,7 +32,7 @@
   }
 
   /** The routers as heard now, in; as to be believed, out. hasLeft tells lives that said they leave. */
-  view(routers: readonly schema.NodeInfo[], hasLeft: (life: string) => boolean): SeenNode[] {
+  updateView(routers: readonly schema.NodeInfo[], hasLeft: (life: string) => boolean): ObservedNode[] {
     const now = this.world.now();
     const heard = new Map<string, schema.NodeInfo>();
     for (const node of routers) if (node.isReady) heard.set(node.name, node);
@@ -42,11 +42,11 @@
       if (heard.has(name) || hasLeft(node.life) || isOld) this.lost.delete(name);
     }
     this.before = heard;
-    this.judge(now, heard.size);
+    this.updateHold(now, heard.size);
     return this.merged(routers);
   }
 
-  private judge(now: number, heard: number): void {
+  private updateHold(now: number, heard: number): void {
     const isMuch = this.lost.size >= MIN_LOST && this.lost.size > (heard + this.lost.size) * MUCH_SHARE;
     if (!this.isHolding && isMuch) {
       this.until = now + HOLD_MS;
@@ -59,14 +59,14 @@
     }
   }
 
-  private merged(routers: readonly schema.NodeInfo[]): SeenNode[] {
-    const all = new Map<string, SeenNode>();
-    for (const node of routers) all.set(node.name, { node, isSure: true });
-    if (this.isHolding) for (const [name, { node }] of this.lost) all.set(name, { node, isSure: false });
+  private merged(routers: readonly schema.NodeInfo[]): ObservedNode[] {
+    const all = new Map<string, ObservedNode>();
+    for (const node of routers) all.set(node.name, { node, isConfirmed: true });
+    if (this.isHolding) for (const [name, { node }] of this.lost) all.set(name, { node, isConfirmed: false });
     return [...all.values()].sort(byName);
   }
 }
 
-function byName(left: SeenNode, right: SeenNode): number {
+function byName(left: ObservedNode, right: ObservedNode): number {
   return left.node.name < right.node.name ? -1 : left.node.name > right.node.name ? 1 : 0;
 }
--- a/src/control/operator/operator-chain.ts
+++ b/src/control/operator/operator-chain.ts
@@ -2,8 +2,8 @@
 import type * as link from "../../wire/link.js";
 import type * as types from "../../wire/types.js";
 import type * as dialer from "../../feed/dialer.js";
-import type * as contacts from "../voters/contact.js";
-import type * as cores from "../core.js";
+import type * as quorumContact from "../voters/quorum-contact.js";
+import type * as registerReplica from "../register-replica.js";
 import * as orderForwarder from "./order-forwarder.js";
 import * as redirect from "./redirect.js";
 import type * as serve from "../../wire/serve.js";
@@ -13,8 +13,8 @@
   world: types.Clock;
   handlers: link.Handlers;
   dial: dialer.Dialer;
-  core: cores.Core;
-  contact: contacts.Contact;
+  core: registerReplica.RegisterReplica;
+  contact: quorumContact.QuorumContact;
 }
 
 /** Puts both before `calls`, which decides what reaches it. */
--- a/src/control/operator/operator.ts
+++ b/src/control/operator/operator.ts
@@ -9,7 +9,7 @@
 import * as names from "../../wire/names.js";
 import * as schema from "../../wire/schema.js";
 import * as batchCalls from "../batches/batch-calls.js";
-import type * as core from "../core.js";
+import type * as registerReplica from "../register-replica.js";
 import * as operatorPaths from "./operator-paths.js";
 import * as serve from "../../wire/serve.js";
 
@@ -23,7 +23,7 @@
 /** Replies to the operator's calls at one control node. */
 export class Operator {
   constructor(
-    private readonly register: core.Core,
+    private readonly register: registerReplica.RegisterReplica,
     private readonly zones: ReadonlySet<string>,
     private readonly status: () => unknown,
     private readonly batches: Batches | null = null,
@@ -42,7 +42,7 @@
   }
 
   private async run(step: proposers.Step, told: (value: schema.Value) => unknown): Promise<serve.Told> {
-    const outcome = await this.register.order(step, CHANGE_MS);
+    const outcome = await this.register.submitOrder(step, CHANGE_MS);
     log.count(outcome.isOk ? "operator.taken" : `operator.${outcome.error.code}`);
     return outcome.isOk ? { status: 200, json: told(outcome.value) } : serve.errorReply(outcome.error);
   }
--- a/src/control/operator/order-forwarder.ts
+++ b/src/control/operator/order-forwarder.ts
@@ -16,8 +16,8 @@
 import type * as types from "../../wire/types.js";
 import * as timers from "../../runtime/timers.js";
 import * as dialer from "../../feed/dialer.js";
-import type * as contacts from "../voters/contact.js";
-import type * as cores from "../core.js";
+import type * as quorumContact from "../voters/quorum-contact.js";
+import type * as registerReplica from "../register-replica.js";
 import * as operatorPaths from "./operator-paths.js";
 import type * as serve from "../../wire/serve.js";
 
@@ -41,17 +41,21 @@
 
   constructor(
     private readonly world: types.Clock,
-    private readonly core: cores.Core,
+    private readonly core: registerReplica.RegisterReplica,
     private readonly controls: () => Iterable<dialer.Control>,
     private readonly next: serve.Reply,
   ) {}
 
   /** Answers the orders that other control nodes pass on; they go no further. */
-  register(handlers: link.Handlers, contact: contacts.Contact): void {
+  register(handlers: link.Handlers, contact: quorumContact.QuorumContact): void {
     handlers.on(calls.order, this.take.bind(this, contact));
   }
 
-  private async take(contact: contacts.Contact, _from: link.Link, order: orderSchema.ForwardedOrder): Promise<orderSchema.OrderAnswer> {
+  private async take(
+    contact: quorumContact.QuorumContact,
+    _from: link.Link,
+    order: orderSchema.ForwardedOrder,
+  ): Promise<orderSchema.OrderAnswer> {
     if (!contact.isConfirmed()) return { status: 503, json: "null" };
     log.count("operator.forwarded_here");
     const headers = order.base === "" ? {} : { [names.HEADER.base]: order.base };
--- a/src/control/operator/redirect.ts
+++ b/src/control/operator/redirect.ts
@@ -3,7 +3,7 @@
 import type * as types from "../../wire/types.js";
 import * as log from "../../runtime/log.js";
 import * as dialer from "../../feed/dialer.js";
-import type * as contacts from "../voters/contact.js";
+import type * as quorumContact from "../voters/quorum-contact.js";
 import type * as serve from "../../wire/serve.js";
 
 /** Answered by any node about itself. */
@@ -30,7 +30,7 @@
 
   constructor(
     private readonly world: types.Clock,
-    private readonly contact: contacts.Contact,
+    private readonly contact: quorumContact.QuorumContact,
     private readonly controls: () => Iterable<dialer.Control>,
     private readonly next: serve.Reply,
   ) {}
@@ -38,7 +38,7 @@
   /** Replies as `next` does while this node is confirmed; else 307 to a confirmed one, or 503 at once. */
   async reply(asked: serve.Asked): Promise<serve.Told> {
     if (asked.path === STATUS_PATH) return this.next(asked);
-    if (!this.contact.isConfirmed() && !this.contact.hasStarted) await this.within(FIRST_MS, "confirmed");
+    if (!this.contact.isConfirmed() && !this.contact.wasEverConfirmed) await this.within(FIRST_MS, "confirmed");
     if (!this.contact.isConfirmed()) return this.elsewhere(asked);
     return this.whileConfirmed(asked);
   }
--- a/src/control/platform/cells.ts
+++ b/src/control/platform/cells.ts
@@ -9,8 +9,8 @@
 import type * as keyed from "../../feed/keyed.js";
 import * as registers from "../../register/value.js";
 import type * as check from "../../config/check.js";
-import type * as cores from "../core.js";
-import type * as sessions from "../members/sessions.js";
+import type * as registerReplica from "../register-replica.js";
+import type * as membership from "../members/membership.js";
 import * as deal from "./deal.js";
 import * as duties from "./duties.js";
 import * as list from "./list.js";
@@ -35,8 +35,8 @@
     private startup: settings.Settings,
     private readonly dial: dialer.Dialer,
     private readonly feed: feeds.Feed,
-    core: cores.Core,
-    private readonly members: sessions.Sessions,
+    core: registerReplica.RegisterReplica,
+    private readonly members: membership.Membership,
     /** How fit for duty this node is now. */
     private readonly ownFitness: () => duties.Fitness,
   ) {
@@ -130,7 +130,7 @@
     const all: duties.Candidate[] = [{ name, region, fitness: this.ownFitness() }];
     for (const control of this.dial.controls.values()) {
       const { node } = control;
-      if (this.members.isHeld(node.name)) all.push({ name: node.name, region: node.region, fitness: duties.fitnessOf(control) });
+      if (this.members.hasSession(node.name)) all.push({ name: node.name, region: node.region, fitness: duties.fitnessOf(control) });
     }
     return all;
   }
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -18,16 +18,16 @@
 import * as voterManager from "./voters/voter-manager.js";
 import * as batches from "./batches/batches.js";
 import * as cells from "./platform/cells.js";
-import * as contacts from "./voters/contact.js";
-import * as cores from "./core.js";
-import * as disks from "./voters/disk.js";
+import * as quorumContact from "./voters/quorum-contact.js";
+import * as registerReplica from "./register-replica.js";
+import * as voterDisk from "./voters/voter-disk.js";
 import * as duties from "./platform/duties.js";
 import * as endpoints from "./endpoints.js";
-import * as leases from "./leases/leases.js";
-import * as membership from "./members/membership.js";
+import * as leaseServer from "./leases/lease-server.js";
+import * as sessionHandlers from "./members/session-handlers.js";
 import * as operators from "./operator/operator.js";
 import * as operatorChain from "./operator/operator-chain.js";
-import * as sessions from "./members/sessions.js";
+import * as membership from "./members/membership.js";
 import * as tallies from "./tallies.js";
 
 const TURN_MS = 100;
@@ -42,18 +42,18 @@
   private readonly address: string;
   private readonly handlers = new link.Handlers();
   private readonly dial: dialer.Dialer;
-  private readonly members: sessions.Sessions;
+  private readonly members: membership.Membership;
   private readonly feed: feeds.Feed;
-  private readonly core: cores.Core;
-  private readonly contact: contacts.Contact;
+  private readonly core: registerReplica.RegisterReplica;
+  private readonly contact: quorumContact.QuorumContact;
   private readonly cells: cells.Cells;
-  private readonly leases: leases.LeaseServer;
+  private readonly leases: leaseServer.LeaseServer;
   private readonly voterManager: voterManager.VoterManager;
   private readonly tallies: ReturnType<typeof tallies.make>;
   /** Null where the setting `batches` is off. */
   private readonly batches: batches.Batches | null;
   private isLeaving = false;
-  private disk: disks.VoterDisk | null = null;
+  private disk: voterDisk.VoterDisk | null = null;
   readonly root: tree.Supervisor;
 
   constructor(
@@ -63,14 +63,14 @@
     const port = startup.internal_port_range[0];
     this.address = `${startup.ip_address}:${port}`;
     this.dial = new dialer.Dialer(world, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
-    this.members = new sessions.Sessions(world, link.SILENT_MS, this.life);
+    this.members = new membership.Membership(world, link.SILENT_MS, this.life);
     this.feed = new feeds.Feed(this.life);
     const seeds = settings.innerSeeds(startup);
     this.dial.know(seeds);
     const first = startup.bootstrap ? registers.firstValue(seeds) : registers.firstValue([]);
-    this.core = new cores.Core(world, { life: this.life, address: this.address, first }, this.dial);
-    this.leases = new leases.LeaseServer(world, this.life, startup.bounds, this.core);
-    this.contact = new contacts.Contact(world, this.core, this.dial, this.leases.takeReply.bind(this.leases));
+    this.core = new registerReplica.RegisterReplica(world, { life: this.life, address: this.address, first }, this.dial);
+    this.leases = new leaseServer.LeaseServer(world, this.life, startup.bounds, this.core);
+    this.contact = new quorumContact.QuorumContact(world, this.core, this.dial, this.leases.recordFenceReply.bind(this.leases));
     this.cells = new cells.Cells(world, startup, this.dial, this.feed, this.core, this.members, this.fitness.bind(this));
     this.voterManager = new voterManager.VoterManager(world, this.core, this.heldControls.bind(this));
     this.tallies = tallies.make({ ...this.parts(), settings: () => this.startup });
@@ -101,12 +101,12 @@
     const describe = this.describe.bind(this);
     const controls = this.controls.bind(this);
     const splitter = new parts.Splitter();
-    core.register(handlers);
+    core.registerHandlers(handlers);
     this.cells.register(handlers);
-    this.leases.register(handlers, this.contact);
-    membership.register({ handlers, members, dial, core, contact, describe, controls, place: feed.place });
+    this.leases.registerHandlers(handlers, this.contact);
+    sessionHandlers.registerHandlers({ handlers, members, dial, core, contact, describe, controls, place: feed.place });
     dial.on("up", function met() {
-      members.tellControls(controls());
+      members.publishControls(controls());
     });
     feed.register(handlers);
     contact.on("confirmed", this.tell.bind(this));
@@ -153,19 +153,19 @@
     const { data_dir: name, bootstrap: isBootstrap } = this.startup;
     if (!name) return;
     const machine = { world: this.world, folder: new files.RealFolder(name), processes: owner.realProcesses };
-    this.disk = new disks.VoterDisk(machine, { address: this.address, seeds, isBootstrap }, this.core.enter.bind(this.core));
+    this.disk = new voterDisk.VoterDisk(machine, { address: this.address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
     this.disk.start();
     void this.leases.quotas.open(machine.folder);
     this.tallies.open(machine.folder);
   }
 
   private async stopDisk(): Promise<void> {
-    this.core.leave();
+    this.core.detachVoter();
     await Promise.all([this.disk?.stop(), this.tallies.stop()]);
   }
 
   private beat(): void {
-    this.contact.beat();
+    this.contact.requestConfirmations();
     this.tell();
   }
 
@@ -174,9 +174,9 @@
     const { epoch, isReady } = this.describe();
     const isSettled = this.contact.isConfirmed();
     const base = { isReady, epoch, isSettled, silentRegions: this.dial.silentRegions(), index: features.OWN_FEATURES };
-    this.members.tellBeats(base);
+    this.members.sendHeartbeats(base);
     this.dial.tellAll({ ...base, members: 1 });
-    this.members.tellSiblings(this.describe(), this.dial.links(), this.controls());
+    this.members.publishRoster(this.describe(), this.dial.links(), this.controls());
   }
 
   /** The routers that the directory names: while nobody confirms this node, those that it hears itself. */
@@ -197,18 +197,18 @@
 
   private turn(): void {
     this.dial.turn();
-    this.members.sweep();
-    this.core.turn();
-    this.contact.turn();
+    this.members.expireSilent();
+    this.core.runPeriodically();
+    this.contact.runPeriodically();
     this.cells.turn();
-    this.voterManager.turn();
+    this.voterManager.runPeriodically();
     this.tallies.turn();
     this.batches?.turn();
   }
 
   /** This node and the control nodes whose sessions it holds itself. */
   private heldControls(): schema.NodeInfo[] {
-    return [this.describe(), ...this.members.heldControls(this.startup.node_name)];
+    return [this.describe(), ...this.members.connectedControls(this.startup.node_name)];
   }
 
   /** Settings read again: seeds, bounds and the platform's address take effect; addresses of its own do not. */
@@ -216,7 +216,7 @@
     this.startup = startup;
     this.dial.know(settings.innerSeeds(startup));
     this.cells.resettle(startup);
-    this.leases.resettle(startup.bounds);
+    this.leases.updateSettings(startup.bounds);
     log.state("settings: read again");
   }
 
@@ -243,7 +243,7 @@
     this.tell();
     await Promise.all([timers.sleep(this.world, LEAVE_MS), this.voterManager.handOver(HAND_OVER_MS), this.batches?.handOver(HAND_OVER_MS)]);
     this.dial.end();
-    this.members.end();
+    this.members.closeSessions();
     await this.root.stop();
     this.cells.stop();
   }
--- a/src/control/core.ts
+++ b/src/control/register-replica.ts
@@ -13,13 +13,13 @@
 import * as channel from "./channel.js";
 import * as voterReach from "./voters/voter-reach.js";
 
-const VOTE_MS = 1300;
+const VOTE_TIMEOUT_MS = 1300;
 
 /** `chosen`: a newer value than all before is known to be chosen. */
-export type CoreEvents = { chosen: [value: schema.Value] };
+export type ReplicaEvents = { chosen: [value: schema.Value] };
 
 /** Which node this is, and the value that it begins with. */
-export interface CoreOptions {
+export interface ReplicaOptions {
   life: string;
   address: string;
   first: schema.Value;
@@ -27,7 +27,7 @@
 }
 
 /** Voter, proposer and knowledge of one register at one control node. */
-export class Core extends events.EventEmitter<CoreEvents> implements proposers.Reach, driver.Register {
+export class RegisterReplica extends events.EventEmitter<ReplicaEvents> implements proposers.Reach, driver.Register {
   private voter: voters.Voter | null = null;
   private readonly driver: driver.Driver;
   /** Whether this life of the process has learned what is chosen. */
@@ -40,13 +40,13 @@
 
   constructor(
     world: types.Clock,
-    private readonly options: CoreOptions,
+    private readonly options: ReplicaOptions,
     private readonly dial: dialer.Dialer,
   ) {
     super();
     this.channel = options.channel ?? channel.CONFIGURATION;
     this.voterReach = new voterReach.VoterReach(options.address, this.channel, dial, () => this.disk);
-    this.proposer = new proposers.Proposer(world, options.life, this, options.first, this.learnOwn.bind(this));
+    this.proposer = new proposers.Proposer(world, options.life, this, options.first, this.publishChosen.bind(this));
     this.driver = new driver.Driver(world, this);
     this.queue = new batch.StepQueue(world, this.proposer.change.bind(this.proposer));
   }
@@ -76,7 +76,7 @@
   }
 
   /** The disk is read: from now on this node may vote. */
-  enter(voter: voters.Voter): void {
+  attachVoter(voter: voters.Voter): void {
     this.voter = voter;
     if (voter.accepted) {
       this.proposer.learnAccepted(voter.accepted.value);
@@ -90,15 +90,15 @@
   }
 
   /** From now on this node does not vote; the disk may be closed. */
-  leave(): void {
+  detachVoter(): void {
     this.voter = null;
   }
 
   /** Answers the siblings' calls of this register. */
-  register(handlers: link.Handlers): void {
+  registerHandlers(handlers: link.Handlers): void {
     const { channel } = this;
-    handlers.on(channel.prepare, (_from, ask) => this.takePrepare(ask));
-    handlers.on(channel.accept, (_from, ask) => this.takeAccept(ask));
+    handlers.on(channel.prepare, (_from, ask) => this.handlePrepare(ask));
+    handlers.on(channel.accept, (_from, ask) => this.handleAccept(ask));
     handlers.on(channel.chosen, (_from, news) => {
       if (news.value) this.learn(news.value);
       return null;
@@ -120,13 +120,13 @@
   }
 
   prepare(voter: schema.Voter, ask: schema.Prepare): Promise<schema.Vote | null> {
-    if (this.isOwn(voter)) return this.takePrepare(ask);
-    return this.linkTo(voter)?.call(this.channel.prepare, ask, VOTE_MS) ?? Promise.resolve(null);
+    if (this.isOwn(voter)) return this.handlePrepare(ask);
+    return this.linkTo(voter)?.call(this.channel.prepare, ask, VOTE_TIMEOUT_MS) ?? Promise.resolve(null);
   }
 
   accept(voter: schema.Voter, ask: schema.Accept): Promise<schema.Vote | null> {
-    if (this.isOwn(voter)) return this.takeAccept(ask);
-    return this.linkTo(voter)?.call(this.channel.accept, ask, VOTE_MS) ?? Promise.resolve(null);
+    if (this.isOwn(voter)) return this.handleAccept(ask);
+    return this.linkTo(voter)?.call(this.channel.accept, ask, VOTE_TIMEOUT_MS) ?? Promise.resolve(null);
   }
 
   promised(): number {
@@ -134,19 +134,19 @@
   }
 
   /** This node's own voter, asked by any proposer. */
-  private takePrepare(ask: schema.Prepare): Promise<schema.Vote | null> {
+  private handlePrepare(ask: schema.Prepare): Promise<schema.Vote | null> {
     this.proposer.contention.sawPrepare(ask.ballot);
     return this.voter ? this.voter.prepare(ask) : Promise.resolve(null);
   }
 
-  private takeAccept(ask: schema.Accept): Promise<schema.Vote | null> {
+  private handleAccept(ask: schema.Accept): Promise<schema.Vote | null> {
     this.proposer.contention.sawAccept(ask.ballot);
     return this.voter ? this.voter.accept(ask) : Promise.resolve(null);
   }
 
   /** Whether a majority of the voters can be reached now. */
-  isSettled(): boolean {
-    return this.voterReach.isSettled(this.chosen);
+  hasQuorum(): boolean {
+    return this.voterReach.hasQuorum(this.chosen);
   }
 
   /** How many of the voters in touch may be lost now with the register still deciding; 0 also when it can't. */
@@ -164,7 +164,7 @@
     return this.proposer.contention.isActive();
   }
 
-  private learnOwn(value: schema.Value): void {
+  private publishChosen(value: schema.Value): void {
     this.isConfirmed = true;
     if (!this.learn(value)) return;
     for (const control of this.dial.controls.values()) control.link.tell(this.channel.chosen, { value });
@@ -187,7 +187,7 @@
   /** Asks a sibling that knows a newer epoch. */
   async catchUp(from: link.Link, epoch: types.Epoch): Promise<void> {
     if (this.chosen && epoch <= this.chosen.epoch) return;
-    const reply = await from.call(this.channel.ask, { epoch: this.chosen ? this.chosen.epoch : types.NO_EPOCH }, VOTE_MS);
+    const reply = await from.call(this.channel.ask, { epoch: this.chosen ? this.chosen.epoch : types.NO_EPOCH }, VOTE_TIMEOUT_MS);
     if (reply?.value) this.learn(reply.value);
   }
 
@@ -197,12 +197,12 @@
   }
 
   /** An operator's order: in one batch with the others that wait, and after other proposers' rounds. */
-  order(step: proposers.Step, withinMs: number): Promise<proposers.Outcome> {
+  submitOrder(step: proposers.Step, withinMs: number): Promise<proposers.Outcome> {
     return this.queue.change(step, withinMs);
   }
 
   /** Whether the disk, which has no vote yet, can join: it stores the newest chosen value and syncs it. */
-  teach(joiner: schema.Voter): Promise<boolean> {
+  transferSnapshot(joiner: schema.Voter): Promise<boolean> {
     return this.proposer.teach(joiner);
   }
 
@@ -225,7 +225,7 @@
     return [...this.dial.controls.keys()].filter((address) => address < this.options.address).length;
   }
 
-  turn(): void {
+  runPeriodically(): void {
     this.driver.turn();
   }
 }
--- a/src/control/tallies.ts
+++ b/src/control/tallies.ts
@@ -6,9 +6,9 @@
 import * as tallies from "../tallies/tallies.js";
 import type * as link from "../wire/link.js";
 import type * as types from "../wire/types.js";
-import type * as cores from "./core.js";
+import type * as registerReplica from "./register-replica.js";
 import type * as serve from "../wire/serve.js";
-import type * as sessions from "./members/sessions.js";
+import type * as membership from "./members/membership.js";
 
 /** A router that was silent for longer tells nothing of its zone. */
 const HEARD_MS = 800;
@@ -21,8 +21,8 @@
   address: string;
   dial: dialer.Dialer;
   handlers: link.Handlers;
-  members: sessions.Sessions;
-  core: cores.Core;
+  members: membership.Membership;
+  core: registerReplica.RegisterReplica;
   settings(): settings.Settings;
 }
 
@@ -42,7 +42,7 @@
   });
 }
 
-function hears(members: sessions.Sessions, zone: string): boolean {
+function hears(members: membership.Membership, zone: string): boolean {
   for (const { node, link: heard } of members.readyRouters()) if (node.zone === zone && heard.silentMs() <= HEARD_MS) return true;
   return false;
 }
--- a/src/control/voters/contact.ts
+++ b/src/control/voters/quorum-contact.ts
@@ -7,13 +7,13 @@
 import * as log from "../../runtime/log.js";
 import type * as dialer from "../../feed/dialer.js";
 import * as confirmations from "../../register/confirmation.js";
-import type * as cores from "../core.js";
+import type * as registerReplica from "../register-replica.js";
 
 /** A voter's answer to an ask of this node: the voter epoch asked for, when (own clock), and the reply. */
 export type OnReply = (asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply) => void;
 
 /** Changes of contact. */
-export interface ContactEvents {
+export interface QuorumContactEvents {
   /** The chosen value is confirmed again, or for the first time. */
   confirmed: [];
   /** The confirmation ran out, or this node is leaving. */
@@ -21,16 +21,16 @@
 }
 
 /** Asks the voters with each beat and tells whether this node is confirmed now. */
-export class Contact extends events.EventEmitter<ContactEvents> {
+export class QuorumContact extends events.EventEmitter<QuorumContactEvents> {
   private wasConfirmed = false;
   private isWithdrawn = false;
   private changedAt: types.SteadyMs;
   /** Whether this process was ever confirmed. */
-  hasStarted = false;
+  wasEverConfirmed = false;
 
   constructor(
     private readonly world: types.Clock,
-    private readonly core: cores.Core,
+    private readonly core: registerReplica.RegisterReplica,
     private readonly dial: dialer.Dialer,
     private readonly onReply: OnReply,
     private readonly confirmation = new confirmations.Confirmation(world),
@@ -39,8 +39,8 @@
     // Each order that is under way listens for the loss of contact.
     this.setMaxListeners(0);
     this.changedAt = world.now();
-    dial.on("up", this.ask.bind(this));
-    core.on("chosen", this.chosen.bind(this));
+    dial.on("up", this.requestConfirmation.bind(this));
+    core.on("chosen", this.handleChosen.bind(this));
   }
 
   /** Judged by the clock at each call, so that a process that stood still finds its confirmation expired. */
@@ -49,21 +49,21 @@
   }
 
   /** Asks all control nodes with a link; whoever is no voter yet may be one soon. */
-  beat(): void {
-    for (const control of this.dial.controls.values()) this.ask(control);
-    this.turn();
+  requestConfirmations(): void {
+    for (const control of this.dial.controls.values()) this.requestConfirmation(control);
+    this.runPeriodically();
   }
 
   /** Hears the own disk, and notices that the confirmation ran out. */
-  turn(): void {
-    this.answerOwn();
-    this.judge();
+  runPeriodically(): void {
+    this.confirmOwnDisk();
+    this.updateState();
   }
 
   /** This node leaves: from now on it is not confirmed, whatever the voters say. */
   withdraw(): void {
     this.isWithdrawn = true;
-    this.judge();
+    this.updateState();
   }
 
   status(): unknown {
@@ -87,37 +87,37 @@
   }
 
   /** After the first value, or another set of voters, the answer is not left to the next beat. */
-  private chosen(): void {
-    if (this.isConfirmed()) this.judge();
-    else this.beat();
+  private handleChosen(): void {
+    if (this.isConfirmed()) this.updateState();
+    else this.requestConfirmations();
   }
 
-  private ask(control: dialer.Control): void {
+  private requestConfirmation(control: dialer.Control): void {
     const sentAt = this.world.now();
     const asked = this.core.chosen?.voterEpoch ?? types.NO_EPOCH;
     void control.link
       .call(calls.fence, { voterEpoch: asked }, confirmations.CONFIRMED_MS)
-      .then(this.takeReply.bind(this, control, asked, sentAt));
+      .then(this.recordReply.bind(this, control, asked, sentAt));
   }
 
-  private takeReply(control: dialer.Control, asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply | null): void {
+  private recordReply(control: dialer.Control, asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply | null): void {
     if (!reply) return;
     this.confirmation.take(reply.disk, { sentAt, epoch: types.laterEpoch(reply.acceptedEpoch, reply.chosenEpoch) });
     this.onReply(asked, sentAt, reply);
     if (reply.chosenEpoch > (this.core.chosen?.epoch ?? types.NO_EPOCH)) void this.core.catchUp(control.link, reply.chosenEpoch);
-    this.judge();
+    this.updateState();
   }
 
   /** The own disk answers at once, as of now. */
-  private answerOwn(): void {
+  private confirmOwnDisk(): void {
     this.confirmation.take(this.core.disk, { sentAt: this.world.now(), epoch: this.core.acceptedEpoch });
   }
 
-  private judge(): void {
+  private updateState(): void {
     const isConfirmed = this.isConfirmed();
     if (isConfirmed === this.wasConfirmed) return;
     this.wasConfirmed = isConfirmed;
-    this.hasStarted ||= isConfirmed;
+    this.wasEverConfirmed ||= isConfirmed;
     this.changedAt = this.world.now();
     log.count(isConfirmed ? "contact.confirmed" : "contact.lost");
     log.state(isConfirmed ? "contact: a majority of the voters confirms" : this.lostLine());
--- a/src/control/voters/disk.ts
+++ b/src/control/voters/voter-disk.ts
@@ -25,7 +25,7 @@
 const CLOSE_MS = 1000;
 
 /** Which node the disk belongs to. */
-export interface Place {
+export interface VoterNode {
   address: string;
   seeds: readonly string[];
   isBootstrap: boolean;
@@ -60,14 +60,14 @@
 }
 
 /** The state of a voter that has no record. Only the very first start knows the first value without asking anybody. */
-function blankState(place: Place, isPristine: boolean): schema.Disk {
+function blankState(place: VoterNode, isPristine: boolean): schema.Disk {
   const isFirst = isPristine && place.isBootstrap && place.seeds.includes(place.address);
   const disk = isFirst ? registers.firstDisk(place.address) : `disk:${crypto.randomBytes(9).toString("base64url")}`;
   const accepted = isFirst ? { ballot: registers.NO_BALLOT, value: registers.firstValue(place.seeds) } : null;
   return { disk, promised: registers.NO_BALLOT, accepted };
 }
 
-function stateOf(opened: ring.OpenedRing, place: Place): schema.Disk {
+function stateOf(opened: ring.OpenedRing, place: VoterNode): schema.Disk {
   if (opened.newest) return voters.Voter.restore(opened.newest);
   return opened.unconverted ? release1.convert(opened.unconverted) : blankState(place, opened.isPristine);
 }
@@ -87,7 +87,7 @@
 
   constructor(
     private readonly machine: Machine,
-    private readonly place: Place,
+    private readonly place: VoterNode,
     private readonly entered: (voter: voters.Voter) => void,
   ) {}
 
--- a/src/control/voters/voter-manager.ts
+++ b/src/control/voters/voter-manager.ts
@@ -4,7 +4,7 @@
 import * as timers from "../../runtime/timers.js";
 import * as log from "../../runtime/log.js";
 import type * as proposers from "../../register/proposer.js";
-import * as policy from "./voters.js";
+import * as voterPolicy from "./voter-policy.js";
 
 /** No round of a change of voters begins later than this after its start. */
 const CHANGE_MS = 1500;
@@ -16,12 +16,12 @@
 export interface Register {
   readonly chosen: schema.Value | null;
   readonly disk: string;
-  isSettled(): boolean;
+  hasQuorum(): boolean;
   /** How many voters in touch come before this one in the order of addresses. */
   voterRank(): number;
   change(step: proposers.Step, withinMs: number): Promise<proposers.Outcome>;
   /** Whether the disk, which has no vote yet, can join: it stores the newest chosen value and syncs it. */
-  teach(joiner: schema.Voter): Promise<boolean>;
+  transferSnapshot(joiner: schema.Voter): Promise<boolean>;
   /** The own disk takes no vote from now on that it does not have. */
   refuseToJoin(): void;
   /** Has the newest value accepted anew by all voters in touch. */
@@ -33,8 +33,8 @@
   private readonly heardAt = new Map<string, number>();
   private readonly failed = new Map<string, number>();
   private readonly startedAt: number;
-  private readonly silentMs: policy.SilentMs;
-  private readonly failures: policy.Failures;
+  private readonly silentMs: voterPolicy.SilentMs;
+  private readonly failures: voterPolicy.Failures;
   private dueSince: number | null = null;
   private dueEpoch = types.NO_EPOCH;
   private isChanging = false;
@@ -55,9 +55,9 @@
     };
   }
 
-  private alive(): policy.Alive[] {
+  private alive(): voterPolicy.Alive[] {
     const now = this.world.now();
-    const alive: policy.Alive[] = [];
+    const alive: voterPolicy.Alive[] = [];
     for (const node of this.nodes()) {
       this.heardAt.set(node.disk, now);
       const { disk, name, address, isCounted, isReady } = node;
@@ -66,12 +66,12 @@
     return alive;
   }
 
-  turn(): void {
+  runPeriodically(): void {
     const alive = this.alive();
     const value = this.core.chosen;
-    if (!value || this.isChanging || this.isLeaving || !this.core.isSettled() || !this.isVoter(value)) return;
+    if (!value || this.isChanging || this.isLeaving || !this.core.hasQuorum() || !this.isVoter(value)) return;
     const isJoint = value.former.length > 0;
-    const voters = isJoint ? null : policy.nextVoters(value, alive, this.silentMs, this.failures);
+    const voters = isJoint ? null : voterPolicy.nextVoters(value, alive, this.silentMs, this.failures);
     if (!voters && !isJoint) {
       this.dueSince = null;
       return;
@@ -107,12 +107,12 @@
     if (voters) {
       const taught = await this.teachAny(value, voters);
       if (!taught) return false;
-      const outcome = await this.core.change(policy.voterStep(value, taught), CHANGE_MS);
+      const outcome = await this.core.change(voterPolicy.voterStep(value, taught), CHANGE_MS);
       if (outcome.isErr) return false;
     }
     const joint = this.core.chosen;
     if (!joint || joint.former.length === 0) return true;
-    return (await this.core.change(policy.settleStep(joint), CHANGE_MS)).isOk;
+    return (await this.core.change(voterPolicy.settleStep(joint), CHANGE_MS)).isOk;
   }
 
   /**
@@ -123,7 +123,7 @@
     const holders = new Set(value.voters.map(diskOf));
     if (await this.teach(voters, holders)) return voters;
     if (this.isLeaving) return null;
-    const others = policy.nextVoters(value, this.alive(), this.silentMs, this.failures);
+    const others = voterPolicy.nextVoters(value, this.alive(), this.silentMs, this.failures);
     return others && (await this.teach(others, holders)) ? others : null;
   }
 
@@ -133,7 +133,7 @@
    */
   private async teach(voters: schema.Voter[], holders: Set<string>): Promise<boolean> {
     const joiners = voters.filter((voter) => !holders.has(voter.disk));
-    const taught = await Promise.all(joiners.map((joiner) => this.core.teach(joiner)));
+    const taught = await Promise.all(joiners.map((joiner) => this.core.transferSnapshot(joiner)));
     for (const [index, { disk }] of joiners.entries()) {
       if (taught[index]) this.hasLearned(disk, holders);
       else this.failed.set(disk, this.failures(disk) + 1);
@@ -154,8 +154,8 @@
     this.isLeaving = true;
     this.core.refuseToJoin();
     const value = this.core.chosen;
-    if (!value || !this.core.isSettled() || !this.isVoter(value)) return;
-    const voters = value.former.length > 0 ? null : policy.handedOver(value, this.alive(), this.failures, this.core.disk);
+    if (!value || !this.core.hasQuorum() || !this.isVoter(value)) return;
+    const voters = value.former.length > 0 ? null : voterPolicy.handedOver(value, this.alive(), this.failures, this.core.disk);
     const work = this.handOverTo(value, voters, withinMs);
     const isDone = await timers.endsWithin(this.world, withinMs, work);
     log.count(isDone ? "voters.handed_over" : "voters.hand_over_late");
--- a/src/control/voters/voter-reach.ts
+++ b/src/control/voters/voter-reach.ts
@@ -38,7 +38,7 @@
   }
 
   /** Whether a majority of the value's voters can be reached now. */
-  isSettled(value: schema.Value | null): boolean {
+  hasQuorum(value: schema.Value | null): boolean {
     if (!value) return false;
     const disks = value.voters.filter(this.isInTouch.bind(this)).map((voter) => voter.disk);
     return registers.isQuorum({ ...value, former: [] }, new Set(disks));
--- a/tests/batches/history.ts
+++ b/tests/batches/history.ts
@@ -109,7 +109,7 @@
         get chosen() {
           return views.get(name) ?? null;
         },
-        order: (step) => this.order(name, life, step, world),
+        submitOrder: (step) => this.order(name, life, step, world),
       },
       replicas: { put: (key, body) => this.put(name, key, body), find: (key) => this.find(name, key) },
       isConfirmed: () => !this.isCut(name) || this.clock.now() - this.cut.get(name)! < CONFIRMED_MS,
--- a/tests/directory-homes.test.ts
+++ b/tests/directory-homes.test.ts
@@ -5,9 +5,9 @@
 import * as registers from "../src/register/value.js";
 import type * as schema from "../src/wire/schema.js";
 
-function router(name: string, region: string, isReady = true): shrinkGuard.SeenNode {
+function router(name: string, region: string, isReady = true): shrinkGuard.ObservedNode {
   const node = { name, region, zone: `${region}-1`, isReady, outside: `${name}:1`, role: "router" } as schema.NodeInfo;
-  return { node, isSure: true };
+  return { node, isConfirmed: true };
 }
 
 function homesIn(routes: { hostname: string; allowed_regions?: string[] | null }[]): hostHomes.HostHomes {
@@ -15,7 +15,7 @@
   return new hostHomes.HostHomes(() => value);
 }
 
-function resolve(routers: shrinkGuard.SeenNode[], homes: hostHomes.HostHomes, name: string): unknown {
+function resolve(routers: shrinkGuard.ObservedNode[], homes: hostHomes.HostHomes, name: string): unknown {
   const view = { routers: () => routers, stillServes: () => false, homesOf: homes.of.bind(homes), ttlMostS: 5 };
   return directory.resolve(view, new URLSearchParams({ name, region: "amman", zone: "amman-1" })).json;
 }
--- a/tests/disk-start.test.ts
+++ b/tests/disk-start.test.ts
@@ -3,7 +3,7 @@
 import * as os from "node:os";
 import * as path from "node:path";
 import * as log from "../src/runtime/log.js";
-import * as disks from "../src/control/voters/disk.js";
+import * as disks from "../src/control/voters/voter-disk.js";
 import * as files from "../src/store/files.js";
 import * as format from "../src/store/format.js";
 import * as owner from "../src/store/owner.js";
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -24,7 +24,7 @@
 }
 
 function view(control: fleets.SimControl): string[] {
-  return control.members.members("router").map((item) => `${item.name}${item.isReady ? "" : "-"}`);
+  return control.members.withRole("router").map((item) => `${item.name}${item.isReady ? "" : "-"}`);
 }
 
 function expectOneView(fleet: fleets.SimFleet, isUp: (router: fleets.SimRouter) => boolean = (router) => router.isUp): void {
--- a/tests/members.test.ts
+++ b/tests/members.test.ts
@@ -21,14 +21,14 @@
 
 test.each(CHANGES)("a difference holds what changed and no more: %s", (_name, now, nodes, gone) => {
   const roster = new rosters.Roster("life");
-  const told = new rosters.ToldRoster();
+  const told = new rosters.PeerRoster();
   roster.update([router("a"), router("b")], []);
-  expect(told.hear(roster.since(-1))).toBe(true);
-  const place = roster.newest;
+  expect(told.applyUpdate(roster.deltaSince(-1))).toBe(true);
+  const place = roster.newestNumber;
   roster.update(now, []);
-  const news = roster.since(place);
+  const news = roster.deltaSince(place);
   expect([names(news.nodes), news.gone, news.isWhole]).toEqual([nodes, gone, false]);
-  expect(told.hear(schema.sessions.fromBuffer(schema.sessions.toBuffer(news)))).toBe(true);
+  expect(told.applyUpdate(schema.sessions.fromBuffer(schema.sessions.toBuffer(news)))).toBe(true);
   expect(names(told.all())).toEqual(names(now));
 });
 
@@ -39,16 +39,16 @@
   const moved = all.map((item) => ({ ...item, epoch: types.small<types.Epoch>(9) }));
   const seen = new Set<string>();
   for (let beat = 0; beat < 20; beat += 1) {
-    const place = roster.newest;
+    const place = roster.newestNumber;
     roster.update(moved, []);
-    const { nodes } = roster.since(place);
+    const { nodes } = roster.deltaSince(place);
     expect(nodes).toHaveLength(2);
     for (const item of nodes) seen.add(item.name);
   }
   expect(seen.size).toBe(40);
-  const place = roster.newest;
+  const place = roster.newestNumber;
   roster.update(moved, []);
-  expect(roster.since(place).nodes).toHaveLength(0);
+  expect(roster.deltaSince(place).nodes).toHaveLength(0);
 });
 
 const GAPS: [string, (news: schema.Sessions) => schema.Sessions][] = [
@@ -60,14 +60,14 @@
 
 test.each(GAPS)("a gap is noticed and the whole mends it: %s", (_name, harm) => {
   const roster = new rosters.Roster("life");
-  const told = new rosters.ToldRoster();
+  const told = new rosters.PeerRoster();
   roster.update([router("a"), router("b")], []);
-  told.hear(roster.since(-1));
-  const place = roster.newest;
+  told.applyUpdate(roster.deltaSince(-1));
+  const place = roster.newestNumber;
   roster.update([router("b"), router("c")], []);
-  expect(told.hear(harm(roster.since(place)))).toBe(false);
-  expect(told.hear(roster.since(roster.newest))).toBe(false);
-  expect(told.hear(roster.since(-1))).toBe(true);
+  expect(told.applyUpdate(harm(roster.deltaSince(place)))).toBe(false);
+  expect(told.applyUpdate(roster.deltaSince(roster.newestNumber))).toBe(false);
+  expect(told.applyUpdate(roster.deltaSince(-1))).toBe(true);
   expect(names(told.all())).toEqual(["b", "c"]);
 });
 
@@ -75,7 +75,7 @@
   for (let seed = 1; seed <= 12; seed += 1) {
     const clock = new sim.SimWorld(seed);
     const roster = new rosters.Roster("life");
-    const told = new rosters.ToldRoster();
+    const told = new rosters.PeerRoster();
     const now = new Map<string, schema.NodeInfo>();
     let place = -1;
     for (let beat = 0; beat < 100; beat += 1) {
@@ -85,19 +85,19 @@
         else now.set(name, router(name, { isReady: clock.random() < 0.7, life: `${name}/${Math.floor(clock.random() * 3)}` }));
       }
       roster.update([...now.values()], []);
-      const news = roster.since(place);
-      place = roster.newest;
+      const news = roster.deltaSince(place);
+      place = roster.newestNumber;
       if (clock.random() < 0.2) continue; // the news is lost, and the teller does not know
-      if (!told.hear(news)) expect(told.hear(roster.since(-1))).toBe(true);
+      if (!told.applyUpdate(news)) expect(told.applyUpdate(roster.deltaSince(-1))).toBe(true);
       expect(names(told.all())).toEqual(names(now.values()));
     }
   }
   const roster = new rosters.Roster("life");
   roster.update([router("x")], []);
-  const place = roster.newest;
+  const place = roster.newestNumber;
   roster.update([router("x"), ...Array.from({ length: 1100 }, (_item, index) => router(`r${index}`))], []);
   roster.update([router("x")], []);
-  expect(roster.since(place).isWhole).toBe(true);
+  expect(roster.deltaSince(place).isWhole).toBe(true);
 });
 
 interface Core {
--- a/tests/model/exhaustive/scope.ts
+++ b/tests/model/exhaustive/scope.ts
@@ -1,6 +1,6 @@
 // What the bounded search plays: voters a, b, c and a joiner d that takes the place of a; two proposers.
 import * as result from "true-myth/result";
-import * as policy from "../../../src/control/voters/voters.js";
+import * as voterPolicy from "../../../src/control/voters/voter-policy.js";
 import type * as proposers from "../../../src/register/proposer.js";
 import * as registers from "../../../src/register/value.js";
 import * as errors from "../../../src/runtime/errors.js";
@@ -30,14 +30,14 @@
   return { name, base: 0, step };
 }
 
-export const replace: bounds.Call = { name: "replace a by d", base: null, step: policy.voterStep(first, joiners) };
+export const replace: bounds.Call = { name: "replace a by d", base: null, step: voterPolicy.voterStep(first, joiners) };
 
 export function settle(missing: parts.Guard): bounds.Call {
   const joint = registers.withVoters(first, joiners);
   function settleAnything(read: schema.Value): proposers.Outcome {
     return result.ok(registers.settled(read));
   }
-  return { name: "settle", base: null, step: missing === "settle_unchosen" ? settleAnything : policy.settleStep(joint) };
+  return { name: "settle", base: null, step: missing === "settle_unchosen" ? settleAnything : voterPolicy.settleStep(joint) };
 }
 
 export function run(missing: parts.Guard, within: bounds.Bounds): bounds.Found {
--- a/tests/model/mutations.ts
+++ b/tests/model/mutations.ts
@@ -1,7 +1,7 @@
 // Guards that a run of the model takes out on purpose, to prove that the checker sees each of them missing.
 import * as calls from "../../src/wire/calls.js";
-import * as cores from "../../src/control/core.js";
-import * as policy from "../../src/control/voters/voters.js";
+import * as registerReplica from "../../src/control/register-replica.js";
+import * as voterPolicy from "../../src/control/voters/voter-policy.js";
 import type * as dialer from "../../src/feed/dialer.js";
 import type * as proposers from "../../src/register/proposer.js";
 import * as registers from "../../src/register/value.js";
@@ -64,7 +64,7 @@
 }
 
 /** Nobody ends a value that was accepted and is not known to be chosen, but by a change or a read of its own. */
-function leaveUnfinished(core: cores.Core): void {
+function leaveUnfinished(core: registerReplica.RegisterReplica): void {
   const parts = core as unknown as { driver: { turn(): void } };
   parts.driver.turn = function idle() {};
 }
@@ -89,8 +89,8 @@
     this.isIdentityKept = missing === "wipe_keeps_identity";
   }
 
-  makeCore(world: types.Clock, options: cores.CoreOptions, dial: dialer.Dialer): cores.Core {
-    const core = new cores.Core(world, options, dial);
+  makeCore(world: types.Clock, options: registerReplica.ReplicaOptions, dial: dialer.Dialer): registerReplica.RegisterReplica {
+    const core = new registerReplica.RegisterReplica(world, options, dial);
     if (this.missing === "settle_unchosen") trustJointSets(core.proposer);
     if (this.missing === "empty_joiner_blocks") {
       acceptAtOnce(core.proposer, world);
@@ -105,13 +105,13 @@
 
   /** What a node settles that saw this joint value chosen. */
   settleStep(joint: schema.Value): proposers.Step {
-    return this.missing === "settle_unchosen" ? settleAnything : policy.settleStep(joint);
+    return this.missing === "settle_unchosen" ? settleAnything : voterPolicy.settleStep(joint);
   }
 
   /** The voters that a node proposes; without the guard on joiners also an even core, as the policy once did. */
-  nextVoters(value: schema.Value, alive: readonly policy.Alive[], silentMs: policy.SilentMs): schema.Voter[] | null {
+  nextVoters(value: schema.Value, alive: readonly voterPolicy.Alive[], silentMs: voterPolicy.SilentMs): schema.Voter[] | null {
     const joiner = alive.find((item) => !value.voters.some((voter) => voter.disk === item.disk));
-    if (this.missing !== "empty_joiner_blocks" || !joiner) return policy.nextVoters(value, alive, silentMs);
+    if (this.missing !== "empty_joiner_blocks" || !joiner) return voterPolicy.nextVoters(value, alive, silentMs);
     return [...value.voters, { disk: joiner.disk, node: joiner.node, address: joiner.address }];
   }
 
--- a/tests/model/node.ts
+++ b/tests/model/node.ts
@@ -1,6 +1,6 @@
 // One control node of the model: the real core, voter, ring, proposer and membership over a simulated machine.
 import * as voterManager from "../../src/control/voters/voter-manager.js";
-import * as cores from "../../src/control/core.js";
+import * as registerReplica from "../../src/control/register-replica.js";
 import * as dialer from "../../src/feed/dialer.js";
 import * as proposers from "../../src/register/proposer.js";
 import * as registers from "../../src/register/value.js";
@@ -45,7 +45,7 @@
   handlers = new link.Handlers();
   readonly links = new Map<string, network.ModelLink>();
   readonly world: types.Clock = new NodeWorld(this);
-  core: cores.Core | null = null;
+  core: registerReplica.RegisterReplica | null = null;
   voter: voters.Voter | null = null;
   private dial: dialer.Dialer | null = null;
   private voterManager: voterManager.VoterManager | null = null;
@@ -103,7 +103,7 @@
     const first = registers.firstValue(isBootstrap ? this.seeds : []);
     this.core = this.mutations.makeCore(this.world, { life, address: this.address, first }, this.dial);
     this.core.on("chosen", this.onChosen);
-    this.core.register(this.handlers);
+    this.core.registerHandlers(this.handlers);
     this.voterManager = new voterManager.VoterManager(this.world, this.core, this.members.bind(this));
     this.world.schedule(UPKEEP_MS * this.world.random(), this.upkeep.bind(this));
     await this.readDisk(isBootstrap);
@@ -118,7 +118,7 @@
       if (!newest) await records.write(schema.disk.toBuffer(state));
       if (!this.isAlive(generation)) return;
       this.voter = this.mutations.makeVoter(records, state);
-      this.core?.enter(this.voter);
+      this.core?.attachVoter(this.voter);
     } catch {
       this.world.schedule(OPEN_AGAIN_MS, this.readDiskAgain.bind(this, isBootstrap));
     }
@@ -173,8 +173,8 @@
     const peers = new Set(this.network.nodes.values());
     for (const held of this.links.values()) peers.add(held.to);
     for (const peer of peers) if (peer !== this) this.keepLink(peer);
-    this.core?.turn();
-    this.voterManager?.turn();
+    this.core?.runPeriodically();
+    this.voterManager?.runPeriodically();
   }
 
   /** Opens, beats on, or ends the link to one peer, as the dialer and the beats do. */
--- a/tests/model/player.ts
+++ b/tests/model/player.ts
@@ -1,5 +1,5 @@
 // Plays one scenario on a simulated core and gives the verdict on what operators saw.
-import * as policy from "../../src/control/voters/voters.js";
+import * as voterPolicy from "../../src/control/voters/voter-policy.js";
 import type * as schema from "../../src/wire/schema.js";
 import * as clock from "./clock.js";
 import * as histories from "./history.js";
@@ -155,14 +155,14 @@
     }
     const silent = value.voters[command.silent % value.voters.length];
     function silentMs(voter: schema.Voter): number {
-      return voter === silent ? 10 * policy.SILENT_MS : 0;
+      return voter === silent ? 10 * voterPolicy.SILENT_MS : 0;
     }
     const voters = value.former.length > 0 ? null : this.mutations.nextVoters(value, this.alive(), silentMs);
-    if (voters) void node.change(policy.voterStep(value, voters), command.withinMs);
+    if (voters) void node.change(voterPolicy.voterStep(value, voters), command.withinMs);
   }
 
-  private alive(): policy.Alive[] {
-    const alive: policy.Alive[] = [];
+  private alive(): voterPolicy.Alive[] {
+    const alive: voterPolicy.Alive[] = [];
     for (const node of this.network.nodes.values()) {
       const { disk, address } = node.describe();
       if (node.isUp && disk !== "") alive.push({ disk, node: address, address, isCounted: true, isReady: true });
--- a/tests/orders.test.ts
+++ b/tests/orders.test.ts
@@ -1,6 +1,6 @@
 // Orders of operators: races, orders sent again, answers lost, restarts (design/hardening/2-orders).
 import * as registers from "../src/register/value.js";
-import * as policy from "../src/control/voters/voters.js";
+import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import * as cores from "./sim/core.js";
 import * as operators from "./sim/operators.js";
 import * as sim from "./sim/world.js";
@@ -150,8 +150,8 @@
   const voters = before.voters.map((voter) =>
     voter.address === "c:1" ? { disk: joiner.voter!.disk, node: "d:1", address: "d:1" } : voter,
   );
-  expect((await done(clock, proposer.change(policy.voterStep(before, voters), 5000))).isOk).toBe(true);
-  expect((await done(clock, proposer.change(policy.settleStep(core.newestChosen()!), 5000))).isOk).toBe(true);
+  expect((await done(clock, proposer.change(voterPolicy.voterStep(before, voters), 5000))).isOk).toBe(true);
+  expect((await done(clock, proposer.change(voterPolicy.settleStep(core.newestChosen()!), 5000))).isOk).toBe(true);
   joiner.makeProposer(core.newestChosen()!);
 }
 
--- a/tests/register-core.test.ts
+++ b/tests/register-core.test.ts
@@ -1,6 +1,6 @@
 // What a control node concludes from its own disk and its links: the fence of leases, and losses that can be borne
 // (hardening 0 and 3).
-import * as cores from "../src/control/core.js";
+import * as registerReplica from "../src/control/register-replica.js";
 import * as dialer from "../src/feed/dialer.js";
 import * as registers from "../src/register/value.js";
 import * as voters from "../src/register/voter.js";
@@ -18,7 +18,7 @@
 }
 
 interface Made {
-  core: cores.Core;
+  core: registerReplica.RegisterReplica;
   dial: dialer.Dialer;
 }
 
@@ -27,13 +27,13 @@
   const clock = new sim.SimWorld();
   const describe = (): schema.NodeInfo => nodeAt("a:1", "");
   const dial = new dialer.Dialer(clock, "a:1", new link.Handlers(), describe, link.SILENT_MS);
-  const core = new cores.Core(clock, { life: "life", address: "a:1", first }, dial);
+  const core = new registerReplica.RegisterReplica(clock, { life: "life", address: "a:1", first }, dial);
   const disk = {
     disk: registers.firstDisk("a:1"),
     promised: registers.NO_BALLOT,
     accepted: { ballot: registers.NO_BALLOT, value: accepted },
   };
-  core.enter(new voters.Voter({ write: () => Promise.resolve() }, disk));
+  core.attachVoter(new voters.Voter({ write: () => Promise.resolve() }, disk));
   return { core, dial };
 }
 
@@ -79,9 +79,9 @@
   const { core } = made;
   expect(core.lossesBorne()).toBe(0);
   core.learn(first);
-  expect([core.isSettled(), core.lossesBorne()]).toEqual([false, 0]);
+  expect([core.hasQuorum(), core.lossesBorne()]).toEqual([false, 0]);
   meet(made, "b:1");
-  expect([core.isSettled(), core.lossesBorne()]).toEqual([true, 0]);
+  expect([core.hasQuorum(), core.lossesBorne()]).toEqual([true, 0]);
   meet(made, "c:1");
   expect(core.lossesBorne()).toBe(1);
   meet(made, "c:1", "disk:wiped");
@@ -98,8 +98,8 @@
   const made = make(first);
   made.core.learn(first);
   meet(made, "b:1", registers.firstDisk("c:1"));
-  expect([made.core.isSettled(), made.core.voterRank()]).toEqual([true, 0]);
+  expect([made.core.hasQuorum(), made.core.voterRank()]).toEqual([true, 0]);
   made.dial.controls.clear();
   meet(made, "b:1", "disk:other");
-  expect(made.core.isSettled()).toBe(false);
+  expect(made.core.hasQuorum()).toBe(false);
 });
--- a/tests/register-joint.test.ts
+++ b/tests/register-joint.test.ts
@@ -2,7 +2,7 @@
 // hardening 0).
 import * as result from "true-myth/result";
 import * as errors from "../src/runtime/errors.js";
-import * as policy from "../src/control/voters/voters.js";
+import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import * as proposers from "../src/register/proposer.js";
 import * as registers from "../src/register/value.js";
 import * as voters from "../src/register/voter.js";
@@ -93,7 +93,7 @@
   const { a, b, c, d } = all.nodes;
   const joint = registers.withVoters(valueAt(b), [d, b, c].map(voterOf));
   expect((await acceptAlone(all, b, joint)).isGranted).toBe(true);
-  await ended(all.clock, lonelyProposer(all, b).change(policy.settleStep(joint), 1000));
+  await ended(all.clock, lonelyProposer(all, b).change(voterPolicy.settleStep(joint), 1000));
   expect(valueAt(b).former).toHaveLength(3);
   split(all, [b, d], [a, c]);
   const [left, right] = await ended(
@@ -119,8 +119,8 @@
   const { b, c, d, e } = all.nodes;
   const meant = registers.withVoters(valueAt(b), [d, b, c].map(voterOf));
   const stands = registers.withVoters(valueAt(b), [e, b, c].map(voterOf));
-  expect(policy.settleStep(meant)(stands).unwrapOr(null)).toBe(stands);
-  expect(policy.settleStep(meant)(meant).unwrapOr(null)!.former).toEqual([]);
+  expect(voterPolicy.settleStep(meant)(stands).unwrapOr(null)).toBe(stands);
+  expect(voterPolicy.settleStep(meant)(meant).unwrapOr(null)!.former).toEqual([]);
 });
 
 test("a joint set not known to be chosen is chosen as it stands before a change builds on it", async function first() {
@@ -134,7 +134,7 @@
   function keep(value: schema.Value): void {
     chosen.push(value);
   }
-  const outcome = await ended(all.clock, proposer.change(policy.settleStep(joint), 3000));
+  const outcome = await ended(all.clock, proposer.change(voterPolicy.settleStep(joint), 3000));
   expect(outcome.isOk && outcome.value.former).toEqual([]);
   expect(chosen.map((value) => value.former.length)).toEqual([3, 0]);
 });
@@ -162,7 +162,7 @@
   const all = await start(11);
   const { a, b, c, d, e } = all.nodes;
   e.isDiskHung = true;
-  const step = policy.voterStep(valueAt(a), [a, b, c, d, e].map(voterOf));
+  const step = voterPolicy.voterStep(valueAt(a), [a, b, c, d, e].map(voterOf));
   expect((await ended(all.clock, a.proposer.change(step, 3000))).isErr).toBe(true);
   for (const node of [a, b, c]) expect(valueAt(node).voterEpoch).toBe(0);
   a.wipe();
--- a/tests/register.test.ts
+++ b/tests/register.test.ts
@@ -2,7 +2,7 @@
 import * as result from "true-myth/result";
 import * as errors from "../src/runtime/errors.js";
 import * as registers from "../src/register/value.js";
-import * as policy from "../src/control/voters/voters.js";
+import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import * as schema from "../src/wire/schema.js";
 import * as core from "./sim/core.js";
 import * as sim from "./sim/world.js";
@@ -101,8 +101,9 @@
       const read = await done(clock, nodes[turn % 3].proposer.change(same, 6000), 30_000);
       if (read.isErr) continue;
       const alive = nodes.map(aliveOf);
-      const wanted = policy.nextVoters(read.value, alive, never);
-      const step = read.value.former.length > 0 ? policy.settleStep(read.value) : wanted ? policy.voterStep(read.value, wanted) : null;
+      const wanted = voterPolicy.nextVoters(read.value, alive, never);
+      const step =
+        read.value.former.length > 0 ? voterPolicy.settleStep(read.value) : wanted ? voterPolicy.voterStep(read.value, wanted) : null;
       if (!step) return;
       await done(clock, nodes[turn % 3].proposer.change(step, 6000), 30_000);
     }
@@ -118,7 +119,7 @@
   }
 }
 
-function aliveOf(node: core.SimNode): policy.Alive {
+function aliveOf(node: core.SimNode): voterPolicy.Alive {
   return { disk: node.voter?.disk ?? "", node: node.address, address: node.address, isCounted: true, isReady: true };
 }
 
@@ -148,14 +149,14 @@
   c.isUp = false;
   const d = made.join("d:1");
   const read = (await done(clock, b.proposer.change(same, 3000))).unwrapOr(null)!;
-  const wanted = policy.nextVoters(read, [a, b, d].map(aliveOf), silentC);
+  const wanted = voterPolicy.nextVoters(read, [a, b, d].map(aliveOf), silentC);
   function silentC(voter: schema.Voter): number {
     return voter.address === "c:1" ? 10_000 : 0;
   }
   expect(wanted!.map(addressOf)).toEqual(["a:1", "b:1", "d:1"]);
-  expect((await done(clock, b.proposer.change(policy.voterStep(read, wanted!), 3000))).isOk).toBe(true);
+  expect((await done(clock, b.proposer.change(voterPolicy.voterStep(read, wanted!), 3000))).isOk).toBe(true);
   const joint = (await done(clock, b.proposer.change(same, 3000))).unwrapOr(null)!;
-  expect((await done(clock, a.proposer.change(policy.settleStep(joint), 3000))).isOk).toBe(true);
+  expect((await done(clock, a.proposer.change(voterPolicy.settleStep(joint), 3000))).isOk).toBe(true);
   // The old voter wakes with the older set: it is denied with the newer one and can change nothing alone.
   c.isUp = true;
   a.isUp = false;
@@ -197,8 +198,8 @@
   made.join("e:1");
   for (let turn = 0; turn < 6; turn += 1) {
     const read = (await done(clock, a.proposer.change(same, 3000))).unwrapOr(null)!;
-    const wanted = policy.nextVoters(read, [...made.nodes.values()].map(aliveOf), never);
-    const step = read.former.length > 0 ? policy.settleStep(read) : wanted ? policy.voterStep(read, wanted) : null;
+    const wanted = voterPolicy.nextVoters(read, [...made.nodes.values()].map(aliveOf), never);
+    const step = read.former.length > 0 ? voterPolicy.settleStep(read) : wanted ? voterPolicy.voterStep(read, wanted) : null;
     if (step) expect((await done(clock, a.proposer.change(step, 3000))).isOk).toBe(true);
   }
   const grown = (await done(clock, a.proposer.change(same, 3000))).unwrapOr(null)!;
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -1,6 +1,6 @@
 // The router's parts without sockets: headers, events, shares, rotation, policies (design 7, design/shares).
 import * as directory from "../src/control/directory/directory.js";
-import * as policy from "../src/control/voters/voters.js";
+import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import * as registers from "../src/register/value.js";
 import * as events from "../src/router/client/events.js";
 import * as fleets from "../src/router/runners/fleet.js";
@@ -254,8 +254,8 @@
   };
 }
 
-function heard(item: schema.NodeInfo): { node: schema.NodeInfo; isSure: boolean } {
-  return { node: item, isSure: true };
+function heard(item: schema.NodeInfo): { node: schema.NodeInfo; isConfirmed: boolean } {
+  return { node: item, isConfirmed: true };
 }
 
 test("the directory: near and ready first, others when there are none, and never empty", function nearest() {
@@ -270,10 +270,10 @@
   const joiner = { disk: "d", node: "d", address: "d:1", isCounted: true, isReady: true };
   const other = { disk: "e", node: "e", address: "e:1", isCounted: true, isReady: true };
   const calm = (): number => 0;
-  expect(policy.nextVoters(value, [joiner], calm)).toBeNull();
-  expect(policy.nextVoters(value, [joiner, other], calm)).toHaveLength(5); // never by way of an even core
-  expect(policy.nextVoters(value, [{ ...joiner, isCounted: false }, other], calm)).toBeNull();
+  expect(voterPolicy.nextVoters(value, [joiner], calm)).toBeNull();
+  expect(voterPolicy.nextVoters(value, [joiner, other], calm)).toHaveLength(5); // never by way of an even core
+  expect(voterPolicy.nextVoters(value, [{ ...joiner, isCounted: false }, other], calm)).toBeNull();
   const even = { ...value, voters: [...value.voters, { disk: "d", node: "d", address: "d:1" }] };
-  expect(policy.nextVoters(even, [other], calm)).toHaveLength(5);
-  expect(policy.nextVoters(even, [], (voter) => (voter.disk === "d" ? 9000 : 0))).toHaveLength(3);
+  expect(voterPolicy.nextVoters(even, [other], calm)).toHaveLength(5);
+  expect(voterPolicy.nextVoters(even, [], (voter) => (voter.disk === "d" ? 9000 : 0))).toHaveLength(3);
 });
--- a/tests/second-loss.test.ts
+++ b/tests/second-loss.test.ts
@@ -1,7 +1,7 @@
 // A second disk is lost at any moment of a replacement, while all other machines go dark: nothing confirmed is lost, and the
 // core comes back to full strength (hardening 3, section 5.2).
 import * as result from "true-myth/result";
-import * as policy from "../src/control/voters/voters.js";
+import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import type * as proposers from "../src/register/proposer.js";
 import * as registers from "../src/register/value.js";
 import * as core from "./sim/core.js";
@@ -60,7 +60,7 @@
     const clock = new sim.SimWorld(seed * 7919);
     const fleet = await five(clock);
     fleet.at("c:1").node.isUp = false;
-    await clock.play(policy.SILENT_MS + 2000);
+    await clock.play(voterPolicy.SILENT_MS + 2000);
     fleet.join("f:1");
     await clock.play((MAX_STEP_MS * seed) / SEEDS);
     const others = ["a:1", "b:1", "d:1", "e:1", "f:1"];
--- a/tests/sessions.test.ts
+++ b/tests/sessions.test.ts
@@ -1,7 +1,7 @@
 // Sessions: silence takes a router out of the directory, then out of the members (design 4.1, 4.3).
 import * as directory from "../src/control/directory/directory.js";
 import * as rosters from "../src/control/members/roster.js";
-import * as sessions from "../src/control/members/sessions.js";
+import * as membership from "../src/control/members/membership.js";
 import type * as link from "../src/wire/link.js";
 import * as types from "../src/wire/types.js";
 import * as schema from "../src/wire/schema.js";
@@ -49,18 +49,18 @@
 function told(nodes: schema.NodeInfo[]): schema.Sessions {
   const roster = new rosters.Roster("sibling");
   roster.update(nodes, []);
-  return roster.since(-1);
+  return roster.deltaSince(-1);
 }
 
 function setUp(): {
   clock: sim.SimWorld;
-  members: sessions.Sessions;
+  members: membership.Membership;
   links: FakeLink[];
   enter(info: schema.NodeInfo): FakeLink;
   names(): string[];
 } {
   const clock = new sim.SimWorld(1);
-  const members = new sessions.Sessions(clock, 1800, "life");
+  const members = new membership.Membership(clock, 1800, "life");
   const links: FakeLink[] = [];
   return {
     clock,
@@ -84,11 +84,11 @@
   await clock.play(1000);
   b.hear();
   expect(names()).toEqual(["b"]);
-  expect(members.members("router")).toHaveLength(2);
+  expect(members.withRole("router")).toHaveLength(2);
   await clock.play(900);
   b.hear();
-  members.sweep();
-  expect(members.members("router").map((item) => item.name)).toEqual(["b"]);
+  members.expireSilent();
+  expect(members.withRole("router").map((item) => item.name)).toEqual(["b"]);
   expect(a.silentMs()).toBeGreaterThan(1800);
 });
 
@@ -105,7 +105,7 @@
   const a = enter(node("a"));
   enter(node("c"));
   const sibling = enter(node("s", "control"));
-  members.beat(a as unknown as link.Link, {
+  members.receiveHeartbeat(a as unknown as link.Link, {
     isReady: false,
     epoch: types.small(1),
     isSettled: true,
@@ -114,9 +114,9 @@
     silentRegions: [],
   });
   a.end("closed");
-  members.hear(sibling as unknown as link.Link, told([node("a")]));
+  members.receiveRoster(sibling as unknown as link.Link, told([node("a")]));
   expect(names()).toEqual(["c"]);
-  members.hear(sibling as unknown as link.Link, told([node("a", "router", { life: "a/2" })]));
+  members.receiveRoster(sibling as unknown as link.Link, told([node("a", "router", { life: "a/2" })]));
   expect(names()).toEqual(["a", "c"]);
 });
 
@@ -131,7 +131,7 @@
   };
   const leave = (at: number): void => {
     const beat = { isReady: false, epoch: types.small<types.Epoch>(1), isSettled: true, index: 0, members: 1, silentRegions: [] };
-    members.beat(links[at] as unknown as link.Link, beat);
+    members.receiveHeartbeat(links[at] as unknown as link.Link, beat);
   };
   leave(0);
   expect(named()).toEqual(["b"]);
@@ -153,14 +153,14 @@
   enter(node("a"));
   first.end("closed");
   expect(names()).toEqual(["a"]);
-  expect(members.isHeld("a")).toBe(true);
+  expect(members.hasSession("a")).toBe(true);
 });
 
 test("shares are dealt by place among all routers, held here or told", function dealt() {
   const { members, enter } = setUp();
   const b = enter(node("b"));
   const sibling = enter(node("s", "control"));
-  members.hear(sibling as unknown as link.Link, told([node("a"), node("c")]));
-  members.tellBeats({ isReady: true, epoch: types.small(1), isSettled: true, silentRegions: [], index: 0 });
+  members.receiveRoster(sibling as unknown as link.Link, told([node("a"), node("c")]));
+  members.sendHeartbeats({ isReady: true, epoch: types.small(1), isSettled: true, silentRegions: [], index: 0 });
   expect(b.told).toEqual([{ isReady: true, epoch: 1, isSettled: true, index: 1, members: 3, silentRegions: [] }]);
 });
--- a/tests/shrink-guard.test.ts
+++ b/tests/shrink-guard.test.ts
@@ -26,14 +26,14 @@
   const all = Array.from({ length: known }, (_item, index) => router(`r${index}`));
   const hasLeft = (life: string): boolean => all.slice(0, left).some((item) => item.life === life);
   const rest = all.slice(lost);
-  doubt.view(all, () => false);
+  doubt.updateView(all, () => false);
   await clock.play(100);
-  expect(doubt.view(rest, hasLeft)).toHaveLength(kept);
+  expect(doubt.updateView(rest, hasLeft)).toHaveLength(kept);
   await clock.play(1900);
-  expect(doubt.view(rest, hasLeft)).toHaveLength(kept);
+  expect(doubt.updateView(rest, hasLeft)).toHaveLength(kept);
   await clock.play(200);
-  doubt.view(rest, hasLeft);
-  expect(doubt.view(rest, hasLeft)).toHaveLength(known - lost);
+  doubt.updateView(rest, hasLeft);
+  expect(doubt.updateView(rest, hasLeft)).toHaveLength(known - lost);
 });
 
 test("losses over more than a second are no shrinking at once; those that return end the doubt", async () => {
@@ -41,19 +41,22 @@
   const doubt = new shrinkGuard.ShrinkGuard(clock);
   const all = Array.from({ length: 9 }, (_item, index) => router(`r${index}`));
   for (let lost = 0; lost <= 6; lost += 1) {
-    expect(doubt.view(all.slice(lost), () => false)).toHaveLength(9 - lost);
+    expect(doubt.updateView(all.slice(lost), () => false)).toHaveLength(9 - lost);
     await clock.play(600);
   }
-  doubt.view(all, () => false);
-  expect(doubt.view([], () => false)).toHaveLength(9);
+  doubt.updateView(all, () => false);
+  expect(doubt.updateView([], () => false)).toHaveLength(9);
   expect(doubt.isHolding).toBe(true);
-  doubt.view(all, () => false);
+  doubt.updateView(all, () => false);
   expect(doubt.isHolding).toBe(false);
 });
 
 test("the directory prefers who is surely alive when two of them stand in the zone or region", () => {
-  const seen = (name: string, zone: string, isSure: boolean): shrinkGuard.SeenNode => ({ node: router(name, { zone }), isSure });
-  const near = (all: shrinkGuard.SeenNode[]): string[] => directory.nearest(all, { region: "r", zone: "z" }).map((item) => item.name);
+  const seen = (name: string, zone: string, isConfirmed: boolean): shrinkGuard.ObservedNode => ({
+    node: router(name, { zone }),
+    isConfirmed,
+  });
+  const near = (all: shrinkGuard.ObservedNode[]): string[] => directory.nearest(all, { region: "r", zone: "z" }).map((item) => item.name);
   expect(near([seen("a", "z", true), seen("b", "z", true), seen("c", "z", false)])).toEqual(["a", "b"]);
   expect(near([seen("a", "z", true), seen("b", "z", false), seen("c", "y", true)])).toEqual(["a", "c"]);
   expect(near([seen("a", "z", true), seen("b", "z", false), seen("c", "y", false)])).toEqual(["a", "b"]);
--- a/tests/sim/disk-world.ts
+++ b/tests/sim/disk-world.ts
@@ -1,5 +1,5 @@
 /** A machine around a simulated disk: its clock runs on without waiting, and no other process uses the folder. */
-import * as disks from "../../src/control/voters/disk.js";
+import * as voterDisk from "../../src/control/voters/voter-disk.js";
 import type * as voters from "../../src/register/voter.js";
 import type * as owner from "../../src/store/owner.js";
 import type * as schema from "../../src/wire/schema.js";
@@ -60,19 +60,19 @@
   return { world: new HastyWorld(), folder, processes: unknownProcesses };
 }
 
-export function placeOf(isBootstrap: boolean): disks.Place {
+export function placeOf(isBootstrap: boolean): voterDisk.VoterNode {
   return { address: ADDRESS, seeds: [ADDRESS], isBootstrap };
 }
 
 /** A voter's disk that was started, and the voter once it is open. */
 export interface StartedDisk {
-  disk: disks.VoterDisk;
+  disk: voterDisk.VoterDisk;
   voter: Promise<voters.Voter>;
 }
 
-export function startDisk(machine: disks.Machine, isBootstrap: boolean): StartedDisk {
+export function startDisk(machine: voterDisk.Machine, isBootstrap: boolean): StartedDisk {
   const opened = deferred<voters.Voter>();
-  const disk = new disks.VoterDisk(machine, placeOf(isBootstrap), opened.resolve);
+  const disk = new voterDisk.VoterDisk(machine, placeOf(isBootstrap), opened.resolve);
   disk.start();
   return { disk, voter: opened.promise };
 }
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -2,7 +2,7 @@
 // register, its membership and the feed are the program's own.
 import * as parts from "../../src/config/parts.js";
 import * as voterManager from "../../src/control/voters/voter-manager.js";
-import * as cores from "../../src/control/core.js";
+import * as registerReplica from "../../src/control/register-replica.js";
 import * as operators from "../../src/control/operator/operator.js";
 import type * as serve from "../../src/wire/serve.js";
 import * as dialer from "../../src/feed/dialer.js";
@@ -58,7 +58,7 @@
 export class Life {
   readonly handlers = new link.Handlers();
   readonly dial: NetworkDialer;
-  readonly core: cores.Core;
+  readonly core: registerReplica.RegisterReplica;
   readonly feed: feeds.Feed;
   private readonly operator: operators.Operator;
   private readonly voterManager: voterManager.VoterManager;
@@ -75,7 +75,7 @@
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.dial.know(node.seeds.map(addressOf));
     this.feed = new feeds.Feed(life);
-    this.core = new cores.Core(world, { life, address: addressOf(name), first }, this.dial);
+    this.core = new registerReplica.RegisterReplica(world, { life, address: addressOf(name), first }, this.dial);
     this.operator = new operators.Operator(this.core, new Set(["north"]), () => null);
     this.voterManager = new voterManager.VoterManager(world, this.core, () => [this.describe(), ...this.peers()]);
     this.handle();
@@ -100,7 +100,7 @@
   private handle(): void {
     const { handlers, dial, core, feed } = this;
     const splitter = new parts.Splitter();
-    core.register(handlers);
+    core.registerHandlers(handlers);
     handlers.on(calls.hello, (from, ask) => {
       this.callers.add(from);
       if (ask.node.role === "control") dial.inReach(ask.node.address);
@@ -130,12 +130,12 @@
 
   private turn(): void {
     this.dial.turn();
-    this.core.turn();
-    this.voterManager.turn();
+    this.core.runPeriodically();
+    this.voterManager.runPeriodically();
   }
 
   private beat(): void {
-    const isSettled = this.core.isSettled();
+    const isSettled = this.core.hasQuorum();
     this.dial.tellAll({ isReady: true, epoch: this.epoch, isSettled, index: 0, members: 1, silentRegions: [] });
   }
 
@@ -148,7 +148,7 @@
     this.isOver = true;
     this.dial.end();
     for (const caller of this.callers) caller.end("process ended");
-    this.core.leave();
+    this.core.detachVoter();
     this.node.network.close(this.node.name);
   }
 }
@@ -177,7 +177,7 @@
     this.disk.record ??= schema.disk.toBuffer(blank);
     const state = voters.Voter.restore(this.disk.record);
     this.life = new Life(this, `${this.name}/${this.lives}`, first);
-    this.life.core.enter(new voters.Voter(this.disk, state));
+    this.life.core.attachVoter(new voters.Voter(this.disk, state));
   }
 
   stop(): void {
--- a/tests/sim/fleet.ts
+++ b/tests/sim/fleet.ts
@@ -1,7 +1,7 @@
 // Control nodes and routers over simulated links: frames in memory, with delay, cuts and kills by the test.
 import * as events from "node:events";
 import type * as net from "node:net";
-import * as sessions from "../../src/control/members/sessions.js";
+import * as membership from "../../src/control/members/membership.js";
 import * as dialer from "../../src/feed/dialer.js";
 import * as sessionSelector from "../../src/feed/session-selector.js";
 import * as calls from "../../src/wire/calls.js";
@@ -42,7 +42,7 @@
 export class SimControl {
   readonly handlers = new link.Handlers();
   readonly dial: SimDialer;
-  readonly members: sessions.Sessions;
+  readonly members: membership.Membership;
   isUp = true;
   isSettled = true;
   entries = 0;
@@ -51,7 +51,7 @@
     fleet: SimFleet,
     readonly info: schema.ControlInfo,
   ) {
-    this.members = new sessions.Sessions(fleet.clock, link.SILENT_MS, `${info.name}/1`);
+    this.members = new membership.Membership(fleet.clock, link.SILENT_MS, `${info.name}/1`);
     this.dial = new SimDialer(fleet.clock, info.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
     this.dial.reach = (address) => fleet.connect(address, this.handlers);
     this.handlers.on(calls.hello, (from, ask) => {
@@ -60,7 +60,7 @@
       return { node: this.describe(), controls: [info, ...this.dial.met()], place: info.name, isConfirmed: this.isSettled };
     });
     this.handlers.on(calls.beat, (from, told) => {
-      this.members.beat(from, told);
+      this.members.receiveHeartbeat(from, told);
       this.dial.heard(from, told);
       return null;
     });
@@ -68,15 +68,15 @@
       if (fleet.losesNews()) return null;
       if (told.isWhole) this.wholes += 1;
       else this.entries += told.nodes.length + told.gone.length;
-      this.members.hear(from, told);
+      this.members.receiveRoster(from, told);
       this.dial.learn(told.controls);
       return null;
     });
     this.handlers.on(calls.whole, (from) => {
-      this.members.forgetPlace(from);
+      this.members.forgetOffset(from);
       return null;
     });
-    this.dial.on("up", () => this.members.tellControls([info, ...this.dial.met()]));
+    this.dial.on("up", () => this.members.publishControls([info, ...this.dial.met()]));
   }
   private describe(): schema.NodeInfo {
     return nodeOf(this.info.name, "control", this.info.region, this.info.address);
@@ -84,19 +84,19 @@
   beat(): void {
     if (!this.isUp) return;
     const base = { isReady: true, epoch: types.FIRST_EPOCH, isSettled: this.isSettled, silentRegions: this.dial.silentRegions(), index: 0 };
-    this.members.tellBeats(base);
+    this.members.sendHeartbeats(base);
     this.dial.tellAll({ ...base, members: 1 });
-    this.members.tellSiblings(this.describe(), this.dial.links(), [this.info, ...this.dial.met()]);
+    this.members.publishRoster(this.describe(), this.dial.links(), [this.info, ...this.dial.met()]);
   }
   turn(): void {
     if (!this.isUp) return;
     this.dial.turn();
-    this.members.sweep();
+    this.members.expireSilent();
   }
   kill(): void {
     this.isUp = false;
     this.dial.end();
-    this.members.end();
+    this.members.closeSessions();
   }
 }
 
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -1,17 +1,17 @@
 // Whole control nodes over a simulated network: register, contact, sessions, feed, operator and directory as the
 // program puts them together, without sockets.
 import * as parts from "../../src/config/parts.js";
-import * as contacts from "../../src/control/voters/contact.js";
+import * as quorumContact from "../../src/control/voters/quorum-contact.js";
 import * as confirmations from "../../src/register/confirmation.js";
-import * as cores from "../../src/control/core.js";
+import * as registerReplica from "../../src/control/register-replica.js";
 import * as directory from "../../src/control/directory/directory.js";
 import * as duties from "../../src/control/platform/duties.js";
-import * as leases from "../../src/control/leases/leases.js";
-import * as membership from "../../src/control/members/membership.js";
+import * as leaseServer from "../../src/control/leases/lease-server.js";
+import * as sessionHandlers from "../../src/control/members/session-handlers.js";
 import * as operators from "../../src/control/operator/operator.js";
 import * as operatorChain from "../../src/control/operator/operator-chain.js";
 import type * as serve from "../../src/wire/serve.js";
-import * as sessions from "../../src/control/members/sessions.js";
+import * as membership from "../../src/control/members/membership.js";
 import * as dialer from "../../src/feed/dialer.js";
 import * as feeds from "../../src/feed/feed.js";
 import * as registers from "../../src/register/value.js";
@@ -82,11 +82,11 @@
   readonly handlers = new link.Handlers();
   readonly world: networks.NodeWorld;
   readonly dial: MemberDialer;
-  readonly members: sessions.Sessions;
+  readonly members: membership.Membership;
   readonly feed: feeds.Feed;
-  readonly core: cores.Core;
-  readonly leaseServer: leases.LeaseServer;
-  readonly contact: contacts.Contact;
+  readonly core: registerReplica.RegisterReplica;
+  readonly leaseServer: leaseServer.LeaseServer;
+  readonly contact: quorumContact.QuorumContact;
   private readonly reply: serve.Reply;
   readonly said: Said[] = [];
   private readonly region: string;
@@ -104,13 +104,19 @@
     this.dial = new MemberDialer(world, addressOf(name), this.handlers, this.describe.bind(this), link.SILENT_MS);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.dial.know(seeds);
-    this.members = new sessions.Sessions(world, link.SILENT_MS, `${name}/1`);
+    this.members = new membership.Membership(world, link.SILENT_MS, `${name}/1`);
     this.feed = new feeds.Feed(`${name}/1`);
     const first = registers.firstValue(seeds);
-    this.core = new cores.Core(world, { life: `${name}/1`, address: addressOf(name), first }, this.dial);
-    this.leaseServer = new leases.LeaseServer(world, `${name}/1`, BOUNDS, this.core);
+    this.core = new registerReplica.RegisterReplica(world, { life: `${name}/1`, address: addressOf(name), first }, this.dial);
+    this.leaseServer = new leaseServer.LeaseServer(world, `${name}/1`, BOUNDS, this.core);
     const confirmation = new BrokenConfirmation(world, options.broken ?? "none");
-    this.contact = new contacts.Contact(world, this.core, this.dial, this.leaseServer.takeReply.bind(this.leaseServer), confirmation);
+    this.contact = new quorumContact.QuorumContact(
+      world,
+      this.core,
+      this.dial,
+      this.leaseServer.recordFenceReply.bind(this.leaseServer),
+      confirmation,
+    );
     const operator = new operators.Operator(this.core, ZONES, () => ({ contact: this.contact.status() }));
     const { handlers, dial, core, contact } = this;
     this.reply = operatorChain.chain({ world, handlers, dial, core, contact }, operator.reply.bind(operator));
@@ -122,15 +128,24 @@
   private handle(): void {
     const { handlers, members, dial, core, contact, feed } = this;
     const splitter = new parts.Splitter();
-    core.register(handlers);
-    this.leaseServer.register(handlers, contact);
+    core.registerHandlers(handlers);
+    this.leaseServer.registerHandlers(handlers, contact);
     const describe = this.describe.bind(this);
-    membership.register({ handlers, members, dial, core, contact, describe, controls: () => this.controls(), place: feed.place });
+    sessionHandlers.registerHandlers({
+      handlers,
+      members,
+      dial,
+      core,
+      contact,
+      describe,
+      controls: () => this.controls(),
+      place: feed.place,
+    });
     handlers.on(calls.follow, (from, ask) => {
       feed.follow(from, ask);
       return null;
     });
-    dial.on("up", () => members.tellControls(this.controls()));
+    dial.on("up", () => members.publishControls(this.controls()));
     contact.on("confirmed", () => this.tell());
     contact.on("lost", () => this.tell());
     core.on("chosen", (value) => feed.publish(feeds.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch)));
@@ -141,7 +156,7 @@
     const accepted = { ballot: registers.NO_BALLOT, value: first };
     const state = { disk: registers.firstDisk(addressOf(this.name)), promised: registers.NO_BALLOT, accepted };
     const write = (): Promise<void> => new Promise((resolve) => this.world.schedule(this.syncMs, resolve));
-    this.core.enter(new voters.Voter({ write }, state));
+    this.core.attachVoter(new voters.Voter({ write }, state));
   }
 
   private run(): void {
@@ -163,7 +178,7 @@
   }
 
   private beat(): void {
-    this.contact.beat();
+    this.contact.requestConfirmations();
     this.tell();
   }
 
@@ -172,16 +187,16 @@
     this.said.push({ at: this.world.now(), isSettled, epoch: this.epoch });
     const { epoch, isLeaving } = this;
     const base = { isReady: !isLeaving, epoch, isSettled, silentRegions: this.dial.silentRegions(), index: features.OWN_FEATURES };
-    this.members.tellBeats(base);
+    this.members.sendHeartbeats(base);
     this.dial.tellAll({ ...base, members: 1 });
-    this.members.tellSiblings(this.describe(), this.dial.links(), this.controls());
+    this.members.publishRoster(this.describe(), this.dial.links(), this.controls());
   }
 
   private turn(): void {
     this.dial.turn();
-    this.members.sweep();
-    this.core.turn();
-    this.contact.turn();
+    this.members.expireSilent();
+    this.core.runPeriodically();
+    this.contact.runPeriodically();
   }
 
   leave(): void {
@@ -205,7 +220,7 @@
   }
 
   resolve(region: string): string[] {
-    const routers = (): ReturnType<sessions.Sessions["routers"]> =>
+    const routers = (): ReturnType<membership.Membership["routers"]> =>
       this.contact.isConfirmed() ? this.members.routers() : this.members.ownRouters();
     const told = directory.resolve(
       { routers, stillServes: (node) => this.members.stillServes(node), homesOf: () => new Set(), ttlMostS: 2 },
--- a/tests/sim/membership.ts
+++ b/tests/sim/membership.ts
@@ -99,7 +99,7 @@
     return voters.filter((voter) => disks.has(voter.disk));
   }
 
-  isSettled(): boolean {
+  hasQuorum(): boolean {
     if (!this.chosen) return false;
     const disks = this.votersInTouch(this.chosen.voters).map((voter) => voter.disk);
     return registers.isQuorum({ ...this.chosen, former: [] }, new Set(disks));
@@ -115,7 +115,7 @@
     return this.node.proposer.change(step, withinMs);
   }
 
-  teach(joiner: schema.Voter): Promise<boolean> {
+  transferSnapshot(joiner: schema.Voter): Promise<boolean> {
     return this.node.proposer.teach(joiner);
   }
 
@@ -141,7 +141,7 @@
       this.fleet.tell(this);
     }
     this.driver.turn();
-    this.voterManager.turn();
+    this.voterManager.runPeriodically();
   }
 }
 
--- a/tests/sim/operators.ts
+++ b/tests/sim/operators.ts
@@ -1,7 +1,7 @@
 // Operators over a simulated core: the real calls of operator.ts at each node, with answers lost and orders sent again.
 import type * as http from "node:http";
 import * as operators from "../../src/control/operator/operator.js";
-import type * as controls from "../../src/control/core.js";
+import type * as registerReplica from "../../src/control/register-replica.js";
 import * as batch from "../../src/register/batch.js";
 import type * as proposers from "../../src/register/proposer.js";
 import * as registers from "../../src/register/value.js";
@@ -77,7 +77,7 @@
   private deskOf(node: cores.SimNode): operators.Operator {
     let desk = this.desks.get(node.proposer);
     if (!desk) {
-      const register = new NodeRegister(this.core.clock, node.proposer) as unknown as controls.Core;
+      const register = new NodeRegister(this.core.clock, node.proposer) as unknown as registerReplica.RegisterReplica;
       desk = new operators.Operator(register, new Set(ZONES), () => null);
       this.desks.set(node.proposer, desk);
     }
