--- a/tests/model/run.ts
+++ b/tests/model/run.ts
@@ -4,8 +4,8 @@
 import * as keyLeaseDays from "../sim/key-lease-days.js";
 import * as quotaDays from "../sim/quota-days.js";
 import type * as quotas from "../sim/quotas.js";
-import * as tallyGuards from "../sim/tally-guards.js";
-import * as tallyStorm from "../sim/tally-storm.js";
+import * as tallyGuards from "../support/tally-guards.js";
+import * as tallyStorm from "../support/tally-storm.js";
 import * as check from "./check.js";
 import type * as mutations from "./mutations.js";
 
--- a/tests/sim/tally-guards.ts
+++ b/tests/support/tally-guards.ts
@@ -3,19 +3,19 @@
 import * as ledgers from "../../src/tallies/ledger.js";
 import * as readinesses from "../../src/tallies/readiness.js";
 import type * as types from "../../src/wire/types.js";
-import type * as tallies from "./tallies.js";
+import type * as tallyCluster from "./tally-cluster.js";
 
 /** Each guard (design/tallies 2 to 6). */
 export type Guard = "none" | "dedupe" | "memory" | "life" | "sync" | "copies" | "wait_after_loss";
 
-const WEAKNESSES: Partial<Record<Guard, tallies.Weaknesses>> = {
+const WEAKNESSES: Partial<Record<Guard, tallyCluster.Weaknesses>> = {
   life: { sharesLives: true },
   sync: { losesSyncs: true },
   copies: { asksOneDisk: true },
 };
 
 /** What a history without the guard is made with. */
-export function weaknessOf(guard: Guard): tallies.Weaknesses {
+export function weaknessOf(guard: Guard): tallyCluster.Weaknesses {
   return WEAKNESSES[guard] ?? {};
 }
 
--- a/tests/sim/tally-storm.ts
+++ b/tests/support/tally-storm.ts
@@ -1,6 +1,6 @@
 // Random histories of tallies: callers on all sides, cuts of every shape, crashes, losses of power and of disks, stalls.
 import * as tallyChecker from "./tally-checker.js";
-import * as tallies from "./tallies.js";
+import * as tallyCluster from "./tally-cluster.js";
 import * as tallyCuts from "./tally-cuts.js";
 
 const TALLIES = ["t1", "t2"];
@@ -18,7 +18,7 @@
   seed: number;
   nodes?: number;
   seconds?: number;
-  weak?: tallies.Weaknesses;
+  weak?: tallyCluster.Weaknesses;
   /** Adds are sent again only so long after they were first sent, in ms; else at any time. */
   repeatsWithinMs?: number;
 }
@@ -31,7 +31,7 @@
 
 /** One history. */
 export class TallyStorm {
-  readonly cluster: tallies.TallyCluster;
+  readonly cluster: tallyCluster.TallyCluster;
   readonly checker = new tallyChecker.TallyChecker();
   private cutsFound = 0;
   /** Since when each node has been up and able to reach enough others; Infinity: it is not. */
@@ -46,7 +46,7 @@
 
   constructor(private readonly options: StormOptions) {
     const count = options.nodes ?? 5;
-    this.cluster = new tallies.TallyCluster(options.seed, count, Math.floor((count - 1) / 2), options.weak);
+    this.cluster = new tallyCluster.TallyCluster(options.seed, count, Math.floor((count - 1) / 2), options.weak);
   }
 
   private get now(): number {
@@ -61,7 +61,7 @@
     return Math.floor(this.cluster.clock.random() * count);
   }
 
-  private node(): tallies.SimNode {
+  private node(): tallyCluster.SimNode {
     return [...this.cluster.nodes.values()][this.below(this.cluster.nodes.size)];
   }
 
@@ -120,7 +120,7 @@
     await this.add(tallies, place);
   }
 
-  private async add(tallies: NonNullable<tallies.SimNode["tallies"]>, place: tallyChecker.Place): Promise<void> {
+  private async add(tallies: NonNullable<tallyCluster.SimNode["tallies"]>, place: tallyChecker.Place): Promise<void> {
     const { checker } = this;
     const earliest = this.now - (this.options.repeatsWithinMs ?? Infinity);
     const repeatable = this.ids.filter((known) => known.sentAt >= earliest);
@@ -214,7 +214,7 @@
   }
 
   /** As many disks as may be lost at once; all other machines lose power, or not. The next ones only once all is joined. */
-  private wipe(first: tallies.SimNode): void {
+  private wipe(first: tallyCluster.SimNode): void {
     const { cluster } = this;
     this.isWipeDue = false;
     if (this.now - this.lastWipeAt < 8000 || [...this.troubles].some((trouble) => trouble.isDiskLost)) return;
--- /dev/null
+++ b/tests/tallies/random-histories-4-nodes.test.ts
@@ -0,0 +1,4 @@
+/** Random histories of 4 nodes: callers, cuts, crashes, losses of power and of disks; nothing twice, nothing stale, nothing lost (design/tallies 2 to 6). */
+import * as tallyHistories from "../support/tally-histories.js";
+
+test("4 nodes: no history breaks a rule", () => tallyHistories.expectNoFaults(4));
