--- a/src/admission/admission-decider.ts
+++ b/src/admission/admission-decider.ts
@@ -5,8 +5,8 @@
  * Called once per request by the last policy of the router's chain, so it is on the hot path: on calm days exactly
  * one runner is looked at.
  */
-import type * as fleets from "../router/runners/fleet.js";
-import type * as plans from "../router/plan.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
+import type * as routePlan from "../routing/route-plan.js";
 import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
 import type * as cellLeases from "./cell-leases.js";
@@ -40,9 +40,14 @@
   /** Admission of a route's requests by size. */
   sizeClassesOf(route: string): sizeClasses.SizeClasses;
   /** Tokens that the request takes at the runner. */
-  demandOf(plan: plans.Plan, runner: fleets.Runner): prediction.TokenDemand;
+  demandOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): prediction.TokenDemand;
   /** When it would be done there, with waits multiplied by `waitFactor`. */
-  predict(plan: plans.Plan, runner: fleets.Runner, slow: runnerSlowdown.Slowdown, waitFactor: number): prediction.Prediction;
+  predict(
+    plan: routePlan.RoutePlan,
+    runner: runnerEndpoint.RunnerEndpoint,
+    slow: runnerSlowdown.Slowdown,
+    waitFactor: number,
+  ): prediction.Prediction;
 }
 
 /** What one request is judged by, whatever the runner. */
@@ -61,18 +66,18 @@
 /** What looking at the runners came to. */
 interface Survey {
   /** The first that serves it in time and within its aim; the rest was not looked at. */
-  best: fleets.Runner | null;
+  best: runnerEndpoint.RunnerEndpoint | null;
   /** The first that serves it by its deadline. */
-  inTime: fleets.Runner | null;
+  inTime: runnerEndpoint.RunnerEndpoint | null;
   /** The first with a free place for it. */
-  free: fleets.Runner | null;
+  free: runnerEndpoint.RunnerEndpoint | null;
   /** The earliest predicted end and first event over the runners that can take it at all; Infinity without one. */
   minCompletionMs: number;
   minFirstEventMs: number;
 }
 
-function sizeOf(plan: plans.Plan): number {
-  return sizeClasses.sizeOf(plan.asked.prompt, plan.asked.mostOut);
+function sizeOf(plan: routePlan.RoutePlan): number {
+  return sizeClasses.sizeOf(plan.requestedTokens.prompt, plan.requestedTokens.maxOutput);
 }
 
 /** The decision for one request; it holds no state of its own. */
@@ -84,14 +89,14 @@
    * of the places of the allowed runners are taken and each of them is predicted to miss: its deadline; past the first
    * rank also the aim of a newcomer, and the pauses of the streams there, were a long reading added (design/admission 11).
    */
-  decide(plan: plans.Plan): plans.Rejection | null {
+  decide(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const chosen = plan.candidates[0];
-    if (plan.tried.size > 0 || !chosen || this.isUncontendedAt(plan, chosen)) return null;
+    if (plan.attemptedRunners.size > 0 || !chosen || this.isUncontendedAt(plan, chosen)) return null;
     return this.decideOverAll(plan);
   }
 
   /** On calm days the runner policy's choice has a place free and is in time, and nothing else is looked at. */
-  private isUncontendedAt(plan: plans.Plan, runner: fleets.Runner): boolean {
+  private isUncontendedAt(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): boolean {
     const predicted = this.known.predict(plan, runner, this.known.slowdowns.slowdownOf(runner.id, plan.now), 1);
     const latencyTargetMs = plan.entry.route.target_latency_ms ?? Infinity;
     return (
@@ -104,16 +109,16 @@
   }
 
   /** A long reading is not added where streams pause almost too long already. */
-  private mayAddPrompt(plan: plans.Plan, runner: fleets.Runner): boolean {
+  private mayAddPrompt(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): boolean {
     return (
       !this.known.interTokenGaps.isNearLimit(runner.id, plan.now) ||
       this.known.demandOf(plan, runner).prefillTokens < MIN_LONG_PREFILL_TOKENS
     );
   }
 
-  private decideOverAll(plan: plans.Plan): plans.Rejection | null {
+  private decideOverAll(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const unsuspected = plan.candidates.filter(isSure);
-    function isSure(runner: fleets.Runner): boolean {
+    function isSure(runner: runnerEndpoint.RunnerEndpoint): boolean {
       return !runner.isSuspect(plan.now);
     }
     if (unsuspected.length === 0) return null;
@@ -133,7 +138,7 @@
     return this.deny(plan, Math.max(survey.minCompletionMs - criteria.remainingMs, survey.minFirstEventMs - criteria.latencyTargetMs));
   }
 
-  private criteriaOf(plan: plans.Plan): Criteria {
+  private criteriaOf(plan: routePlan.RoutePlan): Criteria {
     const { route } = plan.entry;
     const rank = plan.rank;
     const hasLatencyTarget = rank !== 0 && !this.isReturning(plan);
@@ -148,7 +153,7 @@
   }
 
   /** Looks at the runners in the order of the plan, up to the first that serves the request as it should be. */
-  private survey(plan: plans.Plan, runners: readonly fleets.Runner[], criteria: Criteria): Survey {
+  private survey(plan: routePlan.RoutePlan, runners: readonly runnerEndpoint.RunnerEndpoint[], criteria: Criteria): Survey {
     const found: Survey = { best: null, inTime: null, free: null, minCompletionMs: Infinity, minFirstEventMs: Infinity };
     for (const runner of runners) {
       const predicted = this.known.predict(plan, runner, this.known.slowdowns.slowdownOf(runner.id, plan.now), criteria.waitFactor);
@@ -168,22 +173,22 @@
     return found;
   }
 
-  private isReturning(plan: plans.Plan): boolean {
-    return this.known.recentRejections.count(plan.returnKey, plan.now) > 0;
+  private isReturning(plan: routePlan.RoutePlan): boolean {
+    return this.known.recentRejections.count(plan.retryKey, plan.now) > 0;
   }
 
   /**
    * The share of its spare time that a request may wait. The lesser ranks may wait less, so that the queue stays
    * short enough for who came back, and for sizes served less often, with what time is left to them.
    */
-  private slackFractionOf(plan: plans.Plan): number {
+  private slackFractionOf(plan: routePlan.RoutePlan): number {
     const isHeldBack = this.known.sizeClassesOf(plan.entry.route.name).isHeldBack(sizeOf(plan));
     const share = SLACK_FRACTION_BY_RANK[Math.min(SLACK_FRACTION_BY_RANK.length - 1, plan.rank)];
     return this.isReturning(plan) || isHeldBack ? Math.sqrt(share) : share;
   }
 
-  private deny(plan: plans.Plan, excessMs: number): plans.Rejection {
-    this.known.recentRejections.recordRejection(plan.returnKey, plan.now);
+  private deny(plan: routePlan.RoutePlan, excessMs: number): routePlan.Rejection {
+    this.known.recentRejections.recordRejection(plan.retryKey, plan.now);
     this.known.sizeClassesOf(plan.entry.route.name).record(sizeOf(plan), false);
     log.count("admission.denied");
     log.count(`admission.denied_rank_${plan.rank}`);
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -5,9 +5,9 @@
  * This class owns the state; `judge.ts` decides, `predict.ts` computes, `ticket.ts` feeds back what each response
  * showed. Made once per router by the chooser. Nothing here waits or does I/O, and no call throws.
  */
-import type * as fleets from "../router/runners/fleet.js";
-import type * as plans from "../router/plan.js";
-import type * as readings from "../router/runners/readings.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
+import type * as routePlan from "../routing/route-plan.js";
+import type * as prefillTracker from "../runners/prefill-tracker.js";
 import * as log from "../runtime/log.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
@@ -36,9 +36,9 @@
 /** What admission reads of the router around it. */
 export interface Dependencies {
   /** The runners of a region. */
-  readonly runners: (region: string) => Iterable<fleets.Runner>;
+  readonly runners: (region: string) => Iterable<runnerEndpoint.RunnerEndpoint>;
   /** Which prompts the runners hold, what they are reading, and how fast they read. */
-  readonly known: readings.Readings;
+  readonly known: prefillTracker.PrefillTracker;
   /** Routers of the fleet, this one included; 1 at least. */
   readonly routers: () => number;
 }
@@ -129,8 +129,8 @@
   }
 
   /** What the request would take at this runner: tokens to read, to produce, and to hold. */
-  demandOf(plan: plans.Plan, runner: fleets.Runner): prediction.TokenDemand {
-    const { prompt, mostOut } = plan.asked;
+  demandOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): prediction.TokenDemand {
+    const { prompt, maxOutput: mostOut } = plan.requestedTokens;
     return {
       prefillTokens: plan.parts.length > 0 ? this.dependencies.known.unread(runner.id, plan.parts, plan.keys) : 0,
       outputTokens: mostOut,
@@ -139,20 +139,25 @@
   }
 
   /** When the request would be done at this runner, with waits multiplied by `waitFactor`. */
-  predict(plan: plans.Plan, runner: fleets.Runner, slow: runnerSlowdown.Slowdown, waitFactor: number): prediction.Prediction {
+  predict(
+    plan: routePlan.RoutePlan,
+    runner: runnerEndpoint.RunnerEndpoint,
+    slow: runnerSlowdown.Slowdown,
+    waitFactor: number,
+  ): prediction.Prediction {
     return this.predictAt(plan, runner, { place: this.placeOf(plan, runner), need: this.demandOf(plan, runner), slow, waitFactor });
   }
 
-  private placeOf(plan: plans.Plan, runner: fleets.Runner): cellCapacity.SlotUsage {
+  private placeOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): cellCapacity.SlotUsage {
     return this.cells.slotUsageOf(this.dependencies.known.backlogMs(runner.id, plan.now), runner);
   }
 
-  private predictAt(plan: plans.Plan, runner: fleets.Runner, input: PredictionInput): prediction.Prediction {
+  private predictAt(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint, input: PredictionInput): prediction.Prediction {
     const pace = this.serviceTimeOf(plan.service);
     const { place, need, slow, waitFactor } = input;
     return prediction.predict(place, need, {
       prefillTokensPerMs: this.dependencies.known.rate,
-      occupancyMs: pace.occupancyMs(plan.asked.mostOut > 0),
+      occupancyMs: pace.occupancyMs(plan.requestedTokens.maxOutput > 0),
       tokenMs: pace.tokenMs((place.used + 1) / Math.max(1, place.capacity)),
       waitFactor,
       slowdown: slow,
@@ -162,7 +167,7 @@
   }
 
   /** Called once per request, after the other policies: null lets it in, see `Judge.judge`. */
-  decide(plan: plans.Plan): plans.Rejection | null {
+  decide(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     if (plan.isBatch) return batchAdmission.decideBatchItem(this, plan);
     return this.isOn ? this.doorJudge.decide(plan) : null;
   }
@@ -171,21 +176,25 @@
    * The request goes to this runner: its part of the room is spent, and the ticket returned must be ended exactly
    * once by whoever follows the response.
    */
-  recordSend(plan: plans.Plan, runner: fleets.Runner): attemptObserver.AttemptObserver {
-    if (plan.tried.size === 0) this.recordAdmitted(plan);
+  recordSend(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): attemptObserver.AttemptObserver {
+    if (plan.attemptedRunners.size === 0) this.recordAdmitted(plan);
     const need = this.demandOf(plan, runner);
     const ticket = new attemptObserver.AttemptObserver(this, this.sentRequestOf(plan, runner, need));
     this.cells.spend(runner, need.prefillTokens + need.outputTokens);
     return ticket;
   }
 
-  private recordAdmitted(plan: plans.Plan): void {
+  private recordAdmitted(plan: routePlan.RoutePlan): void {
     log.count("admission.admitted");
-    this.recentRejections.forget(plan.returnKey);
-    this.sizeClassesOf(plan.entry.route.name).record(sizeClasses.sizeOf(plan.asked.prompt, plan.asked.mostOut), true);
+    this.recentRejections.forget(plan.retryKey);
+    this.sizeClassesOf(plan.entry.route.name).record(sizeClasses.sizeOf(plan.requestedTokens.prompt, plan.requestedTokens.maxOutput), true);
   }
 
-  private sentRequestOf(plan: plans.Plan, runner: fleets.Runner, need: prediction.TokenDemand): attemptObserver.SentAttempt {
+  private sentRequestOf(
+    plan: routePlan.RoutePlan,
+    runner: runnerEndpoint.RunnerEndpoint,
+    need: prediction.TokenDemand,
+  ): attemptObserver.SentAttempt {
     const { route } = plan.entry;
     const { rank } = plan;
     const pace = this.serviceTimeOf(plan.service);
--- a/src/admission/attempt-observer.ts
+++ b/src/admission/attempt-observer.ts
@@ -1,5 +1,5 @@
 /** One admitted send: what was predicted for it, and what its response teaches (design/admission 3). */
-import type * as fleets from "../router/runners/fleet.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as types from "../wire/types.js";
 import type * as cellLeases from "./cell-leases.js";
 import * as serviceTimeModel from "./service-time-model.js";
@@ -10,7 +10,7 @@
 
 /** What is known of a request when it is sent; times are milliseconds, points in time of the steady clock. */
 export interface SentAttempt {
-  readonly runner: fleets.Runner;
+  readonly runner: runnerEndpoint.RunnerEndpoint;
   readonly need: prediction.TokenDemand;
   readonly service: string;
   readonly route: string;
--- a/src/admission/batch-admission.ts
+++ b/src/admission/batch-admission.ts
@@ -2,8 +2,8 @@
  * Whether there is room to spare for an item of a batch (design/batch 6): it goes only where a place is free, nobody
  * waits, no stream is held up, and most of the cell stays free for others. Also with the setting `admission` off.
  */
-import type * as fleets from "../router/runners/fleet.js";
-import type * as plans from "../router/plan.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
+import type * as routePlan from "../routing/route-plan.js";
 import * as log from "../runtime/log.js";
 import type * as cellLeases from "./cell-leases.js";
 import type * as interTokenGaps from "./inter-token-gaps.js";
@@ -21,11 +21,16 @@
 export interface Knowledge {
   readonly cells: cellLeases.CellLeases;
   readonly interTokenGaps: interTokenGaps.InterTokenGaps;
-  predict(plan: plans.Plan, runner: fleets.Runner, slow: runnerSlowdown.Slowdown, waitFactor: number): prediction.Prediction;
+  predict(
+    plan: routePlan.RoutePlan,
+    runner: runnerEndpoint.RunnerEndpoint,
+    slow: runnerSlowdown.Slowdown,
+    waitFactor: number,
+  ): prediction.Prediction;
 }
 
 /** Null lets the item in, its runner put first. */
-export function decideBatchItem(known: Knowledge, plan: plans.Plan): plans.Rejection | null {
+export function decideBatchItem(known: Knowledge, plan: routePlan.RoutePlan): routePlan.Rejection | null {
   const rooms = new Map<string, boolean>();
   for (const runner of plan.candidates) {
     if (!rooms.has(runner.region)) rooms.set(runner.region, hasRoom(known, plan, runner.region));
@@ -38,7 +43,7 @@
   return { status: 503, cause: "there is no room to spare for an item of a batch", retryAfterS: RETRY_S };
 }
 
-function hasRoom(known: Knowledge, plan: plans.Plan, region: string): boolean {
+function hasRoom(known: Knowledge, plan: routePlan.RoutePlan, region: string): boolean {
   const room: cellCapacity.CellCapacity = known.cells.capacityNow(
     plan.candidates.filter((runner) => runner.region === region),
     plan.now,
--- a/src/admission/cell-leases.ts
+++ b/src/admission/cell-leases.ts
@@ -5,7 +5,7 @@
  * Between two reports each router may spend only its lease of the free places, so that all routers together do not
  * fill the same places twice. Times are milliseconds of the steady clock.
  */
-import type * as fleets from "../router/runners/fleet.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
 import * as cellCapacity from "./cell-capacity.js";
@@ -35,7 +35,7 @@
   othersPerSend: number;
 }
 
-function keyOf(runner: fleets.Runner): string {
+function keyOf(runner: runnerEndpoint.RunnerEndpoint): string {
   return `${runner.region}|${runner.instance.service}`;
 }
 
@@ -50,7 +50,7 @@
     return this.world.now() - item.at <= STALE_MS;
   }
 
-  private leaseFor(runner: fleets.Runner): Lease | undefined {
+  private leaseFor(runner: runnerEndpoint.RunnerEndpoint): Lease | undefined {
     const lease = this.leases.get(keyOf(runner));
     return lease && this.isFresh(lease) ? lease : undefined;
   }
@@ -62,13 +62,13 @@
   }
 
   /** Takes a report and renews the leases of its region; called after the fleet has taken the same report. */
-  applyReport(report: schema.CellReport, runners: Iterable<fleets.Runner>, routers: number): void {
+  applyReport(report: schema.CellReport, runners: Iterable<runnerEndpoint.RunnerEndpoint>, routers: number): void {
     const at = this.world.now();
     for (const item of report.reports) {
       if (item.isSpeaking)
         this.loads.set(item.id, { at, waiting: item.waiting, kvUsed: item.kvUsed, kvCapacity: item.kvCapacity, sentTokens: 0 });
     }
-    const cells = new Map<string, fleets.Runner[]>();
+    const cells = new Map<string, runnerEndpoint.RunnerEndpoint[]>();
     for (const runner of runners) {
       if (runner.region !== report.region || !this.loads.has(runner.id)) continue;
       const key = keyOf(runner);
@@ -79,7 +79,7 @@
     for (const [key, cell] of cells) this.leases.set(key, this.leaseOf(cell, routers));
   }
 
-  private leaseOf(cell: readonly fleets.Runner[], routers: number): Lease {
+  private leaseOf(cell: readonly runnerEndpoint.RunnerEndpoint[], routers: number): Lease {
     let own = 0;
     let all = 0;
     for (const runner of cell) {
@@ -101,7 +101,7 @@
    * The runner's place with what the other routers are expected to have sent there since, going by this one's own
    * sends.
    */
-  slotUsageOf(backlogMs: number, runner: fleets.Runner): cellCapacity.SlotUsage {
+  slotUsageOf(backlogMs: number, runner: runnerEndpoint.RunnerEndpoint): cellCapacity.SlotUsage {
     const place = this.reportedSlotUsage(backlogMs, runner);
     const lease = this.leaseFor(runner);
     if (lease) place.used += Math.min(place.capacity, lease.spent * lease.othersPerSend);
@@ -109,7 +109,7 @@
   }
 
   /** The runner's place by its last report and this router's own requests. A stale report counts as none. */
-  reportedSlotUsage(backlogMs: number, runner: fleets.Runner): cellCapacity.SlotUsage {
+  reportedSlotUsage(backlogMs: number, runner: runnerEndpoint.RunnerEndpoint): cellCapacity.SlotUsage {
     const known = this.loads.get(runner.id);
     const fresh = known && this.isFresh(known) ? known : undefined;
     return {
@@ -124,7 +124,7 @@
   }
 
   /** A runner that handed a request back a moment ago is full whatever is known of it. */
-  capacityNow(runners: readonly fleets.Runner[], now: number): cellCapacity.CellCapacity {
+  capacityNow(runners: readonly runnerEndpoint.RunnerEndpoint[], now: number): cellCapacity.CellCapacity {
     const places: cellCapacity.SlotUsage[] = [];
     for (const runner of runners) {
       const place = this.reportedSlotUsage(0, runner);
@@ -135,13 +135,13 @@
   }
 
   /** A cell that does not report has no lease, and no bound by one. */
-  hasLease(runner: fleets.Runner): boolean {
+  hasLease(runner: runnerEndpoint.RunnerEndpoint): boolean {
     const lease = this.leaseFor(runner);
     return lease === undefined || lease.spent < lease.places;
   }
 
   /** A request of so many tokens goes to this runner. */
-  spend(runner: fleets.Runner, tokens: number): void {
+  spend(runner: runnerEndpoint.RunnerEndpoint, tokens: number): void {
     const lease = this.leaseFor(runner);
     if (lease) lease.spent += 1;
     const load = this.loads.get(runner.id);
@@ -149,7 +149,7 @@
   }
 
   /** A request sent there is over, whatever became of it. */
-  release(runner: fleets.Runner): void {
+  release(runner: runnerEndpoint.RunnerEndpoint): void {
     const lease = this.leaseFor(runner);
     if (lease) lease.spent = Math.max(0, lease.spent - 1);
   }
--- a/src/cli/roles.ts
+++ b/src/cli/roles.ts
@@ -6,7 +6,7 @@
  */
 import * as fs from "node:fs";
 import * as control from "../control/program.js";
-import * as router from "../router/program.js";
+import * as routerProgram from "../router/router-program.js";
 import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
 import * as tree from "../supervisor/tree.js";
@@ -95,7 +95,7 @@
 /** Runs a router until it is told to stop; ends the process with code 78 where the settings are bad. */
 export function startRouter(options: RoleOptions): Promise<void> {
   return run(function createRouter(initial) {
-    return new router.RouterProgram(new timers.SystemClock(), initial);
+    return new routerProgram.RouterProgram(new timers.SystemClock(), initial);
   }, options);
 }
 
--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -1,13 +1,13 @@
 /** What one choice of the chain (design 7.2) costs a router, by the runners of the service (docs/experiment.md). */
 import * as admissions from "../admission/admission.js";
-import * as fleets from "../router/runners/fleet.js";
-import * as plans from "../router/plan.js";
-import * as admitting from "../router/policies/admission.js";
-import * as cells from "../router/policies/cells.js";
-import * as homes from "../router/policies/homes.js";
-import * as runner from "../router/policies/runner.js";
-import * as readings from "../router/runners/readings.js";
-import * as rotations from "../router/runners/rotation.js";
+import * as runnerFleet from "../runners/runner-fleet.js";
+import * as routePlan from "../routing/route-plan.js";
+import * as admissionPolicy from "../router/policies/admission-policy.js";
+import * as cellPolicy from "../router/policies/cell-policy.js";
+import * as homesPolicy from "../router/policies/homes-policy.js";
+import * as runnerPolicy from "../router/policies/runner-policy.js";
+import * as prefillTracker from "../runners/prefill-tracker.js";
+import * as zoneRotation from "../runners/zone-rotation.js";
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as rows from "./rows.js";
@@ -68,7 +68,7 @@
   weight: 1,
   homes: [],
   isRepeatable: true,
-} satisfies plans.Plan["entry"];
+} satisfies routePlan.RoutePlan["entry"];
 
 function instanceOf(region: string, index: number): schema.Instance {
   return {
@@ -85,15 +85,15 @@
 
 /** A router's policies over a fleet of the given size, without links. */
 export class Chain {
-  private readonly fleet: fleets.Fleet;
-  private readonly known = new readings.Readings();
-  private readonly policies: plans.Policy[];
+  private readonly fleet: runnerFleet.RunnerFleet;
+  private readonly known = new prefillTracker.PrefillTracker();
+  private readonly policies: routePlan.Policy[];
 
   constructor(
     private readonly world: types.Clock,
     size: Fleet,
   ) {
-    this.fleet = new fleets.Fleet(world, new Map());
+    this.fleet = new runnerFleet.RunnerFleet(world, new Map());
     const listed: schema.Instance[] = [];
     const regions: string[] = [];
     for (let region = 0; region < size.regions; region += 1) regions.push(`region-${region}`);
@@ -101,10 +101,10 @@
     this.fleet.takeList(listed);
     const admission = new admissions.Admission(world, { runners: this.fleet.in.bind(this.fleet), known: this.known, routers: one });
     this.policies = [
-      new homes.HomesPolicy(this.fleet, new rotations.Rotation(world)),
-      new cells.CellPolicy(regions[0], this.fleet.summaries),
-      new runner.RunnerPolicy(this.known),
-      new admitting.AdmissionPolicy(admission),
+      new homesPolicy.HomesPolicy(this.fleet, new zoneRotation.ZoneRotation(world)),
+      new cellPolicy.CellPolicy(regions[0], this.fleet.summaries),
+      new runnerPolicy.RunnerPolicy(this.known),
+      new admissionPolicy.AdmissionPolicy(admission),
     ];
     for (const region of regions) this.report(region, admission);
   }
@@ -124,13 +124,13 @@
         kvCapacity: KV_CAPACITY,
       });
       const shared = this.prompt().slice(0, -1);
-      this.known.note(runner.id, 0, readings.chainKeys(shared), this.world.now());
+      this.known.note(runner.id, 0, prefillTracker.chainKeys(shared), this.world.now());
     }
     this.fleet.takeReport({ region, reports });
     admission.applyReport({ region, reports });
   }
 
-  private prompt(): plans.Part[] {
+  private prompt(): routePlan.PromptPart[] {
     const beginning = Math.floor(this.world.random() * BEGINNINGS);
     return [
       { id: `b-${beginning}`, tokens: SHARED_TOKENS },
@@ -146,19 +146,19 @@
     const now = this.world.now();
     let sharedTokens = 0;
     for (const part of shared) sharedTokens += part.tokens;
-    const plan: plans.Plan = {
+    const plan: routePlan.RoutePlan = {
       requestId: types.small(`r-${this.world.random()}`),
       entry: ENTRY,
       service: SERVICE,
       parts,
       shared,
       sharedTokens,
-      keys: readings.chainKeys(parts),
-      tried: new Set(),
+      keys: prefillTracker.chainKeys(parts),
+      attemptedRunners: new Set(),
       now,
       deadline: now + DEADLINE_MS,
-      asked: { prompt: 0, mostOut: 200 },
-      returnKey: 0,
+      requestedTokens: { prompt: 0, maxOutput: 200 },
+      retryKey: 0,
       rank: 1,
       isBatch: false,
       tenant: null,
--- a/src/experiment/routers.ts
+++ b/src/experiment/routers.ts
@@ -1,5 +1,5 @@
 /** Hollow routers: whole router programs without clients, many in one process (design/experiment 2). */
-import * as router from "../router/program.js";
+import * as routerProgram from "../router/router-program.js";
 import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
 import * as vitals from "../runtime/vitals.js";
@@ -54,9 +54,9 @@
 }
 
 interface HollowRouter {
-  program: router.RouterProgram;
+  program: routerProgram.RouterProgram;
   regions: string[];
-  lastStanding: router.Standing;
+  lastStanding: routerProgram.Standing;
 }
 
 /** The hollow routers of one process. */
@@ -75,7 +75,7 @@
     for (const options of all) {
       const parsed = settings.parse(options.settings);
       if (parsed.isErr) throw parsed.error;
-      const program = new router.RouterProgram(this.world, parsed.value);
+      const program = new routerProgram.RouterProgram(this.world, parsed.value);
       this.hollows.push({ program, regions: options.regions, lastStanding: program.standing() });
       await program.root.start();
     }
--- a/src/router/client/client-reply.ts
+++ b/src/router/client/client-response.ts
@@ -1,16 +1,16 @@
 // The answer to one client: its head, its body as it arrives from a runner, and its end (design 7.8, 7.9). An answer
 // that is not whole never looks complete: its connection is destroyed, so nothing else is ever sent over it.
 import type * as nodeHttp from "node:http";
-import type * as answer from "../answer.js";
-import * as events from "./events.js";
-import * as headers from "../headers.js";
-import * as replies from "./replies.js";
+import type * as responseHead from "../response-head.js";
+import * as eventSplitter from "./event-splitter.js";
+import * as headerRules from "../header-rules.js";
+import * as localResponse from "./local-response.js";
 
 /** One answer; begun at most once. */
-export class ClientReply {
+export class ClientResponse {
   /** The head of a runner's answer was sent on; no other answer can take its place. */
   isHeadOut = false;
-  private cutter: events.EventCutter | null = null;
+  private cutter: eventSplitter.EventSplitter | null = null;
 
   /** `isLeaving`: whether the answer is to be the last on its connection. */
   constructor(
@@ -23,10 +23,10 @@
   }
 
   /** Sends on the head of a runner's answer. A resumable body is passed on in whole events. */
-  begin(head: answer.Head, isResumable: boolean, onDrain: () => void): void {
-    const raw = headers.forClient(head.raw, head.headers.get("connection"));
+  begin(head: responseHead.ResponseHead, isResumable: boolean, onDrain: () => void): void {
+    const raw = headerRules.forClient(head.raw, head.headers.get("connection"));
     if (this.isLeaving()) raw.push("Connection", "close");
-    if (isResumable) this.cutter = new events.EventCutter();
+    if (isResumable) this.cutter = new eventSplitter.EventSplitter();
     this.outgoing.writeHead(head.status, raw);
     this.isHeadOut = true;
     this.outgoing.on("drain", onDrain);
@@ -61,7 +61,7 @@
 
   /** An answer of the router's own, in place of a runner's. */
   answer(status: number, message: string, retryAfterS: number | null): void {
-    replies.send(this.outgoing, status, message, retryAfterS, this.isLeaving());
+    localResponse.sendLocalResponse(this.outgoing, status, message, retryAfterS, this.isLeaving());
   }
 
   breakOff(): void {
--- a/src/router/client/events.ts
+++ b/src/router/client/event-splitter.ts
@@ -3,7 +3,7 @@
 const RETURN = 13;
 
 /** Cuts one stream; fed with its bytes in order. */
-export class EventCutter {
+export class EventSplitter {
   private held: Buffer = Buffer.alloc(0);
   lastId: string | null = null;
   count = 0;
--- a/src/router/client/replies.ts
+++ b/src/router/client/local-response.ts
@@ -2,7 +2,7 @@
 import type * as nodeHttp from "node:http";
 
 /** Sends one reply; where another has begun, the connection ends instead. */
-export function send(
+export function sendLocalResponse(
   outgoing: nodeHttp.ServerResponse,
   status: number,
   message: string,
--- a/src/router/client/pending.ts
+++ b/src/router/client/pending-requests.ts
@@ -9,9 +9,9 @@
 const MAX_MS = 800;
 
 /** What becomes of one that waits: exactly one of the two is called, none when its client leaves first. */
-export interface Outcomes {
-  go(): void;
-  late(): void;
+export interface PendingHandler {
+  onReady(): void;
+  onTimeout(): void;
 }
 
 /** All of one router. */
@@ -29,30 +29,30 @@
   }
 
   /** arrivedAt and mostHeldMs: of the request, in milliseconds; where there is no room or time it is late at once. */
-  add(outgoing: nodeHttp.ServerResponse, arrivedAt: number, mostHeldMs: number, outcomes: Outcomes): void {
+  add(outgoing: nodeHttp.ServerResponse, arrivedAt: number, mostHeldMs: number, outcomes: PendingHandler): void {
     const { waiting } = this;
     const leftMs = arrivedAt + Math.min(MAX_MS, mostHeldMs) - this.world.now();
     if (waiting.size >= this.most || leftMs <= 0) {
-      outcomes.late();
+      outcomes.onTimeout();
       return;
     }
     const tick = this.world.schedule(leftMs, late);
     waiting.add(go);
     outgoing.once("close", gone);
     function late(): void {
-      if (waiting.delete(go)) outcomes.late();
+      if (waiting.delete(go)) outcomes.onTimeout();
     }
     function gone(): void {
       if (waiting.delete(go)) tick.stop();
     }
     function go(): void {
       tick.stop();
-      outcomes.go();
+      outcomes.onReady();
     }
   }
 
   /** This router may serve now. */
-  open(): void {
+  releaseAll(): void {
     const ready = [...this.waiting];
     this.waiting.clear();
     for (const go of ready) go();
--- a/src/router/client/body.ts
+++ b/src/router/client/request-body.ts
@@ -2,7 +2,7 @@
 import type * as nodeHttp from "node:http";
 
 /** The bytes that all requests of this process hold, and the requests whose bodies are still on their way. */
-export class HeldBytes {
+export class BufferedBytes {
   bytes = 0;
   reading = 0;
 
@@ -14,15 +14,15 @@
 }
 
 /** Takes one body. */
-export interface BodyTaker {
+export interface BodyHandler {
   /** Null for a request without a body. */
-  whole(body: Buffer | null): void;
+  onComplete(body: Buffer | null): void;
   /** The body is over its bound; nothing more of it is read. */
-  tooLarge(): void;
+  onTooLarge(): void;
 }
 
 /** Exactly one of the taker's functions is called, once, or none when the client goes away before its body is whole. */
-export function readBody(incoming: nodeHttp.IncomingMessage, mostBytes: number, held: HeldBytes, taker: BodyTaker): void {
+export function readBody(incoming: nodeHttp.IncomingMessage, mostBytes: number, held: BufferedBytes, taker: BodyHandler): void {
   const parts: Buffer[] = [];
   let bytes = 0;
   let isOver = false;
@@ -39,13 +39,13 @@
     parts.push(chunk);
     if (bytes <= mostBytes) return;
     lost();
-    taker.tooLarge();
+    taker.onTooLarge();
   }
 
   function whole(): void {
     if (isOver) return;
     lost();
-    taker.whole(parts.length === 0 ? null : Buffer.concat(parts));
+    taker.onComplete(parts.length === 0 ? null : Buffer.concat(parts));
   }
 
   function lost(): void {
--- a/src/router/client/proper.ts
+++ b/src/router/client/request-validation.ts
@@ -5,7 +5,7 @@
 import * as names from "../../wire/names.js";
 
 /** Why a request is no proper HTTP. */
-export interface Fault {
+export interface InvalidRequest {
   status: 400 | 501 | 505;
   message: string;
 }
@@ -25,7 +25,7 @@
 const ended = new WeakSet<net.Socket>();
 
 /** Whether the connection was to end with an earlier reply. */
-export function isEnded(socket: net.Socket): boolean {
+export function isClosing(socket: net.Socket): boolean {
   return ended.has(socket);
 }
 
@@ -38,7 +38,7 @@
  * Bytes that are no request came after one that was read whole or has its reply under way: that reply stays the last,
  * and no other is put in its place.
  */
-export function isReplying(socket: net.Socket): boolean {
+export function keepPendingResponse(socket: net.Socket): boolean {
   const reply = (socket as net.Socket & Replying)._httpMessage;
   if (!reply || !(reply.headersSent || reply.req.complete)) return ended.has(socket);
   ended.add(socket);
@@ -48,7 +48,7 @@
 }
 
 /** One pass over the fields as they came. A target in absolute form is made one in origin form, with its authority as the host. */
-export function judge(incoming: nodeHttp.IncomingMessage): Fault | null {
+export function validate(incoming: nodeHttp.IncomingMessage): InvalidRequest | null {
   const fault = find(incoming);
   if (fault) {
     ended.add(incoming.socket);
@@ -57,7 +57,7 @@
   return fault;
 }
 
-function find(incoming: nodeHttp.IncomingMessage): Fault | null {
+function find(incoming: nodeHttp.IncomingMessage): InvalidRequest | null {
   const { rawHeaders: raw } = incoming;
   let hostAt = -1;
   let hasId = false;
@@ -83,11 +83,11 @@
   return ofConnection(incoming.headers.connection) ?? ofTarget(incoming, hostAt);
 }
 
-function bad(message: string): Fault {
+function bad(message: string): InvalidRequest {
   return { status: 400, message };
 }
 
-function ofConnection(connection: string | undefined): Fault | null {
+function ofConnection(connection: string | undefined): InvalidRequest | null {
   if (connection === undefined || connection === "keep-alive" || connection === "close") return null;
   for (const item of connection.toLowerCase().split(",")) {
     if (END_TO_END.has(item.trim())) return bad(`Connection names ${item.trim()}; leave it out`);
@@ -95,7 +95,7 @@
   return null;
 }
 
-function ofTarget(incoming: nodeHttp.IncomingMessage, hostAt: number): Fault | null {
+function ofTarget(incoming: nodeHttp.IncomingMessage, hostAt: number): InvalidRequest | null {
   const target = incoming.url ?? "/";
   if (target.charCodeAt(0) === SLASH) return target.includes("#") ? bad("a fragment in the target; leave it out") : null;
   if (target === "*") return incoming.method === "OPTIONS" ? null : bad("the target * is for OPTIONS; send a path");
@@ -112,7 +112,7 @@
 }
 
 /** No tunnels: CONNECT is told so, and its connection ends. */
-export function denyTunnel(_incoming: nodeHttp.IncomingMessage, socket: net.Socket): void {
+export function rejectConnect(_incoming: nodeHttp.IncomingMessage, socket: net.Socket): void {
   log.count("router.requests");
   log.count("router.improper");
   log.count("router.reply_501");
--- a/src/router/client/server.ts
+++ b/src/router/client/router-server.ts
@@ -6,15 +6,15 @@
 import * as listen from "../../wire/listen.js";
 import * as types from "../../wire/types.js";
 import * as names from "../../wire/names.js";
-import type * as batches from "../batches.js";
-import * as body from "./body.js";
-import type * as context from "../context.js";
-import * as pending from "./pending.js";
-import * as proper from "./proper.js";
-import * as replies from "./replies.js";
-import * as request from "../request.js";
-import type * as tenancies from "../tenancy.js";
-import * as transactions from "../transaction.js";
+import type * as routerBatches from "../router-batches.js";
+import * as requestBody from "./request-body.js";
+import type * as transactionContext from "../transaction-context.js";
+import * as pendingRequests from "./pending-requests.js";
+import * as requestValidation from "./request-validation.js";
+import * as localResponse from "./local-response.js";
+import * as routeRequest from "../route-request.js";
+import type * as tenantGate from "../tenant-gate.js";
+import * as requestTransaction from "../request-transaction.js";
 
 const DEFAULTS: Required<check.Limits> = {
   max_header_bytes: 16384,
@@ -37,29 +37,29 @@
 /** The frontend of one router. */
 export class RouterServer {
   private readonly server: nodeHttp.Server;
-  private readonly active = new Set<transactions.Transaction>();
-  private readonly pending: pending.PendingRequests;
+  private readonly active = new Set<requestTransaction.Transaction>();
+  private readonly pending: pendingRequests.PendingRequests;
   private limits = DEFAULTS;
-  private readonly held: body.HeldBytes;
+  private readonly held: requestBody.BufferedBytes;
   isLeaving = false;
 
   constructor(
     private readonly world: types.Clock,
-    private readonly chooser: context.Context["chooser"],
+    private readonly chooser: transactionContext.TransactionContext["chooser"],
     private readonly isReady: () => boolean,
-    private readonly sending: context.Context["sending"],
+    private readonly sending: transactionContext.TransactionContext["sending"],
     machine: Machine,
-    private readonly batches: batches.RouterBatches,
-    private readonly tenancy: tenancies.Tenancy,
+    private readonly batches: routerBatches.RouterBatches,
+    private readonly tenancy: tenantGate.TenantGate,
   ) {
-    this.held = new body.HeldBytes(machine.memory_mb * 1024 * 1024 * HELD_SHARE);
-    this.pending = new pending.PendingRequests(world, Math.floor(machine.memory_mb * PENDING_PER_MB));
+    this.held = new requestBody.BufferedBytes(machine.memory_mb * 1024 * 1024 * HELD_SHARE);
+    this.pending = new pendingRequests.PendingRequests(world, Math.floor(machine.memory_mb * PENDING_PER_MB));
     this.server = nodeHttp.createServer(
       { connectionsCheckingInterval: CHECK_MS, maxHeaderSize: DEFAULTS.max_header_bytes, requireHostHeader: false },
       this.take.bind(this),
     );
     this.server.on("clientError", clientError);
-    this.server.on("connect", proper.denyTunnel);
+    this.server.on("connect", requestValidation.rejectConnect);
     this.server.maxConnections = Math.floor(machine.max_open_files * CONNECTIONS_SHARE);
     this.limit(undefined);
   }
@@ -99,13 +99,13 @@
 
   private deny(outgoing: nodeHttp.ServerResponse, status: number, message: string, retryAfterS: number | null, isLast: boolean): void {
     log.count(`router.reply_${status}`);
-    replies.send(outgoing, status, message, retryAfterS, isLast || this.isLeaving);
+    localResponse.sendLocalResponse(outgoing, status, message, retryAfterS, isLast || this.isLeaving);
   }
 
   private take(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
-    if (proper.isEnded(incoming.socket)) return;
+    if (requestValidation.isClosing(incoming.socket)) return;
     log.count("router.requests");
-    const fault = proper.judge(incoming);
+    const fault = requestValidation.validate(incoming);
     if (fault) return this.deny(outgoing, fault.status, fault.message, null, true);
     const arrivedAt = this.world.now();
     const length = Number(incoming.headers["content-length"] ?? 0);
@@ -119,14 +119,14 @@
 
   private read(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number): void {
     const entry = this.chooser.table?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    const timer = this.world.schedule(request.mostHeldMs(incoming, entry), this.denyTooSlow.bind(this, incoming, outgoing));
+    const timer = this.world.schedule(routeRequest.mostHeldMs(incoming, entry), this.denyTooSlow.bind(this, incoming, outgoing));
     outgoing.once("close", () => timer.stop());
-    body.readBody(incoming, this.limits.max_body_bytes, this.held, {
-      whole: (body) => {
+    requestBody.readBody(incoming, this.limits.max_body_bytes, this.held, {
+      onComplete: (body) => {
         timer.stop();
         if (!outgoing.headersSent) this.begin(incoming, outgoing, arrivedAt, body);
       },
-      tooLarge: () => {
+      onTooLarge: () => {
         timer.stop();
         this.denyTooLarge(outgoing);
       },
@@ -155,7 +155,7 @@
       this.deny(outgoing, 404, "no route has this host and path; see Config.Describe for the routes", null, false);
       return;
     }
-    const requestId = request.idOf(incoming);
+    const requestId = routeRequest.idOf(incoming);
     if (requestId === "") {
       this.deny(outgoing, 400, "X-Cranewind-Request-Id is missing; send one id a try", null, false);
       return;
@@ -167,24 +167,24 @@
     }
     const isBatch = this.batches.isItem(incoming.headers[names.HEADER.batchPass]);
     if (!isBatch) this.batches.countArrival(entry.route.name);
-    this.admit(request.requestOf(incoming, { requestId, entry, tenant, body, arrivedAt, isBatch }), incoming, outgoing);
+    this.admit(routeRequest.requestOf(incoming, { requestId, entry, tenant, body, arrivedAt, isBatch }), incoming, outgoing);
   }
 
   private wait(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number, body: Buffer | null): void {
     const entry = this.chooser.table?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    this.pending.add(outgoing, arrivedAt, request.mostHeldMs(incoming, entry), {
-      go: () => this.begin(incoming, outgoing, arrivedAt, body),
-      late: () => this.deny(outgoing, 503, "this node has no configuration yet; come back shortly", 0.3, true),
+    this.pending.add(outgoing, arrivedAt, routeRequest.mostHeldMs(incoming, entry), {
+      onReady: () => this.begin(incoming, outgoing, arrivedAt, body),
+      onTimeout: () => this.deny(outgoing, 503, "this node has no configuration yet; come back shortly", 0.3, true),
     });
   }
 
   /** The first configuration and list are here. */
   takePending(): void {
-    this.pending.open();
+    this.pending.releaseAll();
   }
 
   /** Waits for a unit of the tenant's quota where there is a limit; a client that leaves meanwhile takes none. */
-  private admit(request: request.Request, incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
+  private admit(request: routeRequest.RouteRequest, incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
     const { tenancy } = this;
     const claim = tenancy.admit(
       request.tenant,
@@ -198,15 +198,15 @@
   }
 
   private run(
-    request: request.Request,
+    request: routeRequest.RouteRequest,
     incoming: nodeHttp.IncomingMessage,
     outgoing: nodeHttp.ServerResponse,
-    admitted: tenancies.Admitted,
+    admitted: tenantGate.Admitted,
   ): void {
     const { world, chooser, active, held, sending, tenancy } = this;
     const isLeaving = this.isGoing.bind(this);
     const bytes = request.body?.length ?? 0;
-    const transaction = new transactions.Transaction({ world, chooser, finished, sending, isLeaving }, request, incoming, outgoing);
+    const transaction = new requestTransaction.Transaction({ world, chooser, finished, sending, isLeaving }, request, incoming, outgoing);
     held.bytes += bytes;
     active.add(transaction);
     transaction.start();
@@ -233,7 +233,7 @@
     socket.destroy();
     return;
   }
-  if (proper.isReplying(socket)) return;
+  if (requestValidation.keepPendingResponse(socket)) return;
   const status = CLIENT_ERRORS.get(cause.code ?? "") ?? "400 Bad Request";
   log.count(`router.reply_${status.slice(0, 3)}`);
   socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
--- a/src/router/leaving.ts
+++ b/src/router/graceful-shutdown.ts
@@ -3,14 +3,14 @@
 import * as link from "../wire/link.js";
 import type * as types from "../wire/types.js";
 import * as timers from "../runtime/timers.js";
-import type * as servers from "./client/server.js";
+import type * as routerServer from "./client/router-server.js";
 
 /** Of the grace time, kept for the end of the process itself. */
 const LAST_MS = 400;
 const STEP_MS = 50;
 
 /** Resolves when no request is at work any more, or the grace time is nearly over. The server is marked as leaving before. */
-export async function finishWork(clock: types.Clock, server: servers.RouterServer, graceMs: number): Promise<void> {
+export async function drainRequests(clock: types.Clock, server: routerServer.RouterServer, graceMs: number): Promise<void> {
   const startedAt = clock.now();
   const until = startedAt + graceMs - LAST_MS;
   await timers.sleep(clock, Math.min(directory.LEAVE_MS + link.BEAT_MS, until - startedAt));
--- a/src/router/leases.ts
+++ b/src/router/limit-borrower.ts
@@ -25,7 +25,7 @@
 }
 
 /** One for each router. */
-export class Borrower {
+export class LimitBorrower {
   private readonly sources = new Map<string, Source>();
   private turnNumber = 0;
   private askedAt = -Infinity;
--- a/src/router/policies/cells.ts
+++ b/src/router/policies/cell-policy.ts
@@ -2,9 +2,9 @@
 // else priority order: the own region, then the others in one fixed order.
 import * as shares from "../../limits/shares.js";
 import * as summary from "../../load/summary.js";
-import type * as fleets from "../runners/fleet.js";
-import * as plans from "../plan.js";
-import * as rotations from "../runners/rotation.js";
+import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
+import * as routePlan from "../../routing/route-plan.js";
+import * as zoneRotation from "../../runners/zone-rotation.js";
 
 /** From so many shared tokens on, the request goes to the data. */
 export const DETERMINISTIC_TOKENS = 1000;
@@ -22,7 +22,7 @@
 }
 
 /** Counts the candidates by region. */
-export function countCells(candidates: readonly fleets.Runner[], now: number): Map<string, CellCount> {
+export function countCells(candidates: readonly runnerEndpoint.RunnerEndpoint[], now: number): Map<string, CellCount> {
   const cells = new Map<string, CellCount>();
   for (const runner of candidates) {
     const cell = cells.get(runner.region) ?? { all: 0, good: 0 };
@@ -64,7 +64,7 @@
 }
 
 /** Orders the regions of a request. */
-export class CellPolicy implements plans.Policy {
+export class CellPolicy implements routePlan.Policy {
   readonly name = "cells";
   private readonly states = new Map<string, CellState>();
   constructor(
@@ -72,7 +72,7 @@
     private readonly known = new summary.Summaries(),
   ) {}
 
-  apply(plan: plans.Plan): plans.Rejection | null {
+  apply(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const counts = countCells(plan.candidates, plan.now);
     for (const [region, cell] of counts) {
       const summary = this.known.of(region, plan.service);
@@ -90,20 +90,20 @@
   }
 
   /** Past the threshold a cell is unavailable; after a while away it comes back by percentage steps. */
-  private isAvailable(plan: plans.Plan, counts: ReadonlyMap<string, CellCount>, region: string): boolean {
+  private isAvailable(plan: routePlan.RoutePlan, counts: ReadonlyMap<string, CellCount>, region: string): boolean {
     const cell = counts.get(region)!;
     const isGood = cell.good >= cell.all * THRESHOLD && cell.good > 0;
     const key = `${plan.service}|${region}`;
     const state = this.states.get(key) ?? { isIn: true, since: -Infinity };
     if (state.isIn !== isGood) this.states.set(key, moved(state, isGood, plan.now));
     const { since } = this.states.get(key) ?? state;
-    return isGood && rotations.isWithin(rotations.failbackPercent(plan.now - since), plan.requestId);
+    return isGood && zoneRotation.isWithin(zoneRotation.failbackPercent(plan.now - since), plan.requestId);
   }
 
-  private byKey(plan: plans.Plan, counts: ReadonlyMap<string, CellCount>): string[] {
+  private byKey(plan: routePlan.RoutePlan, counts: ReadonlyMap<string, CellCount>): string[] {
     const weights = new Map<string, number>();
     for (const [region, cell] of counts) weights.set(region, cell.all);
-    return rankByKey(plans.keyOf(plan.shared), weights);
+    return rankByKey(routePlan.promptKey(plan.shared), weights);
   }
 
   private byPriority(counts: ReadonlyMap<string, CellCount>): string[] {
--- a/src/router/policies/homes.ts
+++ b/src/router/policies/homes-policy.ts
@@ -1,7 +1,7 @@
 // Homes: whatever fails, only runners in the allowed regions, in use and not tried yet, remain (design 7.3).
-import type * as fleets from "../runners/fleet.js";
-import type * as plans from "../plan.js";
-import type * as rotations from "../runners/rotation.js";
+import type * as runnerFleet from "../../runners/runner-fleet.js";
+import type * as routePlan from "../../routing/route-plan.js";
+import type * as zoneRotation from "../../runners/zone-rotation.js";
 
 const LEAVING_SLACK_MS = 300;
 
@@ -11,20 +11,20 @@
 }
 
 /** The first policy of the chain. */
-export class HomesPolicy implements plans.Policy {
+export class HomesPolicy implements routePlan.Policy {
   readonly name = "homes";
   constructor(
-    private readonly fleet: fleets.Fleet,
-    private readonly rotation: rotations.Rotation,
+    private readonly fleet: runnerFleet.RunnerFleet,
+    private readonly rotation: zoneRotation.ZoneRotation,
   ) {}
 
-  apply(plan: plans.Plan): plans.Rejection | null {
+  apply(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const { homes } = plan.entry;
     const tenantHomes = plan.tenant?.homes ?? [];
     const regions = new Set<string>();
     for (const runner of this.fleet.of(plan.service)) {
       if (!allows(homes, runner.region) || !allows(tenantHomes, runner.region)) continue;
-      if (runner.status !== "ready" || plan.tried.has(runner.id)) continue;
+      if (runner.status !== "ready" || plan.attemptedRunners.has(runner.id)) continue;
       if (plan.now > runner.leavesAt - LEAVING_SLACK_MS) continue;
       if (!this.rotation.isIn(runner.instance.zone, plan.requestId)) continue;
       plan.candidates.push(runner);
--- a/src/router/policies/runner.ts
+++ b/src/router/policies/runner-policy.ts
@@ -1,10 +1,10 @@
 // Runner selection (design 7.4): each runner is weighed by what the request would wait for there: readings
 // ahead of it, parts of its prompt to read, its batch, the way to another cell. Ties go by the prompt's key.
 import * as shares from "../../limits/shares.js";
-import type * as fleets from "../runners/fleet.js";
-import * as plans from "../plan.js";
-import type * as readings from "../runners/readings.js";
-import * as standings from "../runners/standing.js";
+import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
+import * as routePlan from "../../routing/route-plan.js";
+import type * as prefillTracker from "../../runners/prefill-tracker.js";
+import * as runnerHealth from "../../runners/runner-health.js";
 
 const SLACK = 4;
 const OVER_MEAN = 1.5;
@@ -20,16 +20,16 @@
 const READ_WEIGHT = 2;
 
 interface Weighed {
-  runner: fleets.Runner;
+  runner: runnerEndpoint.RunnerEndpoint;
   ms: number;
 }
 
 /** Orders the candidates by what they would cost the request. */
-export class RunnerPolicy implements plans.Policy {
+export class RunnerPolicy implements routePlan.Policy {
   readonly name = "runner";
-  constructor(private readonly known: readings.Readings) {}
+  constructor(private readonly known: prefillTracker.PrefillTracker) {}
 
-  apply(plan: plans.Plan): plans.Rejection | null {
+  apply(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const good: Weighed[] = [];
     const over: Weighed[] = [];
     const suspect: Weighed[] = [];
@@ -37,12 +37,12 @@
     const { isRepeatable } = plan.entry;
     for (const [place, region] of plan.cells.entries()) {
       const cell = plan.candidates.filter(isHere);
-      function isHere(runner: fleets.Runner): boolean {
+      function isHere(runner: runnerEndpoint.RunnerEndpoint): boolean {
         return runner.region === region;
       }
       const bound = boundOf(cell);
       for (const weighed of this.weigh(plan, cell, place)) {
-        const standing = standings.standingOf(weighed.runner, plan.now, isRepeatable, plan.requestId);
+        const standing = runnerHealth.assessHealth(weighed.runner, plan.now, isRepeatable, plan.requestId);
         if (standing === "ejected") ejected.push(weighed);
         else if (standing === "suspect") suspect.push(weighed);
         else if (isOver(weighed.runner, bound, plan.now)) over.push(weighed);
@@ -53,14 +53,14 @@
     return null;
   }
 
-  private weigh(plan: plans.Plan, cell: fleets.Runner[], place: number): Weighed[] {
+  private weigh(plan: routePlan.RoutePlan, cell: runnerEndpoint.RunnerEndpoint[], place: number): Weighed[] {
     const { known } = this;
     const hasPrompt = plan.parts.length > 0;
-    const ranks = hasPrompt ? firstByKey(plans.keyOf(plan.shared), cell) : null;
+    const ranks = hasPrompt ? firstByKey(routePlan.promptKey(plan.shared), cell) : null;
     return cell.map(weighed);
-    function weighed(runner: fleets.Runner): Weighed {
+    function weighed(runner: runnerEndpoint.RunnerEndpoint): Weighed {
       let ms =
-        standings.penaltyMs(runner, plan.now, plan.entry.isRepeatable) +
+        runnerHealth.penaltyMs(runner, plan.now, plan.entry.isRepeatable) +
         place * NEXT_CELL_MS +
         (BATCH_MS * runner.usage()) / runner.instance.capacity;
       if (hasPrompt) {
@@ -76,26 +76,26 @@
   return left.ms - right.ms || (left.runner.id < right.runner.id ? -1 : 1);
 }
 
-function runnerOf(item: Weighed): fleets.Runner {
+function runnerOf(item: Weighed): runnerEndpoint.RunnerEndpoint {
   return item.runner;
 }
 
 /** No runner takes much more than its cell's mean, so that one hot key does not fill it. */
-function boundOf(cell: readonly fleets.Runner[]): number {
+function boundOf(cell: readonly runnerEndpoint.RunnerEndpoint[]): number {
   let sum = 0;
   for (const runner of cell) sum += runner.usage();
   return OVER_MEAN * (sum / Math.max(1, cell.length)) + SLACK;
 }
 
-function isOver(runner: fleets.Runner, bound: number, now: number): boolean {
+function isOver(runner: runnerEndpoint.RunnerEndpoint, bound: number, now: number): boolean {
   const usage = runner.usage();
   return usage >= runner.instance.capacity || usage > bound || now < runner.fullUntil || runner.kvShare > FULL_MEMORY;
 }
 
 /** The first places of the key's order; all others are alike. The key is hashed once, not for each runner. */
-function firstByKey(key: string, cell: readonly fleets.Runner[]): ReadonlyMap<fleets.Runner, number> {
+function firstByKey(key: string, cell: readonly runnerEndpoint.RunnerEndpoint[]): ReadonlyMap<runnerEndpoint.RunnerEndpoint, number> {
   const start = shares.begun(`${key}|`);
-  const first: fleets.Runner[] = [];
+  const first: runnerEndpoint.RunnerEndpoint[] = [];
   const scores: number[] = [];
   for (const runner of cell) {
     const score = shares.ended(start, runner.id);
@@ -106,7 +106,7 @@
     scores.splice(at, 0, score);
     first.length = scores.length = Math.min(first.length, MAX_RANK);
   }
-  const ranks = new Map<fleets.Runner, number>();
+  const ranks = new Map<runnerEndpoint.RunnerEndpoint, number>();
   for (const [rank, runner] of first.entries()) ranks.set(runner, rank);
   return ranks;
 }
--- a/src/router/runners/prompt-readings.ts
+++ b/src/router/prefill-sharing.ts
@@ -1,24 +1,24 @@
 // Which prompts are read where, by this router's own sends and by what other routers tell (design 7.4).
-import * as signSender from "../../hints/sign-sender.js";
-import type * as reader from "../../load/reader.js";
-import type * as schema from "../../wire/schema.js";
-import type * as types from "../../wire/types.js";
-import type * as fleets from "./fleet.js";
-import type * as readings from "./readings.js";
-import type * as request from "../request.js";
+import * as signSender from "../hints/sign-sender.js";
+import type * as reader from "../load/reader.js";
+import type * as schema from "../wire/schema.js";
+import type * as types from "../wire/types.js";
+import type * as runnerFleet from "../runners/runner-fleet.js";
+import type * as prefillTracker from "../runners/prefill-tracker.js";
+import type * as routeRequest from "./route-request.js";
 
 /** The other routers learn of readings from so many tokens on. */
 const MIN_TOKENS = 1000;
 
 /** Joins what is read here and elsewhere. */
-export class PromptReadings implements signSender.Hearer {
+export class PrefillSharing implements signSender.Hearer {
   readonly signSender: signSender.SignSender;
 
   /** `send`: brings signs to the other routers, by way of a control node. */
   constructor(
     private readonly world: types.Clock,
-    private readonly fleet: fleets.Fleet,
-    private readonly known: readings.Readings,
+    private readonly fleet: runnerFleet.RunnerFleet,
+    private readonly known: prefillTracker.PrefillTracker,
     private readonly usage: reader.Reader,
     send: (signs: schema.Signs) => void,
   ) {
@@ -26,7 +26,7 @@
   }
 
   /** A request goes to a runner: the tokens of its prompt that the runner has to read. */
-  sending(request: request.Request, runner: types.RunnerId): number {
+  sending(request: routeRequest.RouteRequest, runner: types.RunnerId): number {
     this.usage.sent(this.fleet.regionFor(runner));
     if (request.parts.length === 0) return 0;
     const unread = Math.round(this.known.unread(runner, request.parts, request.keys));
--- a/src/router/transaction.ts
+++ b/src/router/request-transaction.ts
@@ -3,45 +3,45 @@
 import type * as admissionStats from "../admission/admission-stats.js";
 import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
-import * as answer from "./answer.js";
-import * as attempts from "./attempt.js";
-import type * as choosers from "./chooser.js";
-import * as clientReply from "./client/client-reply.js";
-import type * as context from "./context.js";
-import type * as plans from "./plan.js";
-import * as request from "./request.js";
-import * as states from "./states.js";
+import * as responseHead from "./response-head.js";
+import * as runnerAttempt from "./runner-attempt.js";
+import type * as runnerPicker from "./runner-picker.js";
+import * as clientResponse from "./client/client-response.js";
+import type * as transactionContext from "./transaction-context.js";
+import type * as routePlan from "../routing/route-plan.js";
+import * as routeRequest from "./route-request.js";
+import * as transactionState from "./transaction-state.js";
 
 const MIN_MS = 10;
 const MAX_UNSENT = 4;
 const LOOK_MS = 250;
 
 /** One request of a client, from its body to the end of its answer. */
-export class Transaction implements attempts.Owner {
-  state: states.State = "reading";
+export class Transaction implements runnerAttempt.Owner {
+  state: transactionState.TransactionState = "reading";
   private readonly tried = new Set<string>();
   private sends = 0;
   private unsent = 0;
-  private attempt: attempts.Attempt | null = null;
+  private attempt: runnerAttempt.Attempt | null = null;
   private deadlineTimer: types.Timer | null = null;
   private reading: { tokens: number; since: number } | null = null;
   private hasRun = false;
   private nextLookAt = 0;
-  private readonly reply: clientReply.ClientReply;
+  private readonly reply: clientResponse.ClientResponse;
 
   constructor(
-    private readonly context: context.Context,
-    readonly request: request.Request,
+    private readonly context: transactionContext.TransactionContext,
+    readonly request: routeRequest.RouteRequest,
     private readonly incoming: nodeHttp.IncomingMessage,
     outgoing: nodeHttp.ServerResponse,
   ) {
-    this.reply = new clientReply.ClientReply(outgoing, context.isLeaving);
+    this.reply = new clientResponse.ClientResponse(outgoing, context.isLeaving);
     this.reply.onClose(this.clientGone.bind(this));
   }
 
   /** `end`: what it came to, with the last change. */
-  private move(to: states.State, end?: admissionStats.RequestOutcome): void {
-    this.state = states.moved(this.state, to);
+  private move(to: transactionState.TransactionState, end?: admissionStats.RequestOutcome): void {
+    this.state = transactionState.transition(this.state, to);
     if (!end) return;
     this.context.chooser.admission.stats.recordOutcome(end, this.request.rank);
     this.deadlineTimer?.stop();
@@ -65,22 +65,22 @@
       this.deny({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
       return;
     }
-    const choice = this.context.chooser.choose(this.request, this.tried, this.sends);
+    const choice = this.context.chooser.pick(this.request, this.tried, this.sends);
     if ("status" in choice) this.deny(choice);
     else this.sendTo(choice);
   }
 
-  private sendTo(choice: choosers.Choice): void {
+  private sendTo(choice: runnerPicker.Pick): void {
     const left = this.request.deadline - this.context.world.now();
     this.tried.add(choice.runner.id);
     this.sends += 1;
     const sending = { target: choice.runner.id, budgetMs: Math.max(1, Math.floor(left)), lastEventId: this.reply.lastEventId };
-    this.attempt = new attempts.Attempt(
+    this.attempt = new runnerAttempt.Attempt(
       this.context.world,
       choice.runner,
       choice.connection,
       this,
-      request.sendable(this.request, this.incoming, sending, choice.ticket),
+      routeRequest.sendable(this.request, this.incoming, sending, choice.ticket),
     );
     this.move("sent");
     this.reading = { tokens: this.context.sending(this.request, choice.runner.id), since: this.context.world.now() };
@@ -93,7 +93,7 @@
   }
 
   /** Nothing has run, and nothing will: only then may a promise be given. */
-  private deny(rejection: plans.Rejection): void {
+  private deny(rejection: routePlan.Rejection): void {
     log.count("router.denied");
     if (this.reply.isHeadOut || this.hasRun) this.lost();
     else this.finish(rejection.status, rejection.cause, rejection.retryAfterS, "denied");
@@ -117,13 +117,13 @@
     this.move("done", end);
   }
 
-  onHead(_attempt: attempts.Attempt, head: answer.Head): boolean {
+  onHead(_attempt: runnerAttempt.Attempt, head: responseHead.ResponseHead): boolean {
     const { entry } = this.request;
-    const isSuccess = answer.isSuccess(head);
-    if (isSuccess && !answer.isSealed(head)) return false;
+    const isSuccess = responseHead.isSuccess(head);
+    if (isSuccess && !responseHead.isSealed(head)) return false;
     if (this.reply.isHeadOut) return this.isSameStream(head);
     // What doesn't say that the request has not run must not reach the client as a promise that it has not.
-    if (answer.isPromise(head)) return false;
+    if (responseHead.isPromise(head)) return false;
     if (head.status >= 500 && entry.isRepeatable && this.mayRepeat()) return false;
     const isResumable = entry.route.route_type === "streaming" && isSuccess && entry.isRepeatable && !head.headers.has("content-length");
     this.reply.begin(head, isResumable, () => this.attempt?.resume());
@@ -131,13 +131,13 @@
     return true;
   }
 
-  private isSameStream(head: answer.Head): boolean {
+  private isSameStream(head: responseHead.ResponseHead): boolean {
     const isSame = head.status === 200 && this.reply.isResumable;
     if (isSame) this.move("passing");
     return isSame;
   }
 
-  onPiece(_attempt: attempts.Attempt, chunk: Buffer): boolean {
+  onPiece(_attempt: runnerAttempt.Attempt, chunk: Buffer): boolean {
     if (this.state !== "passing") return true;
     if (this.reading) this.context.chooser.known.learn(this.reading.tokens, this.context.world.now() - this.reading.since);
     this.reading = null;
@@ -148,7 +148,7 @@
     return this.sends < this.context.chooser.mostSends(this.request);
   }
 
-  onEnd(attempt: attempts.Attempt, ending: attempts.Ending, head: answer.Head | null): void {
+  onEnd(attempt: runnerAttempt.Attempt, ending: runnerAttempt.Ending, head: responseHead.ResponseHead | null): void {
     if (this.state === "done" || attempt !== this.attempt) return;
     if (ending === "complete") this.complete();
     else if (ending === "not_sent") this.notSent();
@@ -172,7 +172,7 @@
     else this.again();
   }
 
-  private handedBack(attempt: attempts.Attempt, head: answer.Head): void {
+  private handedBack(attempt: runnerAttempt.Attempt, head: responseHead.ResponseHead): void {
     log.count("router.handed_back");
     attempt.runner.denied(this.context.world.now(), head.status === 421);
     if (head.status === 400) {
@@ -213,7 +213,7 @@
     if (quiet < context.chooser.patienceMs(this.request.entry, this.state === "passing", attempt.runner, now)) return;
     if (this.nextLookAt === 0) attempt.runner.suspect(now);
     this.nextLookAt = now + LOOK_MS;
-    const choice = context.chooser.choose(this.request, this.tried, this.sends);
+    const choice = context.chooser.pick(this.request, this.tried, this.sends);
     if ("status" in choice) {
       log.count("router.stayed");
       return;
--- a/src/router/answer.ts
+++ b/src/router/response-head.ts
@@ -4,7 +4,7 @@
 import type * as types from "../wire/types.js";
 
 /** The head of one answer as it arrived. */
-export interface Head {
+export interface ResponseHead {
   status: number;
   /** Raw name and value pairs, in their order. */
   raw: readonly Buffer[];
@@ -23,7 +23,7 @@
  * Whether the answer bears this request's id, once or more often, and no other. Runners echo the id, so an answer
  * without one proves nothing about the request that waits for it.
  */
-export function isOf(head: Head, requestId: types.RequestId): boolean {
+export function isOf(head: ResponseHead, requestId: types.RequestId): boolean {
   let hasId = false;
   const { raw } = head;
   for (let index = 0; index + 1 < raw.length; index += 2) {
@@ -36,27 +36,27 @@
 }
 
 /** Whether the status is 2xx. */
-export function isSuccess(head: Head): boolean {
+export function isSuccess(head: ResponseHead): boolean {
   return head.status >= 200 && head.status < 300;
 }
 
 /** A success counts only with its runner's seal, and only in the runner's own bytes: clients ask for no encoding. */
-export function isSealed(head: Head): boolean {
+export function isSealed(head: ResponseHead): boolean {
   return head.headers.has(names.HEADER.seal) && !head.headers.has("content-encoding");
 }
 
 /** Whether the runner says that it did not run the request. A success that says so contradicts itself: it may have run. */
-export function isNotExecuted(head: Head): boolean {
+export function isNotExecuted(head: ResponseHead): boolean {
   return head.status === MISDIRECTED || (head.status >= FIRST_FAILURE && head.headers.has(names.HEADER.notExecuted));
 }
 
 /** Whether a client would read the status as a promise that the request has not run. */
-export function isPromise(head: Head): boolean {
+export function isPromise(head: ResponseHead): boolean {
   return PROMISES.has(head.status);
 }
 
 /** Whether only the end of the connection tells the end of the body (RFC 9112, 6.3): neither a length nor chunks do. */
-export function endsWithConnection(head: Head, method: string): boolean {
+export function endsWithConnection(head: ResponseHead, method: string): boolean {
   if (method === "HEAD" || BODILESS.has(head.status)) return false;
   return !head.headers.has("content-length") && head.headers.get("transfer-encoding")?.toLowerCase().includes("chunked") !== true;
 }
--- a/src/router/request.ts
+++ b/src/router/route-request.ts
@@ -6,17 +6,17 @@
 import * as names from "../wire/names.js";
 import type * as tenant from "../tenants/tenant.js";
 import * as types from "../wire/types.js";
-import type * as attempts from "./attempt.js";
-import * as headers from "./headers.js";
-import * as plans from "./plan.js";
-import * as readings from "./runners/readings.js";
+import type * as runnerAttempt from "./runner-attempt.js";
+import * as headerRules from "./header-rules.js";
+import * as routePlan from "../routing/route-plan.js";
+import * as prefillTracker from "../runners/prefill-tracker.js";
 
 /** For clients that don't say how long they wait. */
 const DEFAULT_BUDGET_MS = 60_000;
 const HASHES = 2 ** 32;
 
 /** One try of a client, read whole. */
-export interface Request {
+export interface RouteRequest {
   requestId: types.RequestId;
   entry: routes.RouteEntry;
   /** Whose request it is; null where no key is needed. */
@@ -26,12 +26,12 @@
   rank: number;
   /** An item of a batch, sent by a control node. */
   isBatch: boolean;
-  parts: plans.Part[];
+  parts: routePlan.PromptPart[];
   keys: number[];
   /** Both in ms of the steady clock. */
   arrivedAt: number;
   deadline: number;
-  asked: plans.Asked;
+  requestedTokens: routePlan.RequestedTokens;
   body: Buffer | null;
 }
 
@@ -61,32 +61,32 @@
 }
 
 /** The request of what was read. */
-export function requestOf(incoming: nodeHttp.IncomingMessage, received: Received): Request {
+export function requestOf(incoming: nodeHttp.IncomingMessage, received: Received): RouteRequest {
   const { requestId, entry, tenant, arrivedAt, isBatch } = received;
-  const parts = plans.readParts(single(incoming.headers[names.HEADER.prefix]));
+  const parts = routePlan.parsePromptParts(single(incoming.headers[names.HEADER.prefix]));
   return {
     ...received,
     rank: isBatch ? routes.BATCH_RANK : routes.rankOf(entry.route, tenant?.priority),
     service: routes.chooseService(entry, shares.hash(`${requestId}/split`) / HASHES),
     parts,
-    keys: readings.chainKeys(parts),
+    keys: prefillTracker.chainKeys(parts),
     deadline: arrivedAt + mostHeldMs(incoming, entry),
-    asked: plans.readAsked(single(incoming.headers[names.HEADER.tokens]), parts),
+    requestedTokens: routePlan.parseRequestedTokens(single(incoming.headers[names.HEADER.tokens]), parts),
   };
 }
 
 /** The request as a runner gets it: method, path and body unchanged, headers by the rules (design 7.7). */
 export function sendable(
-  request: Request,
+  request: RouteRequest,
   incoming: nodeHttp.IncomingMessage,
-  sending: Pick<headers.Sending, "target" | "budgetMs" | "lastEventId">,
+  sending: Pick<headerRules.Sending, "target" | "budgetMs" | "lastEventId">,
   ticket: attemptObserver.AttemptObserver,
-): attempts.Sendable {
+): runnerAttempt.Sendable {
   const { method, url, rawHeaders, headers: parsed } = incoming;
   return {
     method: method ?? "GET",
     path: url ?? "/",
-    headers: headers.forRunner(rawHeaders, parsed.connection, { ...sending, rank: request.rank, tenant: request.tenant?.name ?? null }),
+    headers: headerRules.forRunner(rawHeaders, parsed.connection, { ...sending, rank: request.rank, tenant: request.tenant?.name ?? null }),
     body: request.body,
     requestId: request.requestId,
     isStream: request.entry.route.route_type === "streaming",
--- a/src/router/batches.ts
+++ b/src/router/router-batches.ts
@@ -7,7 +7,7 @@
 import * as calls from "../wire/calls.js";
 import type * as link from "../wire/link.js";
 import type * as admissions from "../admission/admission.js";
-import type * as readings from "./runners/readings.js";
+import type * as prefillTracker from "../runners/prefill-tracker.js";
 
 /** Routes counted; the counts of others are left out. */
 const MAX_ROUTES = 4096;
@@ -21,7 +21,7 @@
 
   constructor(
     private readonly life: string,
-    private readonly known: readings.Readings,
+    private readonly known: prefillTracker.PrefillTracker,
     private readonly admission: admissions.Admission,
   ) {}
 
--- a/src/router/program.ts
+++ b/src/router/router-program.ts
@@ -16,25 +16,25 @@
 import * as shares from "../limits/shares.js";
 import * as tree from "../supervisor/tree.js";
 import * as reader from "../load/reader.js";
-import * as account from "./account.js";
-import * as batches from "./batches.js";
-import * as choosers from "./chooser.js";
-import * as fleets from "./runners/fleet.js";
-import * as leases from "./leases.js";
-import * as leaving from "./leaving.js";
-import * as readiness from "./readiness.js";
-import * as promptReadings from "./runners/prompt-readings.js";
-import * as readings from "./runners/readings.js";
-import * as rotations from "./runners/rotation.js";
-import * as servers from "./client/server.js";
+import * as routerStatus from "./router-status.js";
+import * as routerBatches from "./router-batches.js";
+import * as runnerPicker from "./runner-picker.js";
+import * as runnerFleet from "../runners/runner-fleet.js";
+import * as limitBorrower from "./limit-borrower.js";
+import * as gracefulShutdown from "./graceful-shutdown.js";
+import * as readinessServer from "./readiness-server.js";
+import * as prefillSharing from "./prefill-sharing.js";
+import * as prefillTracker from "../runners/prefill-tracker.js";
+import * as zoneRotation from "../runners/zone-rotation.js";
+import * as routerServer from "./client/router-server.js";
 import * as serveGate from "./serve-gate.js";
-import * as tenancies from "./tenancy.js";
-import * as topics from "./topics.js";
+import * as tenantGate from "./tenant-gate.js";
+import * as followedTopics from "./followed-topics.js";
 
 const WATCH_MS = 100;
 const CHILL_MS = 2500;
 
-export type { Standing } from "./account.js";
+export type { RouterPosition as Standing } from "./router-status.js";
 
 /** One router; started and stopped by its root. */
 export class RouterProgram implements followers.Taker {
@@ -43,18 +43,18 @@
   private readonly dial: dialer.Dialer;
   private readonly gate: serveGate.ServeGate;
   private readonly follower: followers.Follower;
-  private readonly fleet: fleets.Fleet;
-  private readonly rotation: rotations.Rotation;
+  private readonly fleet: runnerFleet.RunnerFleet;
+  private readonly rotation: zoneRotation.ZoneRotation;
   private readonly share: shares.Shares;
   private readonly config = new parts.ConfigParts();
-  private readonly borrower: leases.Borrower;
-  private readonly known = new readings.Readings();
+  private readonly borrower: limitBorrower.LimitBorrower;
+  private readonly known = new prefillTracker.PrefillTracker();
   readonly usage: reader.Reader;
-  private readonly prompts: promptReadings.PromptReadings;
-  private readonly chooser: choosers.Chooser;
-  private readonly server: servers.RouterServer;
-  private readonly batches: batches.RouterBatches;
-  private readonly tenancy: tenancies.Tenancy;
+  private readonly prompts: prefillSharing.PrefillSharing;
+  private readonly chooser: runnerPicker.RunnerPicker;
+  private readonly server: routerServer.RouterServer;
+  private readonly batches: routerBatches.RouterBatches;
+  private readonly tenancy: tenantGate.TenantGate;
   private epoch = types.NO_EPOCH;
   readonly root: tree.Supervisor;
 
@@ -62,24 +62,24 @@
     private readonly clock: types.Clock,
     private startup: settings.Settings,
   ) {
-    this.fleet = new fleets.Fleet(clock, new Map(Object.entries(startup.zones)));
-    this.rotation = new rotations.Rotation(clock);
+    this.fleet = new runnerFleet.RunnerFleet(clock, new Map(Object.entries(startup.zones)));
+    this.rotation = new zoneRotation.ZoneRotation(clock);
     this.share = new shares.Shares(clock, startup.bounds);
-    this.chooser = new choosers.Chooser(clock, this.fleet, this.rotation, this.share, startup.region, this.known);
+    this.chooser = new runnerPicker.RunnerPicker(clock, this.fleet, this.rotation, this.share, startup.region, this.known);
     this.usage = new reader.Reader(clock, this.fleet, startup.region, this.reported.bind(this));
-    this.prompts = new promptReadings.PromptReadings(clock, this.fleet, this.known, this.usage, this.tellSigns.bind(this));
+    this.prompts = new prefillSharing.PrefillSharing(clock, this.fleet, this.known, this.usage, this.tellSigns.bind(this));
     const sending = this.prompts.sending.bind(this.prompts);
     const selector = new sessionSelector.SessionSelector(clock, { name: startup.node_name, region: startup.region });
     this.dial = new dialer.Dialer(clock, "", this.handlers, this.describe.bind(this), link.SILENT_MS, selector);
     this.gate = new serveGate.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, this.opened.bind(this));
     this.dial.on("beat", this.judgeStart.bind(this));
-    this.batches = new batches.RouterBatches(this.life, this.known, this.chooser.admission);
+    this.batches = new routerBatches.RouterBatches(this.life, this.known, this.chooser.admission);
     this.batches.register(this.handlers);
-    this.tenancy = new tenancies.Tenancy(clock, startup.region, this.dial.controls, startup.bounds);
+    this.tenancy = new tenantGate.TenantGate(clock, startup.region, this.dial.controls, startup.bounds);
     const { chooser, gate, tenancy } = this;
-    this.server = new servers.RouterServer(clock, chooser, gate.allows.bind(gate), sending, startup.limits, this.batches, tenancy);
+    this.server = new routerServer.RouterServer(clock, chooser, gate.allows.bind(gate), sending, startup.limits, this.batches, tenancy);
     this.follower = new followers.Follower(clock, startup.region, this.dial, this.handlers, this.topics.bind(this), this);
-    this.borrower = new leases.Borrower(clock, this.life, this.dial, this.share);
+    this.borrower = new limitBorrower.LimitBorrower(clock, this.life, this.dial, this.share);
     this.dial.know(settings.innerSeeds(startup));
     this.dial.register(this.handlers);
     this.prompts.signSender.register(this.handlers);
@@ -122,7 +122,7 @@
   private plan(): void {
     const { root, startup, server } = this;
     const { frontend, readiness: checked } = startup.bind_addresses;
-    if (checked) root.add(readiness.readinessChild(checked, this.isReady.bind(this), this.status.bind(this)));
+    if (checked) root.add(readinessServer.readinessChild(checked, this.isReady.bind(this), this.status.bind(this)));
     if (frontend) root.add({ name: "frontend", start: server.listen.bind(server, frontend), stop: server.close.bind(server) });
     root.add(root.turns("beats", link.BEAT_MS, this.beat.bind(this)));
     root.add(root.turns("watch", WATCH_MS, this.watch.bind(this)));
@@ -160,7 +160,7 @@
   }
 
   private topics(): string[] {
-    return [...topics.topicsOf(topics.neededRegions(this.startup.zones)), ...this.usage.topics()];
+    return [...followedTopics.topicsOf(followedTopics.neededRegions(this.startup.zones)), ...this.usage.topics()];
   }
 
   take(applied: mirrors.Applied): void {
@@ -215,7 +215,7 @@
   }
 
   private status(): unknown {
-    return account.account({
+    return routerStatus.routerStatus({
       node: this.describe(),
       following: this.standing().following,
       configuration: this.gate.status(),
@@ -227,7 +227,7 @@
   }
 
   /** What it goes by now, for watchers in the same process (docs/experiment.md). */
-  standing(): account.Standing {
+  standing(): routerStatus.RouterPosition {
     return { epoch: this.epoch, revision: this.config.revision, following: this.follower.main?.node.name ?? null };
   }
 
@@ -235,7 +235,7 @@
   async stop(): Promise<void> {
     this.server.isLeaving = true;
     this.beat();
-    await leaving.finishWork(this.clock, this.server, this.startup.bounds.grace_s * 1000);
+    await gracefulShutdown.drainRequests(this.clock, this.server, this.startup.bounds.grace_s * 1000);
     log.state(this.chooser.admission.stats.logLine());
     await this.root.stop();
     this.dial.end();
--- a/src/router/account.ts
+++ b/src/router/router-status.ts
@@ -5,30 +5,30 @@
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
 import type * as shares from "../limits/shares.js";
-import type * as choosers from "./chooser.js";
+import type * as runnerPicker from "./runner-picker.js";
 import type * as serveGate from "./serve-gate.js";
-import type * as fleets from "./runners/fleet.js";
+import type * as runnerFleet from "../runners/runner-fleet.js";
 
 /** What a router goes by now. */
-export interface Standing {
+export interface RouterPosition {
   epoch: types.Epoch;
   revision: number;
   following: string | null;
 }
 
 /** What the account is put together from. */
-export interface Accountable {
+export interface StatusSources {
   node: schema.NodeInfo;
   following: string | null;
   configuration: serveGate.GateStatus;
   share: shares.Shares;
-  chooser: choosers.Chooser;
-  fleet: fleets.Fleet;
+  chooser: runnerPicker.RunnerPicker;
+  fleet: runnerFleet.RunnerFleet;
   now: number;
 }
 
 /** The status of a router as JSON; its names are read by `cranewind status`. */
-export function account(of: Accountable): unknown {
+export function routerStatus(of: StatusSources): unknown {
   const runners: unknown[] = [];
   for (const runner of of.fleet.all()) runners.push(runner.account(of.now));
   return {
--- a/src/router/attempt.ts
+++ b/src/router/runner-attempt.ts
@@ -5,11 +5,11 @@
 import * as log from "../runtime/log.js";
 import * as http from "../wire/http.js";
 import * as types from "../wire/types.js";
-import * as answer from "./answer.js";
-import type * as connections from "./runners/connections.js";
-import type * as fleets from "./runners/fleet.js";
-import * as idle from "./runners/idle.js";
-import type * as signs from "./runners/signs.js";
+import * as responseHead from "./response-head.js";
+import type * as connectionPool from "../runners/connection-pool.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
+import * as idleTimeout from "../runners/idle-timeout.js";
+import type * as failureKind from "../runners/failure-kind.js";
 
 const CONNECT_MS = 450;
 /** After so many events the pace of a stream is known. */
@@ -25,9 +25,9 @@
 /** Hears of one attempt. */
 export interface Owner {
   /** False: the head is not taken, and the attempt is over as broken. */
-  onHead(attempt: Attempt, head: answer.Head): boolean;
+  onHead(attempt: Attempt, head: responseHead.ResponseHead): boolean;
   onPiece(attempt: Attempt, chunk: Buffer): boolean;
-  onEnd(attempt: Attempt, ending: Ending, head: answer.Head | null): void;
+  onEnd(attempt: Attempt, ending: Ending, head: responseHead.ResponseHead | null): void;
 }
 
 /** A request as one attempt sends it. */
@@ -47,7 +47,7 @@
   isSent = false;
   isOver = false;
   receivedAt = 0;
-  head: answer.Head | null = null;
+  head: responseHead.ResponseHead | null = null;
   isPassing = false;
   private connectTimer: types.Timer | null = null;
   private startedAt = 0;
@@ -62,8 +62,8 @@
 
   constructor(
     private readonly world: types.Clock,
-    readonly runner: fleets.Runner,
-    private readonly connection: connections.Connection,
+    readonly runner: runnerEndpoint.RunnerEndpoint,
+    private readonly connection: connectionPool.Connection,
     private readonly owner: Owner,
     private readonly what: Sendable,
   ) {}
@@ -115,14 +115,14 @@
     this.received();
     this.resumeRead = resume;
     const head = { status, raw, headers: http.headerMap(raw) };
-    if (!answer.isOf(head, this.what.requestId)) {
+    if (!responseHead.isOf(head, this.what.requestId)) {
       // An answer too many, of an earlier request, or no runner's answer: nothing on this connection can be trusted.
       log.count("router.foreign_answer");
       this.spoiled("broken");
       return true;
     }
     this.head = head;
-    if (answer.isNotExecuted(head)) {
+    if (responseHead.isNotExecuted(head)) {
       this.isHandedBack = true;
       return true;
     }
@@ -131,7 +131,7 @@
     return true;
   }
 
-  private spoiled(sign: signs.Sign): void {
+  private spoiled(sign: failureKind.FailureKind): void {
     this.runner.sign(sign, this.world.now());
     this.end("broken", false);
   }
@@ -143,7 +143,7 @@
     this.runner.firstByteArrived(this);
   }
 
-  private failure(): signs.Sign | null {
+  private failure(): failureKind.FailureKind | null {
     const status = this.head?.status ?? 0;
     if (this.isHandedBack) return status === 421 || status === 400 ? null : "shed";
     if (status < 500) return null;
@@ -194,7 +194,7 @@
 
   /** A body that ends with its connection is whole only if that ended in order (RFC 9112, 8). */
   private isCutOff(): boolean {
-    return this.connection.hasFailed && this.head !== null && answer.endsWithConnection(this.head, this.what.method);
+    return this.connection.hasFailed && this.head !== null && responseHead.endsWithConnection(this.head, this.what.method);
   }
 
   private judge(): void {
@@ -206,7 +206,7 @@
 
   onError(cause?: { code?: unknown }): void {
     if (this.isOver) return;
-    if (this.isSent && !this.head && idle.isReset(cause)) this.runner.connections.broke(this.connection);
+    if (this.isSent && !this.head && idleTimeout.isReset(cause)) this.runner.connections.broke(this.connection);
     const isStale = this.isSent && !this.isFirst && this.head === null;
     const broken = isStale ? "stale" : "broken";
     this.runner.sign(this.isHandedBack ? (this.failure() ?? "stale") : this.isSent ? broken : "refused", this.world.now());
--- a/src/router/chooser.ts
+++ b/src/router/runner-picker.ts
@@ -6,21 +6,22 @@
 import * as log from "../runtime/log.js";
 import * as shares from "../limits/shares.js";
 import * as types from "../wire/types.js";
-import type * as connections from "./runners/connections.js";
-import type * as fleets from "./runners/fleet.js";
-import * as plans from "./plan.js";
-import * as admitting from "./policies/admission.js";
-import * as cells from "./policies/cells.js";
-import * as homes from "./policies/homes.js";
-import * as runner from "./policies/runner.js";
-import type * as readings from "./runners/readings.js";
-import type * as request from "./request.js";
-import type * as rotations from "./runners/rotation.js";
+import type * as connectionPool from "../runners/connection-pool.js";
+import type * as runnerFleet from "../runners/runner-fleet.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
+import * as routePlan from "../routing/route-plan.js";
+import * as admissionPolicy from "./policies/admission-policy.js";
+import * as cellPolicy from "./policies/cell-policy.js";
+import * as homesPolicy from "./policies/homes-policy.js";
+import * as runnerPolicy from "./policies/runner-policy.js";
+import type * as prefillTracker from "../runners/prefill-tracker.js";
+import type * as routeRequest from "./route-request.js";
+import type * as zoneRotation from "../runners/zone-rotation.js";
 
 /** Where a request goes, and by which connection. */
-export interface Choice {
-  runner: fleets.Runner;
-  connection: connections.Connection;
+export interface Pick {
+  runner: runnerEndpoint.RunnerEndpoint;
+  connection: connectionPool.Connection;
   ticket: attemptObserver.AttemptObserver;
 }
 
@@ -36,25 +37,25 @@
 }
 
 /** The chain of policies of one router. */
-export class Chooser {
-  private readonly chain: plans.Policy[];
+export class RunnerPicker {
+  private readonly chain: routePlan.Policy[];
   table: routes.RouteTable | null = null;
   readonly admission: admissions.Admission;
 
   constructor(
     private readonly world: types.Clock,
-    fleet: fleets.Fleet,
-    rotation: rotations.Rotation,
+    fleet: runnerFleet.RunnerFleet,
+    rotation: zoneRotation.ZoneRotation,
     private readonly share: shares.Shares,
     ownRegion: string,
-    readonly known: readings.Readings,
+    readonly known: prefillTracker.PrefillTracker,
   ) {
     this.admission = new admissions.Admission(world, { runners: fleet.in.bind(fleet), known, routers });
     this.chain = [
-      new homes.HomesPolicy(fleet, rotation),
-      new cells.CellPolicy(ownRegion, fleet.summaries),
-      new runner.RunnerPolicy(known),
-      new admitting.AdmissionPolicy(this.admission),
+      new homesPolicy.HomesPolicy(fleet, rotation),
+      new cellPolicy.CellPolicy(ownRegion, fleet.summaries),
+      new runnerPolicy.RunnerPolicy(known),
+      new admissionPolicy.AdmissionPolicy(this.admission),
     ];
     function routers(): number {
       return share.routers;
@@ -62,17 +63,17 @@
   }
 
   /** Requests of clients earn further tries of their service; items of batches take and earn none. */
-  countRequest(request: request.Request): void {
+  countRequest(request: routeRequest.RouteRequest): void {
     if (!request.isBatch) this.share.countRequest(request.service);
   }
 
   /** Runners that one try may be sent to. */
-  mostSends(request: request.Request): number {
+  mostSends(request: routeRequest.RouteRequest): number {
     return request.isBatch ? 1 : Math.max(1, request.entry.route.max_attempts ?? 1);
   }
 
   /** How long a runner may be silent before a repeatable request leaves it. */
-  patienceMs(entry: routes.RouteEntry, isPassing: boolean, runner: fleets.Runner, now: number): number {
+  patienceMs(entry: routes.RouteEntry, isPassing: boolean, runner: runnerEndpoint.RunnerEndpoint, now: number): number {
     const { target_gap_ms: gap, target_latency_ms: aim } = entry.route;
     const usual = isPassing ? (gap ?? 1000) * PATIENT_GAPS : (aim ?? 1000) * PATIENT_AIMS;
     // A runner that speaks to others is at work; one that is silent to all is not worth the wait.
@@ -80,11 +81,11 @@
     return Math.max(MIN_PATIENCE_MS, usual);
   }
 
-  choose(request: request.Request, tried: ReadonlySet<string>, sends: number): Choice | plans.Rejection {
+  pick(request: routeRequest.RouteRequest, tried: ReadonlySet<string>, sends: number): Pick | routePlan.Rejection {
     const shared = request.parts.slice(0, -1);
     let sharedTokens = 0;
     for (const part of shared) sharedTokens += part.tokens;
-    const plan: plans.Plan = {
+    const plan: routePlan.RoutePlan = {
       requestId: request.requestId,
       rank: request.rank,
       isBatch: request.isBatch,
@@ -95,15 +96,15 @@
       keys: request.keys,
       shared,
       sharedTokens,
-      tried,
+      attemptedRunners: tried,
       now: this.world.now(),
       deadline: request.deadline,
-      asked: request.asked,
-      returnKey: recentRejections.requestKey(request.entry.route.name, request.keys, request.body),
+      requestedTokens: request.requestedTokens,
+      retryKey: recentRejections.requestKey(request.entry.route.name, request.keys, request.body),
       cells: [],
       candidates: [],
     };
-    const rejection = plans.runPolicies(this.chain, plan);
+    const rejection = routePlan.runPolicies(this.chain, plan);
     if (rejection) return rejection;
     if (sends > 0 && !this.share.takeRepeat(request.service)) {
       log.count("router.budget_spent");
@@ -120,13 +121,13 @@
   }
 
   /** When it is worth to come back: once the least pending of the candidates has read what it has ahead. */
-  private pendingS(plan: plans.Plan): number {
+  private pendingS(plan: routePlan.RoutePlan): number {
     let least = Infinity;
     for (const runner of plan.candidates) least = Math.min(least, this.known.backlogMs(runner.id, plan.now));
     return bounded(Number.isFinite(least) ? MIN_RETRY_S + least / 1000 : MIN_RETRY_S);
   }
 
-  private firstOpen(plan: plans.Plan): Choice | plans.Rejection {
+  private firstOpen(plan: routePlan.RoutePlan): Pick | routePlan.Rejection {
     const service = this.table?.services.get(plan.service);
     const most = Math.max(MIN_CONNECTIONS, Math.floor((service?.max_connections ?? 1000) / this.share.routers));
     const perS = service?.warmup_per_s ?? 0;
--- a/src/router/tenancy.ts
+++ b/src/router/tenant-gate.ts
@@ -30,7 +30,7 @@
 export type Admitted = quotaClaim.Unit | null;
 
 /** One for each router. */
-export class Tenancy {
+export class TenantGate {
   private table = new tenant.TenantTable();
   private readonly lease: keyLease.KeyLease;
   private readonly quota: quotaClient.QuotaClient;
--- a/src/router/context.ts
+++ b/src/router/transaction-context.ts
@@ -1,16 +1,16 @@
 // What one transaction needs from around it (design 7.1).
 import type * as types from "../wire/types.js";
-import type * as choosers from "./chooser.js";
-import type * as request from "./request.js";
+import type * as runnerPicker from "./runner-picker.js";
+import type * as routeRequest from "./route-request.js";
 
 /** Made once for each transaction. */
-export interface Context {
+export interface TransactionContext {
   world: types.Clock;
-  chooser: choosers.Chooser;
+  chooser: runnerPicker.RunnerPicker;
   /** Called once, when the transaction is done. */
   finished(): void;
   /** A prompt is about to be read by this runner: the tokens that it has to read. The other routers learn of it. */
-  sending(request: request.Request, runner: types.RunnerId): number;
+  sending(request: routeRequest.RouteRequest, runner: types.RunnerId): number;
   /** Whether each answer is the last on its connection. */
   readonly isLeaving: () => boolean;
 }
--- a/src/router/states.ts
+++ b/src/router/transaction-state.ts
@@ -2,8 +2,8 @@
 import * as tiny from "tiny-invariant";
 
 /** Of one request. */
-export type State = "reading" | "choosing" | "sent" | "passing" | "done";
-const MOVES = new Map<State, readonly State[]>([
+export type TransactionState = "reading" | "choosing" | "sent" | "passing" | "done";
+const MOVES = new Map<TransactionState, readonly TransactionState[]>([
   ["reading", ["choosing", "done"]],
   ["choosing", ["sent", "done"]],
   ["sent", ["choosing", "passing", "done"]],
@@ -12,7 +12,7 @@
 ]);
 
 /** The next state; throws where it may not follow. */
-export function moved(from: State, to: State): State {
+export function transition(from: TransactionState, to: TransactionState): TransactionState {
   tiny.default(MOVES.get(from)?.includes(to), `a transaction cannot move from ${from} to ${to}; report it with the log`);
   return to;
 }
--- a/src/router/plan.ts
+++ b/src/routing/route-plan.ts
@@ -2,22 +2,22 @@
 import type * as routes from "../config/routes.js";
 import type * as tenant from "../tenants/tenant.js";
 import type * as types from "../wire/types.js";
-import type * as fleet from "./runners/fleet.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 
 /** A part of a prompt. */
-export interface Part {
+export interface PromptPart {
   id: string;
   tokens: number;
 }
 
 /** What X-Cranewind-Token-Usage tells: tokens of the prompt, and the most out; 0 where nothing was told. */
-export interface Asked {
+export interface RequestedTokens {
   prompt: number;
-  mostOut: number;
+  maxOutput: number;
 }
 
 /** One request on its way through the policies. */
-export interface Plan {
+export interface RoutePlan {
   readonly requestId: types.RequestId;
   /** 0 is the most urgent; items of batches come after the ranks of all routes. */
   readonly rank: number;
@@ -28,20 +28,20 @@
   readonly tenant: tenant.Tenant | null;
   readonly service: string;
   /** The parts of the prompt that others share: all but the last. */
-  readonly shared: readonly Part[];
+  readonly shared: readonly PromptPart[];
   readonly sharedTokens: number;
   /** All parts of the prompt, and one chained key each. */
-  readonly parts: readonly Part[];
+  readonly parts: readonly PromptPart[];
   readonly keys: readonly number[];
-  readonly tried: ReadonlySet<string>;
+  readonly attemptedRunners: ReadonlySet<string>;
   readonly now: number;
   readonly deadline: number;
-  readonly asked: Asked;
+  readonly requestedTokens: RequestedTokens;
   /** The same for each try of one request; 0 where nothing tells it (design/admission 5). */
-  readonly returnKey: number;
+  readonly retryKey: number;
   /** Regions in the order to be tried; filled by the homes and cell policies. */
   cells: string[];
-  candidates: fleet.Runner[];
+  candidates: runnerEndpoint.RunnerEndpoint[];
 }
 
 /** An answer of the router instead of a runner. */
@@ -54,12 +54,12 @@
 /** One link of the chain: narrows or orders the candidates, or denies. */
 export interface Policy {
   readonly name: string;
-  apply(plan: Plan): Rejection | null;
+  apply(plan: RoutePlan): Rejection | null;
 }
 
 /** ID:TOKENS pairs separated by commas; what cannot be read is no part. */
-export function readParts(header: string | undefined): Part[] {
-  const parts: Part[] = [];
+export function parsePromptParts(header: string | undefined): PromptPart[] {
+  const parts: PromptPart[] = [];
   if (!header) return parts;
   for (const item of header.split(",")) {
     const colon = item.indexOf(":");
@@ -71,11 +71,11 @@
 }
 
 /** The two counts of the header; what cannot be read is 0, and the parts' own tokens stand in for the prompt. */
-export function readAsked(header: string | undefined, parts: readonly Part[]): Asked {
+export function parseRequestedTokens(header: string | undefined, parts: readonly PromptPart[]): RequestedTokens {
   const [prompt, mostOut] = (header ?? "").split(",").map(Number);
   let sum = 0;
   for (const part of parts) sum += part.tokens;
-  return { prompt: positive(prompt) || sum, mostOut: positive(mostOut) };
+  return { prompt: positive(prompt) || sum, maxOutput: positive(mostOut) };
 }
 
 function positive(value: number | undefined): number {
@@ -83,14 +83,14 @@
 }
 
 /** One key for a row of parts. */
-export function keyOf(parts: readonly Part[]): string {
+export function promptKey(parts: readonly PromptPart[]): string {
   let key = "";
   for (const part of parts) key += `${part.id},`;
   return key;
 }
 
 /** Applies the policies in order, up to the first that denies. */
-export function runPolicies(policies: readonly Policy[], plan: Plan): Rejection | null {
+export function runPolicies(policies: readonly Policy[], plan: RoutePlan): Rejection | null {
   for (const policy of policies) {
     const rejection = policy.apply(plan);
     if (rejection) return rejection;
--- a/src/router/runners/connections.ts
+++ b/src/runners/connection-pool.ts
@@ -1,6 +1,6 @@
 // Connections to one runner, kept and reused within this router's part of the bound (design 7.6).
-import * as http from "../../wire/http.js";
-import * as idle from "./idle.js";
+import * as http from "../wire/http.js";
+import * as idleTimeout from "./idle-timeout.js";
 
 const CONNECT_MS = 700;
 /** An idle connection is closed after so long. */
@@ -26,14 +26,14 @@
 }
 
 /** The connections to one runner. */
-export class Connections {
+export class ConnectionPool {
   private readonly idle: Connection[] = [];
   private open = 0;
 
   constructor(
     private readonly address: string,
     private readonly onOpen: () => void,
-    private readonly limit: idle.IdleLimit,
+    private readonly limit: idleTimeout.IdleTimeout,
   ) {}
 
   /** The connection used last, or a new one within the bound; null when all are busy. */
@@ -96,7 +96,7 @@
   give(connection: Connection, isClean: boolean, keepAlive?: string): void {
     if (connection.isClosed) return;
     connection.idleSince = this.limit.world.now();
-    connection.keepAliveMs = idle.keepAliveMs(keepAlive);
+    connection.keepAliveMs = idleTimeout.keepAliveMs(keepAlive);
     if (isClean) this.idle.push(connection);
     else this.lost(connection);
   }
--- a/src/router/runners/decaying.ts
+++ b/src/runners/decaying-sum.ts
@@ -4,7 +4,7 @@
 const LEAST = 0.001;
 
 /** A sum whose parts count half after each half-life. */
-export class Decaying {
+export class DecayingSum {
   private value = 0;
   private at = 0;
 
--- a/src/router/runners/signs.ts
+++ b/src/runners/failure-kind.ts
@@ -1,6 +1,6 @@
 // What may be seen of a runner by one request, and what it weighs (design/status 2).
 /** What may be seen of a request that went wrong; the weights are ours. */
-export type Sign =
+export type FailureKind =
   | "error" // a failure of the runner's own
   | "broken" // sent, and broken off or spoiled
   | "refused" // no connection, told at once
@@ -13,7 +13,7 @@
   | "shed"; // handed back although it is not full
 
 /** How much each sign counts. */
-export const WEIGHTS = new Map<Sign, number>([
+export const FAILURE_WEIGHTS = new Map<FailureKind, number>([
   ["error", 1],
   ["broken", 1],
   ["refused", 1],
@@ -26,4 +26,4 @@
   ["shed", 0.6],
 ]);
 /** These say nothing of a runner that has much to do. */
-export const LOADED_SIGNS = new Set<Sign>(["silent", "overdue", "late", "slow", "shed"]);
+export const LOAD_RELATED_FAILURES = new Set<FailureKind>(["silent", "overdue", "late", "slow", "shed"]);
--- a/src/router/runners/idle.ts
+++ b/src/runners/idle-timeout.ts
@@ -1,7 +1,7 @@
 // How long a kept connection may have been idle (design/edge 7.13): what runners tell, and what is learned a service
 // from connections that were forgotten sooner.
-import * as log from "../../runtime/log.js";
-import type * as types from "../../wire/types.js";
+import * as log from "../runtime/log.js";
+import type * as types from "../wire/types.js";
 
 /** Told in whole seconds, and counted from another moment than ours: so much sooner a connection is let go. */
 export const MARGIN_MS = 1000;
@@ -25,7 +25,7 @@
 }
 
 /** What one service's runners taught. */
-export class IdleLimit {
+export class IdleTimeout {
   private learnedMs = Infinity;
   private learnedAt = 0;
 
@@ -53,18 +53,18 @@
 }
 
 /** The limits of all services. */
-export class IdleLimits {
-  private readonly byService = new Map<string, IdleLimit>();
+export class IdleTimeouts {
+  private readonly byService = new Map<string, IdleTimeout>();
 
   constructor(
     private readonly world: types.Clock,
     private readonly usualMs: number,
   ) {}
 
-  of(service: string): IdleLimit {
+  of(service: string): IdleTimeout {
     let limit = this.byService.get(service);
     if (!limit) {
-      limit = new IdleLimit(this.world, this.usualMs);
+      limit = new IdleTimeout(this.world, this.usualMs);
       this.byService.set(service, limit);
     }
     return limit;
--- a/src/router/runners/outcomes.ts
+++ b/src/runners/outlier-detection.ts
@@ -1,11 +1,11 @@
 // The status of a runner from what became of the requests sent to it, from here and elsewhere (design/status 3).
-import * as log from "../../runtime/log.js";
-import type * as types from "../../wire/types.js";
-import * as cohorts from "./cohort.js";
-import * as decaying from "./decaying.js";
-import * as health from "./health.js";
-import * as rotations from "./rotation.js";
-import * as signs from "./signs.js";
+import * as log from "../runtime/log.js";
+import type * as types from "../wire/types.js";
+import * as peerGroup from "./peer-group.js";
+import * as decayingSum from "./decaying-sum.js";
+import * as outlierState from "./outlier-state.js";
+import * as zoneRotation from "./zone-rotation.js";
+import * as failureKind from "./failure-kind.js";
 
 const SUSPECT_SCORE = 0.5;
 const CLEAR_SCORE = 0.25;
@@ -40,18 +40,18 @@
 const OVERDUE_LEAST_MS = 700;
 
 /** The outcomes at one runner. */
-export class Outcomes {
-  private current: health.State = "good";
+export class OutlierDetector {
+  private current: outlierState.OutlierState = "good";
   private since = 0;
   private until = 0;
-  private readonly score = new decaying.Decaying(cohorts.HALF_LIFE_MS);
-  private readonly own = new decaying.Decaying(cohorts.HALF_LIFE_MS);
-  private readonly bad = new decaying.Decaying(RATE_HALF_LIFE_MS);
-  private readonly all = new decaying.Decaying(RATE_HALF_LIFE_MS);
-  private readonly slow = new decaying.Decaying(RATE_HALF_LIFE_MS);
-  private readonly timed = new decaying.Decaying(RATE_HALF_LIFE_MS);
-  private readonly ejections = new decaying.Decaying(EJECTIONS_HALF_LIFE_MS);
-  private cohort = new cohorts.Cohort();
+  private readonly score = new decayingSum.DecayingSum(peerGroup.HALF_LIFE_MS);
+  private readonly own = new decayingSum.DecayingSum(peerGroup.HALF_LIFE_MS);
+  private readonly bad = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
+  private readonly all = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
+  private readonly slow = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
+  private readonly timed = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
+  private readonly ejections = new decayingSum.DecayingSum(EJECTIONS_HALF_LIFE_MS);
+  private cohort = new peerGroup.PeerGroup();
   private streak = 0;
   private failedUntil = 0;
   private signAt = -Infinity;
@@ -66,20 +66,20 @@
   }
 
   /** Compared with these from now on. */
-  joinCohort(cohort: cohorts.Cohort): void {
+  joinCohort(cohort: peerGroup.PeerGroup): void {
     this.cohort.leave(this.current);
     this.cohort = cohort;
     cohort.join(this.current);
   }
 
   leaveCohort(): void {
-    this.joinCohort(new cohorts.Cohort());
+    this.joinCohort(new peerGroup.PeerGroup());
   }
 
   /** The one place where the status changes. */
-  private move(to: health.State, now: number, why: string): void {
+  private move(to: outlierState.OutlierState, now: number, why: string): void {
     const from = this.current;
-    if (from === to || !health.mayMove(from, to)) return;
+    if (from === to || !outlierState.isTransitionAllowed(from, to)) return;
     this.cohort.moved(from, to);
     this.current = to;
     this.since = now;
@@ -92,7 +92,7 @@
   }
 
   /** Moves that time alone makes. */
-  state(now: number): health.State {
+  state(now: number): outlierState.OutlierState {
     if (this.current === "good") return "good";
     const score = this.score.read(now);
     if (this.current === "suspected" && score < CLEAR_SCORE) this.move("good", now, "calm");
@@ -120,9 +120,9 @@
   }
 
   /** One sign of this router's own. Local ones are not told: the way may be at fault, and the way is ours alone. */
-  sign(sign: signs.Sign, now: number, isLoaded: boolean, isLocal = false): void {
+  sign(sign: failureKind.FailureKind, now: number, isLoaded: boolean, isLocal = false): void {
     log.count(`runner.sign_${sign}`);
-    const weight = signs.LOADED_SIGNS.has(sign) && isLoaded ? 0 : signs.WEIGHTS.get(sign)!;
+    const weight = failureKind.LOAD_RELATED_FAILURES.has(sign) && isLoaded ? 0 : failureKind.FAILURE_WEIGHTS.get(sign)!;
     if (weight === 0) return;
     // What breaks in one moment breaks of one cause.
     if (now - this.signAt < 1) return;
@@ -130,7 +130,7 @@
     this.all.add(1, now);
     this.bad.add(Math.min(1, weight), now);
     this.own.add(weight, now);
-    if (!signs.LOADED_SIGNS.has(sign)) {
+    if (!failureKind.LOAD_RELATED_FAILURES.has(sign)) {
       // A silent way holds each request up for long: no trials there while the doubt is fresh.
       this.streak += sign === "unreached" ? 2 : 1;
       this.failedUntil = now + Math.min(MAX_SUSPECT_MS, DOUBT_MS * this.streak);
@@ -165,7 +165,7 @@
   }
 
   /** Never from one sign of one router alone, unless it stands on probation for earlier ones. */
-  private isOutlier(now: number, state: health.State): boolean {
+  private isOutlier(now: number, state: outlierState.OutlierState): boolean {
     const score = this.score.read(now);
     if (score < OTHERS_TIMES * this.cohort.othersScore(score, now)) return false;
     if (state === "probation") return score >= AGAIN_SCORE;
@@ -178,7 +178,7 @@
   }
 
   /** Time to the first byte, or between events, against the median of the siblings at alike work. */
-  took(work: cohorts.Work, tokens: number, ms: number, now: number, isLoaded: boolean): void {
+  took(work: peerGroup.WorkKind, tokens: number, ms: number, now: number, isLoaded: boolean): void {
     const usual = this.cohort.take(work, tokens, ms);
     if (usual === null) return;
     this.timed.add(1, now);
@@ -187,7 +187,7 @@
     this.sign("slow", now, isLoaded);
   }
 
-  overdueMs(work: cohorts.Work, tokens: number): number {
+  overdueMs(work: peerGroup.WorkKind, tokens: number): number {
     return OVERDUE_LEAST_MS + OVERDUE_TIMES * (this.cohort.usualMs(work, tokens) ?? OVERDUE_LEAST_MS);
   }
 
@@ -203,7 +203,7 @@
     if (state === "probation") {
       const percent = PROBATION_PERCENTS[this.step(now)] ?? 100;
       const isProved = percent >= ANY_PERCENT && this.succeededAt > this.since;
-      return (isRepeatable || isProved) && rotations.isWithin(percent, requestId);
+      return (isRepeatable || isProved) && zoneRotation.isWithin(percent, requestId);
     }
     return !this.isFailing(now) || (isRepeatable && this.streak <= 1);
   }
--- a/src/router/runners/health.ts
+++ b/src/runners/outlier-state.ts
@@ -1,8 +1,8 @@
 // The states of a runner's health as this router judges it, and which may follow which (design/status 3).
 /** What a router holds of a runner. */
-export type State = "good" | "suspected" | "ejected" | "probation";
+export type OutlierState = "good" | "suspected" | "ejected" | "probation";
 
-const MOVES = new Map<State, readonly State[]>([
+const MOVES = new Map<OutlierState, readonly OutlierState[]>([
   ["good", ["suspected", "ejected"]],
   ["suspected", ["good", "ejected"]],
   ["ejected", ["probation"]],
@@ -10,6 +10,6 @@
 ]);
 
 /** Whether one state may follow the other. */
-export function mayMove(from: State, to: State): boolean {
+export function isTransitionAllowed(from: OutlierState, to: OutlierState): boolean {
   return MOVES.get(from)!.includes(to);
 }
--- a/src/router/runners/cohort.ts
+++ b/src/runners/peer-group.ts
@@ -1,7 +1,7 @@
 // The runners of one service in one cell, compared with each other: what most of them show is no fault of one
 // (design/status 4, 5).
-import * as decaying from "./decaying.js";
-import type * as health from "./health.js";
+import * as decayingSum from "./decaying-sum.js";
+import type * as outlierState from "./outlier-state.js";
 
 /** At most this part of a cohort is ejected by outcomes, and never the last one. */
 const MAX_EJECTED = 1 / 3;
@@ -14,7 +14,7 @@
 export const HALF_LIFE_MS = 1500;
 
 /** What is timed: a whole reply, the begin of a stream, a pause in it. */
-export type Work = "reply" | "start" | "gap";
+export type WorkKind = "reply" | "start" | "gap";
 
 /** A running median in the log domain: each sample moves it by one step, however far away it lies. */
 class Median {
@@ -41,10 +41,10 @@
 }
 
 /** The runners that one runner is compared with. */
-export class Cohort {
+export class PeerGroup {
   private readonly medians = new Map<string, Median>();
-  private readonly score = new decaying.Decaying(HALF_LIFE_MS);
-  private readonly sent = new decaying.Decaying(HALF_LIFE_MS);
+  private readonly score = new decayingSum.DecayingSum(HALF_LIFE_MS);
+  private readonly sent = new decayingSum.DecayingSum(HALF_LIFE_MS);
   private size = 0;
   private ejected = 0;
   private suspected = 0;
@@ -52,7 +52,7 @@
   constructor(private readonly scale: Scale = { routers: 1 }) {}
 
   /** Alike work: its kind, and its size by powers of two. */
-  private medianOf(work: Work, tokens: number): Median {
+  private medianOf(work: WorkKind, tokens: number): Median {
     const key = `${work}${tokens > 0 ? Math.ceil(Math.log2(tokens)) : 0}`;
     let median = this.medians.get(key);
     if (!median) {
@@ -63,33 +63,33 @@
   }
 
   /** The median of alike work before this sample; null while little is known. */
-  take(work: Work, tokens: number, ms: number): number | null {
+  take(work: WorkKind, tokens: number, ms: number): number | null {
     const median = this.medianOf(work, tokens);
     const before = median.ms;
     median.take(ms);
     return before;
   }
 
-  usualMs(work: Work, tokens: number): number | null {
+  usualMs(work: WorkKind, tokens: number): number | null {
     return this.medianOf(work, tokens).ms;
   }
 
-  join(state: health.State): void {
+  join(state: outlierState.OutlierState): void {
     this.size += 1;
     this.count(state, 1);
   }
 
-  leave(state: health.State): void {
+  leave(state: outlierState.OutlierState): void {
     this.size -= 1;
     this.count(state, -1);
   }
 
-  moved(from: health.State, to: health.State): void {
+  moved(from: outlierState.OutlierState, to: outlierState.OutlierState): void {
     this.count(from, -1);
     this.count(to, 1);
   }
 
-  private count(state: health.State, by: number): void {
+  private count(state: outlierState.OutlierState, by: number): void {
     if (state === "ejected") this.ejected += by;
     if (state === "suspected") this.suspected += by;
   }
@@ -124,15 +124,15 @@
 }
 
 /** All cohorts of a router. */
-export class Cohorts implements Scale {
+export class PeerGroups implements Scale {
   routers = 1;
-  private readonly cohorts = new Map<string, Cohort>();
+  private readonly cohorts = new Map<string, PeerGroup>();
 
-  of(service: string, region: string): Cohort {
+  of(service: string, region: string): PeerGroup {
     const key = `${service}|${region}`;
     let cohort = this.cohorts.get(key);
     if (!cohort) {
-      cohort = new Cohort(this);
+      cohort = new PeerGroup(this);
       this.cohorts.set(key, cohort);
     }
     return cohort;
--- a/src/router/runners/readings.ts
+++ b/src/runners/prefill-tracker.ts
@@ -1,7 +1,7 @@
 // What the routers know together of the runners' readings (design 7.4): who has read which parts, and how long
 // each still reads. Told among routers as it happens, kept in memory, lost with the process.
-import type * as plans from "../plan.js";
-import * as shares from "../../limits/shares.js";
+import type * as routePlan from "../routing/route-plan.js";
+import * as shares from "../limits/shares.js";
 
 const FIRST_RATE = 40;
 const FASTER = 0.3;
@@ -15,7 +15,7 @@
 }
 
 /** Which prompts each runner keeps and reads, as far as it is known here. */
-export class Readings {
+export class PrefillTracker {
   private readonly readers = new Map<string, Reader>();
   /** Tokens read a millisecond, learned from the replies. */
   rate = FIRST_RATE;
@@ -53,7 +53,7 @@
   }
 
   /** Tokens that the runner would have to read: the key of a part is made of all before it, so these are kept with it. */
-  unread(runner: string, parts: readonly plans.Part[], keys: readonly number[]): number {
+  unread(runner: string, parts: readonly routePlan.PromptPart[], keys: readonly number[]): number {
     let unread = 0;
     for (const part of parts.slice(this.keptParts(runner, keys))) unread += part.tokens;
     return unread;
@@ -76,7 +76,7 @@
 }
 
 /** One key a part, made of it and all before it. */
-export function chainKeys(parts: readonly plans.Part[]): number[] {
+export function chainKeys(parts: readonly routePlan.PromptPart[]): number[] {
   const keys: number[] = [];
   let chain = "";
   for (const part of parts) {
--- a/src/router/runners/runner.ts
+++ b/src/runners/runner-endpoint.ts
@@ -1,16 +1,16 @@
 // One runner as this router sees it: what the list, the reports and this router's own sends say of it (design 7.4).
-import * as schema from "../../wire/schema.js";
-import * as types from "../../wire/types.js";
-import * as shares from "../../limits/shares.js";
-import * as log from "../../runtime/log.js";
-import * as reported from "../../load/reported.js";
-import * as connections from "./connections.js";
-import * as idle from "./idle.js";
-import * as outcomes from "./outcomes.js";
-import type * as signs from "./signs.js";
+import * as schema from "../wire/schema.js";
+import * as types from "../wire/types.js";
+import * as shares from "../limits/shares.js";
+import * as log from "../runtime/log.js";
+import * as reported from "../load/reported.js";
+import * as connectionPool from "./connection-pool.js";
+import * as idleTimeout from "./idle-timeout.js";
+import * as outlierDetection from "./outlier-detection.js";
+import type * as failureKind from "./failure-kind.js";
 
 /** As the platform lists it. */
-export type Status = "ready" | "draining" | "gone";
+export type EndpointStatus = "ready" | "draining" | "gone";
 
 const SUSPECT_MS = 700;
 const FULL_MS = 150;
@@ -22,8 +22,8 @@
 const READING_SLACK_MS = 200;
 
 /** One life of a runner. */
-export class Runner extends reported.Reported {
-  status: Status = "ready";
+export class RunnerEndpoint extends reported.Reported {
+  status: EndpointStatus = "ready";
   coldUntil = 0;
   leavesAt = Infinity;
   streaming = 0;
@@ -36,19 +36,19 @@
   private unreportedAt = Infinity;
   /** Sends without a first byte, and when each is overdue. */
   private readonly awaitingFirstByte = new Map<object, number>();
-  readonly outcomes: outcomes.Outcomes;
-  readonly connections: connections.Connections;
+  readonly outcomes: outlierDetection.OutlierDetector;
+  readonly connections: connectionPool.ConnectionPool;
   /** A fixed place in the order of runners, the same at every router. */
   readonly mark: number;
 
   constructor(
     readonly instance: schema.Instance,
     readonly region: string,
-    limit: idle.IdleLimit,
+    limit: idleTimeout.IdleTimeout,
   ) {
     super();
-    this.outcomes = new outcomes.Outcomes(instance.id);
-    this.connections = new connections.Connections(instance.address, opened, limit);
+    this.outcomes = new outlierDetection.OutlierDetector(instance.id);
+    this.connections = new connectionPool.ConnectionPool(instance.address, opened, limit);
     this.mark = shares.hash(instance.id);
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** The one place where a runner changes its state. */
-  move(to: Status): void {
+  move(to: EndpointStatus): void {
     if (this.status === to || this.status === "gone") return;
     if (this.status === "draining" && to === "ready") return;
     this.status = to;
@@ -84,7 +84,7 @@
   }
 
   /** Packets may pass one way only: where reports are good, a silent way is a matter of this router alone. */
-  sign(sign: signs.Sign, now: number): void {
+  sign(sign: failureKind.FailureKind, now: number): void {
     this.outcomes.sign(sign, now, this.isLoaded(now), sign === "unreached" && this.isSpeaking);
   }
 
--- a/src/router/runners/fleet.ts
+++ b/src/runners/runner-fleet.ts
@@ -1,43 +1,41 @@
 // The runners as this router sees them: the pushed list and reports, and its own signs (design 7.4).
-import * as schema from "../../wire/schema.js";
-import * as types from "../../wire/types.js";
-import * as summary from "../../load/summary.js";
-import * as cohorts from "./cohort.js";
-import * as connections from "./connections.js";
-import * as gone from "./gone.js";
-import * as idle from "./idle.js";
-import * as runners from "./runner.js";
-
-export { Runner, type Status } from "./runner.js";
+import * as schema from "../wire/schema.js";
+import * as types from "../wire/types.js";
+import * as summary from "../load/summary.js";
+import * as peerGroup from "./peer-group.js";
+import * as connectionPool from "./connection-pool.js";
+import * as runnerTombstones from "./runner-tombstones.js";
+import * as idleTimeout from "./idle-timeout.js";
+import * as runnerEndpoint from "./runner-endpoint.js";
 
 /** All runners that one router knows. */
-export class Fleet {
-  private readonly runners = new Map<string, runners.Runner>();
-  private readonly gone = new gone.GoneRunners();
-  private readonly byService = new Map<string, runners.Runner[]>();
-  private readonly byRegion = new Map<string, Set<runners.Runner>>();
+export class RunnerFleet {
+  private readonly runners = new Map<string, runnerEndpoint.RunnerEndpoint>();
+  private readonly gone = new runnerTombstones.RunnerTombstones();
+  private readonly byService = new Map<string, runnerEndpoint.RunnerEndpoint[]>();
+  private readonly byRegion = new Map<string, Set<runnerEndpoint.RunnerEndpoint>>();
   readonly summaries = new summary.Summaries();
   /** Grows with each runner that comes or goes. */
   listing = 0;
-  private readonly limits: idle.IdleLimits;
-  readonly cohorts = new cohorts.Cohorts();
+  private readonly limits: idleTimeout.IdleTimeouts;
+  readonly cohorts = new peerGroup.PeerGroups();
 
   constructor(
     private readonly world: types.Clock,
     private readonly regionOf: ReadonlyMap<string, string>,
   ) {
-    this.limits = new idle.IdleLimits(world, connections.IDLE_MS);
+    this.limits = new idleTimeout.IdleTimeouts(world, connectionPool.IDLE_MS);
   }
 
-  of(service: string): readonly runners.Runner[] {
+  of(service: string): readonly runnerEndpoint.RunnerEndpoint[] {
     return this.byService.get(service) ?? [];
   }
 
-  all(): Iterable<runners.Runner> {
+  all(): Iterable<runnerEndpoint.RunnerEndpoint> {
     return this.runners.values();
   }
 
-  in(region: string): Iterable<runners.Runner> {
+  in(region: string): Iterable<runnerEndpoint.RunnerEndpoint> {
     return this.byRegion.get(region) ?? [];
   }
 
@@ -82,7 +80,7 @@
     if (back.length > 0) this.takeChanges(back, []);
   }
 
-  private remove(id: string, services: Set<string>): runners.Runner | null {
+  private remove(id: string, services: Set<string>): runnerEndpoint.RunnerEndpoint | null {
     const runner = this.runners.get(id);
     if (!runner) return null;
     this.runners.delete(id);
@@ -106,7 +104,11 @@
     let runner = this.runners.get(instance.id);
     const isNew = !runner;
     if (!runner) {
-      runner = new runners.Runner(instance, this.regionOf.get(instance.zone) ?? instance.zone, this.limits.of(instance.service));
+      runner = new runnerEndpoint.RunnerEndpoint(
+        instance,
+        this.regionOf.get(instance.zone) ?? instance.zone,
+        this.limits.of(instance.service),
+      );
       this.runners.set(instance.id, runner);
       const cell = this.byRegion.get(runner.region) ?? new Set();
       this.byRegion.set(runner.region, cell.add(runner));
--- a/src/router/runners/standing.ts
+++ b/src/runners/runner-health.ts
@@ -1,24 +1,29 @@
 // Where a runner stands for one request, from all signs of it together (design/status 3, 6).
-import type * as types from "../../wire/types.js";
-import type * as fleets from "./fleet.js";
-import * as rotations from "./rotation.js";
+import type * as types from "../wire/types.js";
+import type * as runnerEndpoint from "./runner-endpoint.js";
+import * as zoneRotation from "./zone-rotation.js";
 
 /** In use, only after all others, or last of all. */
-export type Standing = "good" | "suspect" | "ejected";
+export type RunnerHealth = "good" | "suspect" | "ejected";
 
 /** The part of repeatable requests that tries a runner whose report stays out. */
 const TRIAL_PERCENT = 10;
 const UNREPORTED_MS = 60;
 
 /** Repeatable requests try what is in doubt: nothing is lost with them. */
-export function standingOf(runner: fleets.Runner, now: number, isRepeatable: boolean, requestId: types.RequestId): Standing {
+export function assessHealth(
+  runner: runnerEndpoint.RunnerEndpoint,
+  now: number,
+  isRepeatable: boolean,
+  requestId: types.RequestId,
+): RunnerHealth {
   if (runner.outcomes.state(now) === "ejected") return "ejected";
   if (runner.isQuiet(now) || !runner.outcomes.admits(now, isRepeatable, requestId)) return "suspect";
   if (!runner.isUnproved(now)) return "good";
-  return isRepeatable && rotations.isWithin(TRIAL_PERCENT, requestId) ? "good" : "suspect";
+  return isRepeatable && zoneRotation.isWithin(TRIAL_PERCENT, requestId) ? "good" : "suspect";
 }
 
 /** Milliseconds that a choice pays for doubt. */
-export function penaltyMs(runner: fleets.Runner, now: number, isRepeatable: boolean): number {
+export function penaltyMs(runner: runnerEndpoint.RunnerEndpoint, now: number, isRepeatable: boolean): number {
   return runner.outcomes.penaltyMs(now, isRepeatable) + (runner.isSpeaking ? 0 : UNREPORTED_MS);
 }
--- a/src/router/runners/gone.ts
+++ b/src/runners/runner-tombstones.ts
@@ -1,16 +1,16 @@
 // Runners that left the list: what an older list or another source still says of them is not believed for a while.
-import type * as schema from "../../wire/schema.js";
+import type * as schema from "../wire/schema.js";
 
 const KEPT_MS = 120_000;
 
-interface Gone {
+interface Tombstone {
   at: number;
   listed: schema.Instance | null;
 }
 
 /** Ids that were listed and left. */
-export class GoneRunners {
-  private readonly gone = new Map<string, Gone>();
+export class RunnerTombstones {
+  private readonly gone = new Map<string, Tombstone>();
 
   add(id: string, now: number): void {
     this.gone.set(id, { at: now, listed: null });
--- a/src/router/runners/rotation.ts
+++ b/src/runners/zone-rotation.ts
@@ -1,7 +1,7 @@
 // Zones in and out of rotation by percentage steps (design 7.5): drain goes down at once in steps well inside
 // the bound; failback goes up slowly, since what comes back may be cold.
-import * as shares from "../../limits/shares.js";
-import * as types from "../../wire/types.js";
+import * as shares from "../limits/shares.js";
+import * as types from "../wire/types.js";
 
 const DRAIN_MS = 800;
 const DRAIN_STEPS = 4;
@@ -16,7 +16,7 @@
 }
 
 /** Zones out of use, and those that come back. */
-export class Rotation {
+export class ZoneRotation {
   private readonly zones = new Map<string, ZoneState>();
   constructor(private readonly world: types.Clock) {}
 
--- a/src/whatif/batch.ts
+++ b/src/whatif/batch.ts
@@ -2,15 +2,15 @@
  * A model of a runner under more than it can take (design/admission 7): batch places, a bounded queue by priority,
  * memory for tokens, prompts read one after the other, and work that stops at its deadline.
  */
-import type * as plans from "../router/plan.js";
-import * as readings from "../router/runners/readings.js";
+import type * as routePlan from "../routing/route-plan.js";
+import * as prefillTracker from "../runners/prefill-tracker.js";
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import type * as scenarios from "./scenario.js";
 
 /** One request as the runner sees it; its deadline in milliseconds of the planned clock. */
 export interface Job {
-  readonly parts: readonly plans.Part[];
+  readonly parts: readonly routePlan.PromptPart[];
   readonly events: number;
   readonly priority: number;
   readonly deadline: number;
@@ -30,7 +30,7 @@
 
 /** One runner of an overload day; it acts at the times of the planned world alone. */
 export class BatchRunner {
-  private readonly cachedPrompts = new readings.Readings();
+  private readonly cachedPrompts = new prefillTracker.PrefillTracker();
   private readonly queue: Queued[] = [];
   private readingUntil = 0;
   private order = 0;
@@ -84,7 +84,7 @@
 
   private run(job: Job): void {
     const now = this.world.now();
-    const keys = readings.chainKeys(job.parts);
+    const keys = prefillTracker.chainKeys(job.parts);
     const unread = this.cachedPrompts.unread(this.id, job.parts, keys);
     this.cachedPrompts.note(this.id, unread, keys, now);
     this.active += 1;
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -1,8 +1,8 @@
 /** A client of an overload day: a deadline, retries as told by Retry-After, one router a try (design/admission 7). */
-import type * as fleets from "../router/runners/fleet.js";
-import type * as plans from "../router/plan.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
+import type * as routePlan from "../routing/route-plan.js";
 import type * as attemptObserver from "../admission/attempt-observer.js";
-import type * as request from "../router/request.js";
+import type * as routeRequest from "../router/route-request.js";
 import type * as types from "../wire/types.js";
 import type * as batch from "./batch.js";
 import type * as scenarios from "./scenario.js";
@@ -59,10 +59,10 @@
 interface Send {
   readonly router: system.ModelRouter;
   /** The runner as the router sees it, and the model that does the work. */
-  readonly runner: fleets.Runner;
+  readonly runner: runnerEndpoint.RunnerEndpoint;
   readonly model: batch.BatchRunner;
   readonly ticket: attemptObserver.AttemptObserver;
-  readonly request: request.Request;
+  readonly request: routeRequest.RouteRequest;
   /** Ids of the runners that handed this try back. */
   readonly tried: Set<string>;
   /** Milliseconds between the two, one way. */
@@ -79,7 +79,7 @@
     private readonly fleet: OverloadedFleet,
     private readonly scenario: scenarios.Scenario,
     private readonly kind: scenarios.Kind,
-    private readonly parts: plans.Part[],
+    private readonly parts: routePlan.PromptPart[],
     private readonly events: number,
     private readonly record: RequestRecord,
   ) {
@@ -99,7 +99,7 @@
     this.ids += 1;
     const request = system.requestOf(entry, `r-${this.record.at}-${this.ids}`, this.parts, this.deadline, this.events);
     router.chooser.countRequest(request);
-    const choice = router.chooser.choose(request, tried, tried.size);
+    const choice = router.chooser.pick(request, tried, tried.size);
     if ("status" in choice) {
       this.onRefusal(choice.retryAfterS);
       return;
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -1,6 +1,6 @@
 /** Plays a what-if day and counts it by phase: before, during and after the faults (design 11.2). */
-import * as plans from "../router/plan.js";
-import type * as fleets from "../router/runners/fleet.js";
+import * as routePlan from "../routing/route-plan.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import * as owner from "./owner.js";
 import * as models from "./runner.js";
 import type * as scenarios from "./scenario.js";
@@ -27,7 +27,7 @@
   readonly session: string;
   readonly router: system.ModelRouter;
   /** Common part, session's part, and the turn's own. */
-  readonly parts: plans.Part[];
+  readonly parts: routePlan.PromptPart[];
   readonly startedAt: number;
   /** Ids of the runners that were lost or full. */
   readonly tried: Set<string>;
@@ -138,7 +138,7 @@
     const session = `${kind.name}-${Math.floor(this.world.random() * kind.sessions)}`;
     const router = this.routers[Math.floor(this.world.random() * this.routers.length)];
     this.requests += 1;
-    const parts: plans.Part[] = [
+    const parts: routePlan.PromptPart[] = [
       { id: `c-${kind.name}`, tokens: kind.common_tokens },
       { id: `s-${session}`, tokens: kind.session_tokens },
       { id: `t-${this.requests}`, tokens: kind.turn_tokens },
@@ -151,7 +151,7 @@
     const entry = router.chooser.table!.find("whatif", `/${kind.name}/`)!;
     const request = system.requestOf(entry, `r-${this.requests}`, turn.parts, turn.startedAt + DEADLINE_MS);
     router.chooser.countRequest(request);
-    const choice = router.chooser.choose(request, tried, tried.size);
+    const choice = router.chooser.pick(request, tried, tried.size);
     if ("status" in choice) {
       this.count(turn, null, 0, "");
       return;
@@ -172,7 +172,7 @@
     return router.region === model.region ? SAME_REGION_TRIP_MS : this.scenario.trip_ms;
   }
 
-  private run(turn: Turn, runner: fleets.Runner, model: models.ModelRunner): void {
+  private run(turn: Turn, runner: runnerEndpoint.RunnerEndpoint, model: models.ModelRunner): void {
     const now = this.world.now();
     const tripMs = this.tripMs(turn.router, model);
     const { firstMs, endMs, unread } = model.run(turn.parts, turn.kind.events, now);
--- a/src/whatif/runner.ts
+++ b/src/whatif/runner.ts
@@ -2,8 +2,8 @@
  * A simple model of a runner: prompts are read one after the other, events come slower in a fuller batch, and what
  * was read is cached (design 11.2).
  */
-import * as plans from "../router/plan.js";
-import * as readings from "../router/runners/readings.js";
+import * as routePlan from "../routing/route-plan.js";
+import * as prefillTracker from "../runners/prefill-tracker.js";
 import type * as scenarios from "./scenario.js";
 
 /** Milliseconds from now, and tokens that had to be read. */
@@ -15,7 +15,7 @@
 
 /** One runner of a what-if day. */
 export class ModelRunner {
-  private readonly cachedPrompts = new readings.Readings();
+  private readonly cachedPrompts = new prefillTracker.PrefillTracker();
   private readingUntil = 0;
   active = 0;
   isUp = true;
@@ -32,8 +32,8 @@
   }
 
   /** When the first and the last event leave, from now on. */
-  run(parts: readonly plans.Part[], events: number, nowMs: number): Run {
-    const keys = readings.chainKeys(parts);
+  run(parts: readonly routePlan.PromptPart[], events: number, nowMs: number): Run {
+    const keys = prefillTracker.chainKeys(parts);
     const unread = this.cachedPrompts.unread(this.id, parts, keys);
     this.cachedPrompts.note(this.id, unread, keys, nowMs);
     this.readingUntil = Math.max(nowMs, this.readingUntil) + unread / this.figures.tokens_per_ms;
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -1,15 +1,15 @@
 /** The router's own policies, several routers of them, over a planned world and model runners (design 11.2). */
 import * as check from "../config/check.js";
 import * as routes from "../config/routes.js";
-import * as choosers from "../router/chooser.js";
-import * as fleets from "../router/runners/fleet.js";
-import * as plans from "../router/plan.js";
-import * as readings from "../router/runners/readings.js";
-import * as rotations from "../router/runners/rotation.js";
+import * as runnerPicker from "../router/runner-picker.js";
+import * as runnerFleet from "../runners/runner-fleet.js";
+import * as routePlan from "../routing/route-plan.js";
+import * as prefillTracker from "../runners/prefill-tracker.js";
+import * as zoneRotation from "../runners/zone-rotation.js";
 import * as shares from "../limits/shares.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import type * as request from "../router/request.js";
+import type * as routeRequest from "../router/route-request.js";
 import type * as scenarios from "./scenario.js";
 import * as worlds from "./world.js";
 
@@ -19,11 +19,11 @@
 
 /** One router: its policies are those of the real one, its links are calls. */
 export class ModelRouter {
-  readonly known = new readings.Readings();
-  readonly fleet: fleets.Fleet;
-  readonly rotation: rotations.Rotation;
+  readonly known = new prefillTracker.PrefillTracker();
+  readonly fleet: runnerFleet.RunnerFleet;
+  readonly rotation: zoneRotation.ZoneRotation;
   readonly share: shares.Shares;
-  readonly chooser: choosers.Chooser;
+  readonly chooser: runnerPicker.RunnerPicker;
 
   constructor(
     readonly region: string,
@@ -31,10 +31,10 @@
     regions: readonly string[],
     table: routes.RouteTable,
   ) {
-    this.fleet = new fleets.Fleet(world, new Map(regions.map(same)));
-    this.rotation = new rotations.Rotation(world);
+    this.fleet = new runnerFleet.RunnerFleet(world, new Map(regions.map(same)));
+    this.rotation = new zoneRotation.ZoneRotation(world);
     this.share = new shares.Shares(world, BOUNDS);
-    this.chooser = new choosers.Chooser(world, this.fleet, this.rotation, this.share, region, this.known);
+    this.chooser = new runnerPicker.RunnerPicker(world, this.fleet, this.rotation, this.share, region, this.known);
     this.chooser.table = table;
   }
 
@@ -108,11 +108,11 @@
 export function requestOf(
   entry: routes.RouteEntry,
   requestId: string,
-  parts: plans.Part[],
+  parts: routePlan.PromptPart[],
   deadline: number,
   mostOut = 0,
-): request.Request {
-  const asked = { ...plans.readAsked(undefined, parts), mostOut };
+): routeRequest.RouteRequest {
+  const asked = { ...routePlan.parseRequestedTokens(undefined, parts), mostOut };
   return {
     requestId: types.small(requestId),
     entry,
@@ -121,10 +121,10 @@
     isBatch: false,
     tenant: null,
     parts,
-    keys: readings.chainKeys(parts),
+    keys: prefillTracker.chainKeys(parts),
     arrivedAt: 0,
     deadline,
-    asked,
+    requestedTokens: asked,
     body: null,
   };
 }
@@ -135,7 +135,7 @@
   routers: readonly ModelRouter[],
   from: ModelRouter,
   runner: string,
-  request: request.Request,
+  request: routeRequest.RouteRequest,
 ): number {
   const unread = Math.round(from.known.unread(runner, request.parts, request.keys));
   from.read(runner, unread, request.keys, world.now());
--- a/tests/admission-judge.test.ts
+++ b/tests/admission-judge.test.ts
@@ -7,9 +7,9 @@
 import * as admissionDecision from "../src/admission/admission-decision.js";
 import * as check from "../src/config/check.js";
 import * as routes from "../src/config/routes.js";
-import * as fleets from "../src/router/runners/fleet.js";
-import * as plans from "../src/router/plan.js";
-import * as readings from "../src/router/runners/readings.js";
+import * as runnerFleet from "../src/runners/runner-fleet.js";
+import * as routePlan from "../src/routing/route-plan.js";
+import * as prefillTracker from "../src/runners/prefill-tracker.js";
 import * as types from "../src/wire/types.js";
 import { NOBODYS } from "./sim/plans.js";
 import * as sim from "./sim/world.js";
@@ -35,8 +35,8 @@
 
 class Door {
   readonly clock = new sim.SimWorld(1);
-  readonly known = new readings.Readings();
-  readonly fleet = new fleets.Fleet(this.clock, new Map([["z", "r"]]));
+  readonly known = new prefillTracker.PrefillTracker();
+  readonly fleet = new runnerFleet.RunnerFleet(this.clock, new Map([["z", "r"]]));
   readonly admission = new admissions.Admission(this.clock, {
     runners: this.fleet.all.bind(this.fleet),
     known: this.known,
@@ -63,7 +63,7 @@
     }
   }
 
-  plan(rank: number, key = 0, tokens = 2000): plans.Plan {
+  plan(rank: number, key = 0, tokens = 2000): routePlan.RoutePlan {
     const parts = [{ id: "head", tokens }];
     return {
       requestId: types.small("q"),
@@ -72,14 +72,14 @@
       shared: [],
       sharedTokens: 0,
       parts,
-      keys: readings.chainKeys(parts),
-      tried: new Set(),
+      keys: prefillTracker.chainKeys(parts),
+      attemptedRunners: new Set(),
       now: this.clock.now(),
       deadline: this.clock.now() + 4000,
-      asked: { prompt: tokens, mostOut: 10 },
+      requestedTokens: { prompt: tokens, maxOutput: 10 },
       rank,
       ...NOBODYS,
-      returnKey: key,
+      retryKey: key,
       cells: ["r"],
       candidates: [...this.fleet.of("s")],
     };
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -3,9 +3,9 @@
 import * as serviceTimeModel from "../src/admission/service-time-model.js";
 import * as routes from "../src/config/routes.js";
 import * as check from "../src/config/check.js";
-import * as fleets from "../src/router/runners/fleet.js";
-import * as plans from "../src/router/plan.js";
-import * as readings from "../src/router/runners/readings.js";
+import * as runnerFleet from "../src/runners/runner-fleet.js";
+import * as routePlan from "../src/routing/route-plan.js";
+import * as prefillTracker from "../src/runners/prefill-tracker.js";
 import * as settings from "../src/settings/settings.js";
 import * as types from "../src/wire/types.js";
 import { NOBODYS } from "./sim/plans.js";
@@ -29,16 +29,16 @@
 
 interface Door {
   clock: sim.SimWorld;
-  fleet: fleets.Fleet;
+  fleet: runnerFleet.RunnerFleet;
   admission: admissions.Admission;
-  plan(rank: number, key?: number): plans.Plan;
+  plan(rank: number, key?: number): routePlan.RoutePlan;
   report(active: number[], waiting?: number): void;
 }
 
 /** Two runners of four places, and a service whose places are held 2 s each. */
 function door(seed = 1): Door {
   const clock = new sim.SimWorld(seed);
-  const fleet = new fleets.Fleet(clock, new Map([["z", "r"]]));
+  const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
   fleet.takeList(
     ["i-1", "i-2"].map((id) => ({
       id: types.small(id),
@@ -51,7 +51,11 @@
       leavesMs: -1,
     })),
   );
-  const admission = new admissions.Admission(clock, { runners: fleet.all.bind(fleet), known: new readings.Readings(), routers: () => 1 });
+  const admission = new admissions.Admission(clock, {
+    runners: fleet.all.bind(fleet),
+    known: new prefillTracker.PrefillTracker(),
+    routers: () => 1,
+  });
   for (let count = 0; count < 30; count += 1) {
     admission.serviceTimeOf("s").recordOccupancy(2000);
     admission.serviceTimeOf("s").recordTokens(1, 10, 200);
@@ -69,13 +73,13 @@
       sharedTokens: 0,
       parts: [],
       keys: [],
-      tried: new Set(),
+      attemptedRunners: new Set(),
       now: clock.now(),
       deadline: clock.now() + 3000,
-      asked: { prompt: 100, mostOut: 10 },
+      requestedTokens: { prompt: 100, maxOutput: 10 },
       rank,
       ...NOBODYS,
-      returnKey: key,
+      retryKey: key,
       cells: ["r"],
       candidates: [...fleet.of("s")],
     }),
--- a/tests/batches/system.test.ts
+++ b/tests/batches/system.test.ts
@@ -4,7 +4,7 @@
 import * as path from "node:path";
 import * as client from "../../src/cli/client.js";
 import * as control from "../../src/control/program.js";
-import * as router from "../../src/router/program.js";
+import * as routerProgram from "../../src/router/router-program.js";
 import * as platforms from "../../src/emulator/platform.js";
 import * as runners from "../../src/emulator/runner.js";
 import type * as settings from "../../src/settings/settings.js";
@@ -20,7 +20,7 @@
 let platform: platforms.StandInPlatform;
 let runner: runners.StandInRunner;
 let controls: control.ControlProgram[];
-let edge: router.RouterProgram;
+let edge: routerProgram.RouterProgram;
 
 function system(): loopback.Loopback {
   const ports = { control: 9401, directory: 9402, internal: "9501,9515", frontend: 9601, readiness: 9602 };
@@ -81,7 +81,7 @@
   const listed = { instance_id: "i-a", service: "model", address: runner.address, zone: "a1", revision: "v1", capacity: 32 };
   platform.instances.push({ ...listed, state: "ready", warmup_left_ms: 0 });
   controls = await Promise.all([0, 1, 2].map((index) => startControl(index, true)));
-  edge = new router.RouterProgram(clock, startupOf("router", 0, true));
+  edge = new routerProgram.RouterProgram(clock, startupOf("router", 0, true));
   await edge.root.start();
   const example = JSON.parse(fs.readFileSync("examples/first.json", "utf8")) as unknown;
   await until("configured", async () => (await call("POST", "/-/Config.Replace", example)).status === 200);
--- a/tests/choice.test.ts
+++ b/tests/choice.test.ts
@@ -1,10 +1,11 @@
 // The choice of a runner by its weight (design 7.4) against a plain reference: whole sorts, and a whole hash for each runner.
 import * as chains from "../src/experiment/chain.js";
 import * as clock from "../src/experiment/clock.js";
-import * as fleets from "../src/router/runners/fleet.js";
-import * as plans from "../src/router/plan.js";
-import * as runner from "../src/router/policies/runner.js";
-import * as readings from "../src/router/runners/readings.js";
+import * as runnerFleet from "../src/runners/runner-fleet.js";
+import type * as runnerEndpoint from "../src/runners/runner-endpoint.js";
+import * as routePlan from "../src/routing/route-plan.js";
+import * as runnerPolicy from "../src/router/policies/runner-policy.js";
+import * as prefillTracker from "../src/runners/prefill-tracker.js";
 import * as shares from "../src/limits/shares.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
@@ -19,10 +20,15 @@
 });
 
 /** Milliseconds of a good, speaking runner of a cell, as design 7.4 has them. */
-function reference(plan: plans.Plan, cell: fleets.Runner[], place: number, known: readings.Readings): Map<fleets.Runner, number> {
-  const key = plans.keyOf(plan.shared);
+function reference(
+  plan: routePlan.RoutePlan,
+  cell: runnerEndpoint.RunnerEndpoint[],
+  place: number,
+  known: prefillTracker.PrefillTracker,
+): Map<runnerEndpoint.RunnerEndpoint, number> {
+  const key = routePlan.promptKey(plan.shared);
   const ranked = [...cell].sort((left, right) => shares.hash(`${key}|${right.id}`) - shares.hash(`${key}|${left.id}`));
-  const found = new Map<fleets.Runner, number>();
+  const found = new Map<runnerEndpoint.RunnerEndpoint, number>();
   for (const [rank, runner] of ranked.entries()) {
     let ms = place * 100 + (400 * runner.usage()) / runner.instance.capacity;
     if (plan.parts.length > 0) {
@@ -35,7 +41,7 @@
 }
 
 /** The request of a turn: none, a long or a short shared part, and a part of its own. */
-function planOf(turn: number, fleet: fleets.Fleet): plans.Plan {
+function planOf(turn: number, fleet: runnerFleet.RunnerFleet): routePlan.RoutePlan {
   const parts =
     turn % 4 === 0
       ? []
@@ -51,15 +57,15 @@
     parts,
     shared: parts.slice(0, -1),
     sharedTokens: 0,
-    keys: readings.chainKeys(parts),
-    tried: new Set(),
+    keys: prefillTracker.chainKeys(parts),
+    attemptedRunners: new Set(),
     now: 1000,
     deadline: 9000,
-    asked: { prompt: 0, mostOut: 0 },
+    requestedTokens: { prompt: 0, maxOutput: 0 },
     rank: 1,
     isBatch: false,
     tenant: null,
-    returnKey: 0,
+    retryKey: 0,
     cells,
     candidates: [...fleet.all()],
   };
@@ -67,8 +73,8 @@
 
 test.each([1, 2, 3, 4, 5, 6, 7, 8])("the order of runners is that of whole sorts, seed %d", (seed) => {
   const world = new clock.SeededWorld(seed);
-  const known = new readings.Readings();
-  const fleet = new fleets.Fleet(world, new Map());
+  const known = new prefillTracker.PrefillTracker();
+  const fleet = new runnerFleet.RunnerFleet(world, new Map());
   const listed: schema.Instance[] = [];
   for (let index = 0; index < 1 + seed * 7; index += 1) {
     listed.push({
@@ -87,11 +93,16 @@
     // Well under the bound on usage, so that all are in the first group.
     runner.others = Math.floor(world.random() * 4);
     if (world.random() < 0.4)
-      known.note(runner.id, world.random() * 9000, readings.chainKeys([{ id: `b-${Math.floor(world.random() * 3)}`, tokens: 0 }]), 1000);
+      known.note(
+        runner.id,
+        world.random() * 9000,
+        prefillTracker.chainKeys([{ id: `b-${Math.floor(world.random() * 3)}`, tokens: 0 }]),
+        1000,
+      );
   }
   for (let turn = 0; turn < 40; turn += 1) {
     const plan = planOf(turn, fleet);
-    const ms = new Map<fleets.Runner, number>();
+    const ms = new Map<runnerEndpoint.RunnerEndpoint, number>();
     for (const [place, region] of plan.cells.entries()) {
       for (const item of reference(
         plan,
@@ -102,7 +113,7 @@
         ms.set(...item);
     }
     const order = [...ms].sort((left, right) => left[1] - right[1] || (left[0].id < right[0].id ? -1 : 1)).map(([runner]) => runner.id);
-    new runner.RunnerPolicy(known).apply(plan);
+    new runnerPolicy.RunnerPolicy(known).apply(plan);
     expect(plan.candidates.map((runner) => runner.id)).toEqual(order);
   }
 });
--- a/tests/idle.test.ts
+++ b/tests/idle.test.ts
@@ -1,16 +1,16 @@
 // Kept connections and their idle times (design/edge 7.13): told, learned, forgotten; time is simulated.
-import * as connections from "../src/router/runners/connections.js";
-import * as idle from "../src/router/runners/idle.js";
+import * as connectionPool from "../src/runners/connection-pool.js";
+import * as idleTimeout from "../src/runners/idle-timeout.js";
 import * as edges from "./sim/edge.js";
 import * as sim from "./sim/world.js";
 
-const USUAL = connections.IDLE_MS;
+const USUAL = connectionPool.IDLE_MS;
 let clock: sim.SimWorld;
 beforeEach(() => (clock = new sim.SimWorld()));
 
 describe("the limit of a service", () => {
   test("nothing is learned at first, and nothing from short idle times or late resets", () => {
-    const limit = new idle.IdleLimit(clock, USUAL);
+    const limit = new idleTimeout.IdleTimeout(clock, USUAL);
     expect(limit.mostMs()).toBe(Infinity);
     limit.learn(249, 5);
     limit.learn(2000, 601);
@@ -18,7 +18,7 @@
   });
 
   test("four fifths of the least time count, and go back up over a minute", () => {
-    const limit = new idle.IdleLimit(clock, USUAL);
+    const limit = new idleTimeout.IdleTimeout(clock, USUAL);
     limit.learn(2000, 50);
     expect(limit.mostMs()).toBe(1600);
     limit.learn(3000, 50);
@@ -36,7 +36,7 @@
   });
 
   test("services learn for themselves", () => {
-    const limits = new idle.IdleLimits(clock, USUAL);
+    const limits = new idleTimeout.IdleTimeouts(clock, USUAL);
     limits.of("a").learn(1000, 1);
     expect([limits.of("a").mostMs(), limits.of("b").mostMs()]).toEqual([800, Infinity]);
   });
@@ -49,7 +49,7 @@
     ["max=9", Infinity],
     [undefined, Infinity],
   ])("Keep-Alive %s allows %d ms", (told, ms) => {
-    expect(idle.keepAliveMs(told)).toBe(ms);
+    expect(idleTimeout.keepAliveMs(told)).toBe(ms);
   });
 
   test.each([
@@ -59,26 +59,26 @@
     ["HPE_INVALID_CONSTANT", false],
     [undefined, false],
   ])("an error %s is a reset: %s", (code, isReset) => {
-    expect(idle.isReset({ code })).toBe(isReset);
+    expect(idleTimeout.isReset({ code })).toBe(isReset);
   });
 });
 
 let opened = 0;
-let limit: idle.IdleLimit;
-let kept: connections.Connections;
+let limit: idleTimeout.IdleTimeout;
+let kept: connectionPool.ConnectionPool;
 
 /** Gives each test of a group connections of its own. */
 function useConnections(): void {
   beforeEach(() => {
     opened = 0;
-    limit = new idle.IdleLimit(clock, USUAL);
-    kept = new connections.Connections("127.0.0.1:1", () => (opened += 1), limit);
+    limit = new idleTimeout.IdleTimeout(clock, USUAL);
+    kept = new connectionPool.ConnectionPool("127.0.0.1:1", () => (opened += 1), limit);
   });
   afterEach(() => kept.closeIdle());
 }
 
 /** Two kept connections, given back in this order with so much time between and after. */
-function two(betweenMs: number, afterMs: number): [connections.Connection, connections.Connection] {
+function two(betweenMs: number, afterMs: number): [connectionPool.Connection, connectionPool.Connection] {
   const [first, second] = [kept.take(4)!, kept.take(4)!];
   kept.give(first, true);
   clock.skip(betweenMs);
--- a/tests/outcomes.test.ts
+++ b/tests/outcomes.test.ts
@@ -1,7 +1,7 @@
 // Status of runners from outcomes (design/status): seeded plays of grey, lying, flapping and half reachable runners.
-import * as cohorts from "../src/router/runners/cohort.js";
-import * as outcomes from "../src/router/runners/outcomes.js";
-import * as signs from "../src/router/runners/signs.js";
+import * as peerGroup from "../src/runners/peer-group.js";
+import * as outlierDetection from "../src/runners/outlier-detection.js";
+import * as failureKind from "../src/runners/failure-kind.js";
 import * as types from "../src/wire/types.js";
 import * as runners from "./sim/runners.js";
 
@@ -110,10 +110,10 @@
   expect(played.states(isBad).filter((state) => state !== "good")).toEqual([]);
 });
 
-function cohortOf(count: number): outcomes.Outcomes[] {
-  const cohort = new cohorts.Cohort();
+function cohortOf(count: number): outlierDetection.OutlierDetector[] {
+  const cohort = new peerGroup.PeerGroup();
   return Array.from({ length: count }, (_item, index) => {
-    const made = new outcomes.Outcomes(types.small(`i-${index}`));
+    const made = new outlierDetection.OutlierDetector(types.small(`i-${index}`));
     made.joinCohort(cohort);
     return made;
   });
@@ -132,13 +132,13 @@
   expect(all.filter((item) => item.state(2000) === "ejected").length).toBeLessThanOrEqual(most);
 });
 
-test.each([...signs.WEIGHTS.keys()])("one sign of %s alone ejects nobody", (sign) => {
+test.each([...failureKind.FAILURE_WEIGHTS.keys()])("one sign of %s alone ejects nobody", (sign) => {
   const [first] = cohortOf(9);
   first.sign(sign, 10, false);
   expect(["good", "suspected"]).toContain(first.state(11));
 });
 
-test.each([...signs.LOADED_SIGNS])("%s of a runner with much to do says nothing", (sign) => {
+test.each([...failureKind.LOAD_RELATED_FAILURES])("%s of a runner with much to do says nothing", (sign) => {
   const [first] = cohortOf(9);
   for (let at = 0; at < 3000; at += 100) first.sign(sign, at, true);
   expect([first.state(3000), first.rates(3000).score]).toEqual(["good", 0]);
--- a/tests/regions.test.ts
+++ b/tests/regions.test.ts
@@ -1,6 +1,6 @@
 // The runners of a region are found without a look at all others (design 7.4).
 import * as clock from "../src/experiment/clock.js";
-import * as fleets from "../src/router/runners/fleet.js";
+import * as runnerFleet from "../src/runners/runner-fleet.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 
@@ -16,7 +16,7 @@
 
 test("through random changes, ends and forgetting, regions divide all runners", () => {
   const world = new clock.SeededWorld(7);
-  const fleet = new fleets.Fleet(world, ZONES);
+  const fleet = new runnerFleet.RunnerFleet(world, ZONES);
   const zones = [...ZONES.keys(), "unknown"];
   for (let turn = 0; turn < 400; turn += 1) {
     const id = `i-${Math.floor(world.random() * 40)}`;
@@ -33,7 +33,7 @@
 });
 
 test("reports and doubts of a region are those of its runners alone", () => {
-  const fleet = new fleets.Fleet(new clock.SeededWorld(1), ZONES);
+  const fleet = new runnerFleet.RunnerFleet(new clock.SeededWorld(1), ZONES);
   fleet.takeList([listed("a", "n1"), listed("b", "n2"), listed("c", "s1")]);
   fleet.takeReport({
     region: "",
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -2,11 +2,11 @@
 import * as directory from "../src/control/directory/directory.js";
 import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import * as registers from "../src/register/value.js";
-import * as events from "../src/router/client/events.js";
-import * as fleets from "../src/router/runners/fleet.js";
-import * as plans from "../src/router/plan.js";
-import * as cells from "../src/router/policies/cells.js";
-import * as rotations from "../src/router/runners/rotation.js";
+import * as eventSplitter from "../src/router/client/event-splitter.js";
+import * as runnerFleet from "../src/runners/runner-fleet.js";
+import * as routePlan from "../src/routing/route-plan.js";
+import * as cellPolicy from "../src/router/policies/cell-policy.js";
+import * as zoneRotation from "../src/runners/zone-rotation.js";
 import * as parts from "../src/limits/parts.js";
 import * as shares from "../src/limits/shares.js";
 import * as types from "../src/wire/types.js";
@@ -17,7 +17,7 @@
 test("whole events only, whatever the pieces", function cutter() {
   const text = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\nid: 3\ndata: c";
   for (let size = 1; size < 9; size += 1) {
-    const cut = new events.EventCutter();
+    const cut = new eventSplitter.EventSplitter();
     let out = "";
     for (let at = 0; at < text.length; at += size) out += cut.feed(Buffer.from(text.slice(at, at + size))).toString();
     expect([out, cut.lastId, cut.count]).toEqual(["id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n", "2", 2]);
@@ -96,7 +96,7 @@
 
 test("a zone drains in steps well inside the bound and comes back in steps", async function steps() {
   const clock = new sim.SimWorld(1);
-  const rotation = new rotations.Rotation(clock);
+  const rotation = new zoneRotation.ZoneRotation(clock);
   const seen: number[] = [];
   rotation.take(["z"], false);
   for (let turn = 0; turn < 5; turn += 1) {
@@ -114,7 +114,7 @@
 });
 
 test("a restarted router takes an evacuated zone as out from the start", function first() {
-  const rotation = new rotations.Rotation(new sim.SimWorld(1));
+  const rotation = new zoneRotation.ZoneRotation(new sim.SimWorld(1));
   rotation.take(["z"], true);
   expect(rotation.percentOf("z")).toBe(0);
 });
@@ -134,7 +134,7 @@
 }
 
 test("a runner never goes back from draining or gone, however old the next list is", function never() {
-  const fleet = new fleets.Fleet(new sim.SimWorld(1), new Map([["z", "r"]]));
+  const fleet = new runnerFleet.RunnerFleet(new sim.SimWorld(1), new Map([["z", "r"]]));
   fleet.takeList([instance("i-1"), instance("i-2")]);
   fleet.takeList([instance("i-1", { isDraining: true })]);
   fleet.takeList([instance("i-1"), instance("i-2")]);
@@ -143,7 +143,7 @@
 
 test("changes of the list are acted on at once; others' runners stay as they are", async () => {
   const clock = new sim.SimWorld(1);
-  const fleet = new fleets.Fleet(clock, new Map([["z", "r"]]));
+  const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
   const seen = (): string[] => fleet.of("s").map((runner) => `${runner.id} ${runner.status}`);
   fleet.takeChanges([instance("i-1"), instance("i-2"), instance("i-3")], []);
   const [first, second] = fleet.of("s");
@@ -163,7 +163,7 @@
 
 test("a runner that is gone twice does not come back", async () => {
   const clock = new sim.SimWorld(1);
-  const fleet = new fleets.Fleet(clock, new Map([["z", "r"]]));
+  const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
   fleet.takeChanges([instance("i-1")], []);
   fleet.takeChanges([], ["i-1"]);
   fleet.takeChanges([instance("i-1")], []);
@@ -174,7 +174,7 @@
 });
 
 test("a cell past its threshold is tried last; back after a while it comes in by steps, after a short doubt at once", () => {
-  const fleet = new fleets.Fleet(
+  const fleet = new runnerFleet.RunnerFleet(
     new sim.SimWorld(1),
     new Map([
       ["a", "a"],
@@ -182,7 +182,7 @@
     ]),
   );
   fleet.takeList([instance("a-1", { zone: "a" }), instance("b-1", { zone: "b" })]);
-  const policy = new cells.CellPolicy("a");
+  const policy = new cellPolicy.CellPolicy("a");
   const [first] = fleet.of("s");
   function share(now: number): number {
     let own = 0;
@@ -195,7 +195,7 @@
         now,
         candidates: [...fleet.of("s")],
         cells: [],
-      } as unknown as plans.Plan;
+      } as unknown as routePlan.RoutePlan;
       policy.apply(plan);
       if (plan.cells[0] === "a") own += 1;
     }
@@ -222,9 +222,9 @@
   ]);
   const counts = new Map<string, number>();
   for (let key = 0; key < 1300; key += 1) {
-    const first = cells.rankByKey(`k${key}`, all)[0];
+    const first = cellPolicy.rankByKey(`k${key}`, all)[0];
     counts.set(first, (counts.get(first) ?? 0) + 1);
-    if (first !== "c") expect(cells.rankByKey(`k${key}`, less)[0]).toBe(first);
+    if (first !== "c") expect(cellPolicy.rankByKey(`k${key}`, less)[0]).toBe(first);
   }
   expect(counts.get("a")! / counts.get("c")!).toBeGreaterThan(1.5);
 });
@@ -235,7 +235,7 @@
   ["x", []],
   ["a:1,b:zz", ["a"]],
 ])("parts of %j", function parts(header, ids) {
-  expect(plans.readParts(header).map((part) => part.id)).toEqual(ids);
+  expect(routePlan.parsePromptParts(header).map((part) => part.id)).toEqual(ids);
 });
 
 function node(name: string, region: string, isReady: boolean): schema.NodeInfo {
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -3,13 +3,13 @@
 import * as nodeHttp from "node:http";
 import * as check from "../src/config/check.js";
 import * as routes from "../src/config/routes.js";
-import * as choosers from "../src/router/chooser.js";
-import * as fleets from "../src/router/runners/fleet.js";
-import * as readings from "../src/router/runners/readings.js";
-import * as rotations from "../src/router/runners/rotation.js";
-import * as batches from "../src/router/batches.js";
-import * as servers from "../src/router/client/server.js";
-import * as tenancies from "../src/router/tenancy.js";
+import * as runnerPicker from "../src/router/runner-picker.js";
+import * as runnerFleet from "../src/runners/runner-fleet.js";
+import * as prefillTracker from "../src/runners/prefill-tracker.js";
+import * as zoneRotation from "../src/runners/zone-rotation.js";
+import * as routerBatches from "../src/router/router-batches.js";
+import * as routerServer from "../src/router/client/router-server.js";
+import * as tenantGate from "../src/router/tenant-gate.js";
 import * as shares from "../src/limits/shares.js";
 import * as runner from "../src/emulator/runner.js";
 import * as types from "../src/wire/types.js";
@@ -41,13 +41,13 @@
 
 let clock: sims.SkewedWorld;
 let runners: runner.StandInRunner[];
-let server: servers.RouterServer;
+let server: routerServer.RouterServer;
 let share: shares.Shares;
 let port = 0;
 
 beforeEach(async function start() {
   clock = new sims.SkewedWorld();
-  const fleet = new fleets.Fleet(
+  const fleet = new runnerFleet.RunnerFleet(
     clock,
     new Map([
       ["z1", "r1"],
@@ -57,7 +57,14 @@
   share = new shares.Shares(clock, { retry_ratio: 0.2, retry_window_s: 10, retry_extra: 50, warmup_overshoot: 1.5, warmup_tolerance: 5 });
   share.deal(1);
   share.grant({ life: "o", isGranting: true, grants: [{ id: 1, kind: 0, key: "s", amount: 25, lifeMs: 60_000 }] }, clock.now());
-  const chooser = new choosers.Chooser(clock, fleet, new rotations.Rotation(clock), share, "r1", new readings.Readings());
+  const chooser = new runnerPicker.RunnerPicker(
+    clock,
+    fleet,
+    new zoneRotation.ZoneRotation(clock),
+    share,
+    "r1",
+    new prefillTracker.PrefillTracker(),
+  );
   runners = [new runner.StandInRunner({ id: "i-1" }), new runner.StandInRunner({ id: "i-2" })];
   for (const runner of runners) await runner.start();
   fleet.takeList(
@@ -73,14 +80,14 @@
     })),
   );
   chooser.table = new routes.RouteTable(CONFIG);
-  server = new servers.RouterServer(
+  server = new routerServer.RouterServer(
     clock,
     chooser,
     () => true,
     () => 0,
     { memory_mb: 256, max_open_files: 1024 },
-    new batches.RouterBatches("life", chooser.known, chooser.admission),
-    new tenancies.Tenancy(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
+    new routerBatches.RouterBatches("life", chooser.known, chooser.admission),
+    new tenantGate.TenantGate(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
   );
   server.limit(CONFIG.limits);
   await server.listen("127.0.0.1:0");
--- a/tests/signs.test.ts
+++ b/tests/signs.test.ts
@@ -1,5 +1,5 @@
 // Signs between routers (design/usage 2): few frames, marks that name one runner, no echo, bounds.
-import * as readings from "../src/router/runners/readings.js";
+import * as prefillTracker from "../src/runners/prefill-tracker.js";
 import * as batches from "../src/hints/batch.js";
 import * as marks from "../src/hints/marks.js";
 import * as throttle from "../src/hints/throttle.js";
@@ -119,8 +119,8 @@
     { id: "b", tokens: 10 },
     { id: "c", tokens: 1 },
   ];
-  const keys = readings.chainKeys(parts);
-  const known = new readings.Readings();
+  const keys = prefillTracker.chainKeys(parts);
+  const known = new prefillTracker.PrefillTracker();
   known.note(
     "x",
     5,
@@ -133,13 +133,13 @@
 
 test("telling only the unread parts' keys leaves the hearer with what telling all would", () => {
   const clock = new sim.SimWorld(7);
-  const [own, all, few] = [new readings.Readings(), new readings.Readings(), new readings.Readings()];
+  const [own, all, few] = [new prefillTracker.PrefillTracker(), new prefillTracker.PrefillTracker(), new prefillTracker.PrefillTracker()];
   for (let index = 0; index < 2000; index += 1) {
     const parts = Array.from({ length: 1 + Math.floor(clock.random() * 4) }, (_item, at) => ({
       id: `${at}-${Math.floor(clock.random() * 5)}`,
       tokens: 700,
     }));
-    const keys = readings.chainKeys(parts);
+    const keys = prefillTracker.chainKeys(parts);
     for (const other of [all, few]) expect(other.unread("x", parts, keys)).toBe(own.unread("x", parts, keys));
     const kept = own.keptParts("x", keys);
     own.note("x", 0, keys, 0);
--- a/tests/sim/edge.ts
+++ b/tests/sim/edge.ts
@@ -2,13 +2,13 @@
 import type * as nodeHttp from "node:http";
 import * as check from "../../src/config/check.js";
 import * as routes from "../../src/config/routes.js";
-import * as choosers from "../../src/router/chooser.js";
-import * as fleets from "../../src/router/runners/fleet.js";
-import * as readings from "../../src/router/runners/readings.js";
-import * as rotations from "../../src/router/runners/rotation.js";
-import * as batches from "../../src/router/batches.js";
-import * as servers from "../../src/router/client/server.js";
-import * as tenancies from "../../src/router/tenancy.js";
+import * as runnerPicker from "../../src/router/runner-picker.js";
+import * as runnerFleet from "../../src/runners/runner-fleet.js";
+import * as prefillTracker from "../../src/runners/prefill-tracker.js";
+import * as zoneRotation from "../../src/runners/zone-rotation.js";
+import * as routerBatches from "../../src/router/router-batches.js";
+import * as routerServer from "../../src/router/client/router-server.js";
+import * as tenantGate from "../../src/router/tenant-gate.js";
 import * as shares from "../../src/limits/shares.js";
 import * as runner from "../../src/emulator/runner.js";
 import * as types from "../../src/wire/types.js";
@@ -50,17 +50,17 @@
 }
 
 export class Edge<Runner extends EdgeRunner = runner.StandInRunner> {
-  readonly fleet: fleets.Fleet;
-  readonly server: servers.RouterServer;
+  readonly fleet: runnerFleet.RunnerFleet;
+  readonly server: routerServer.RouterServer;
   isReady = true;
   private isInMemory = false;
 
   private constructor(
     readonly clock: types.Clock,
     readonly runners: Runner[],
-    tenancy = new tenancies.Tenancy(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
+    tenancy = new tenantGate.TenantGate(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
   ) {
-    this.fleet = new fleets.Fleet(clock, new Map([["z", "r"]]));
+    this.fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
     const share = new shares.Shares(clock, {
       retry_ratio: 0.2,
       retry_window_s: 10,
@@ -70,7 +70,14 @@
     });
     share.deal(1);
     share.grant({ life: "o", isGranting: true, grants: [{ id: 1, kind: 0, key: "s", amount: 25, lifeMs: 60_000 }] }, clock.now());
-    const chooser = new choosers.Chooser(clock, this.fleet, new rotations.Rotation(clock), share, "r", new readings.Readings());
+    const chooser = new runnerPicker.RunnerPicker(
+      clock,
+      this.fleet,
+      new zoneRotation.ZoneRotation(clock),
+      share,
+      "r",
+      new prefillTracker.PrefillTracker(),
+    );
     this.fleet.takeList(
       runners.map((runner) => ({
         id: types.small(runner.id),
@@ -84,19 +91,19 @@
       })),
     );
     chooser.table = new routes.RouteTable(CONFIG);
-    this.server = new servers.RouterServer(
+    this.server = new routerServer.RouterServer(
       clock,
       chooser,
       () => this.isReady,
       () => 0,
       { memory_mb: 256, max_open_files: 1024 },
-      new batches.RouterBatches("life", chooser.known, chooser.admission),
+      new routerBatches.RouterBatches("life", chooser.known, chooser.admission),
       tenancy,
     );
     this.server.limit(CONFIG.limits);
   }
 
-  static start(clock: types.Clock, options: Partial<runner.RunnerOptions>[], tenancy?: tenancies.Tenancy): Promise<Edge> {
+  static start(clock: types.Clock, options: Partial<runner.RunnerOptions>[], tenancy?: tenantGate.TenantGate): Promise<Edge> {
     return Edge.over(
       clock,
       options.map((item) => new runner.StandInRunner(item)),
@@ -104,7 +111,11 @@
     );
   }
 
-  static async over<Runner extends EdgeRunner>(clock: types.Clock, runners: Runner[], tenancy?: tenancies.Tenancy): Promise<Edge<Runner>> {
+  static async over<Runner extends EdgeRunner>(
+    clock: types.Clock,
+    runners: Runner[],
+    tenancy?: tenantGate.TenantGate,
+  ): Promise<Edge<Runner>> {
     for (const runner of runners) await runner.start();
     const edge = new Edge(clock, runners, tenancy);
     await edge.server.listen("127.0.0.1:0");
--- a/tests/sim/leases.ts
+++ b/tests/sim/leases.ts
@@ -2,7 +2,7 @@
 import * as owner from "../../src/limits/owner.js";
 import type * as parts from "../../src/limits/parts.js";
 import * as shares from "../../src/limits/shares.js";
-import * as leases from "../../src/router/leases.js";
+import * as limitBorrower from "../../src/router/limit-borrower.js";
 import * as leaseSchema from "../../src/wire/lease-schema.js";
 import * as schema from "../../src/wire/schema.js";
 import * as leaseGuards from "./lease-guards.js";
@@ -76,7 +76,7 @@
     for (const node of this.nodes) {
       const place = granting.indexOf(node);
       const own = needs
-        .map((need) => (place < 0 ? null : leases.split(need, place, granting.length, router.turn)))
+        .map((need) => (place < 0 ? null : limitBorrower.split(need, place, granting.length, router.turn)))
         .filter((need) => need !== null);
       const ask: leaseSchema.LeaseAsk = { router: router.name, life: node.life, needs: own, done: router.share.held.done(node.life) };
       this.toNode(router.name, node, () => {
--- a/tests/sim/runners.ts
+++ b/tests/sim/runners.ts
@@ -1,7 +1,7 @@
 // Many routers before many runners in a planned world: the very fleets, policies and attempts, with runners
 // played by a function, and signs between the routers.
-import * as attempts from "../../src/router/attempt.js";
-import * as fleets from "../../src/router/runners/fleet.js";
+import * as runnerAttempt from "../../src/router/runner-attempt.js";
+import type * as runnerEndpoint from "../../src/runners/runner-endpoint.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import * as system from "../../src/whatif/system.js";
@@ -10,7 +10,7 @@
 import * as routes from "../../src/config/routes.js";
 
 export type Answer = "fine" | "error" | "cut" | "refused" | "unreached" | "hang" | "shed" | "slow";
-export type Play = (runner: fleets.Runner, router: number, now: number, chance: number) => Answer;
+export type Play = (runner: runnerEndpoint.RunnerEndpoint, router: number, now: number, chance: number) => Answer;
 
 export interface Shape {
   seed: number;
@@ -123,7 +123,7 @@
     });
   }
 
-  private note(router: number, runner: fleets.Runner): void {
+  private note(router: number, runner: runnerEndpoint.RunnerEndpoint): void {
     const state = runner.outcomes.state(this.world.now());
     const key = `${router}|${runner.id}`;
     if ((this.last.get(key) ?? "good") === state) return;
@@ -169,14 +169,14 @@
       this.world.now() + 20_000,
     );
     router.chooser.countRequest(request);
-    const choice = router.chooser.choose(request, tried, 0);
+    const choice = router.chooser.pick(request, tried, 0);
     if ("status" in choice) return;
     const { runner } = choice;
     const answer = this.shape.play(runner, from, this.world.now(), this.world.random());
     this.met.push({ at: this.world.now(), runner: runner.id, answer, isRepeatable: entry.isRepeatable });
-    choice.connection.client.dispatch = (_options, handlers) => this.dispatch(answer, id, handlers as unknown as attempts.Attempt);
+    choice.connection.client.dispatch = (_options, handlers) => this.dispatch(answer, id, handlers as unknown as runnerAttempt.Attempt);
     const isStream = type === "streaming";
-    const attempt = new attempts.Attempt(
+    const attempt = new runnerAttempt.Attempt(
       this.world,
       runner,
       choice.connection,
@@ -195,7 +195,7 @@
     this.world.schedule(answer === "hang" ? 2000 : 20_000, () => attempt.cancel());
   }
 
-  private dispatch(answer: Answer, id: string, handlers: attempts.Attempt): boolean {
+  private dispatch(answer: Answer, id: string, handlers: runnerAttempt.Attempt): boolean {
     const { world } = this;
     if (answer === "refused") world.schedule(1, () => handlers.onError());
     if (answer === "refused" || answer === "unreached") return true;
--- a/tests/sim/usage.ts
+++ b/tests/sim/usage.ts
@@ -1,7 +1,7 @@
 // Regions of runners with work that comes and goes, read each period and told to simulated routers.
 import * as feeds from "../../src/feed/feed.js";
 import type * as mirrors from "../../src/feed/mirror.js";
-import * as fleets from "../../src/router/runners/fleet.js";
+import * as runnerFleet from "../../src/runners/runner-fleet.js";
 import * as publisher from "../../src/load/publisher.js";
 import * as reader from "../../src/load/reader.js";
 import * as schema from "../../src/wire/schema.js";
@@ -83,13 +83,13 @@
 }
 
 export class Router {
-  readonly fleet: fleets.Fleet;
+  readonly fleet: runnerFleet.RunnerFleet;
   readonly reader: reader.Reader;
   readonly made: links.SimRouter;
   readonly session: links.Session;
 
   constructor(system: System, region: string) {
-    this.fleet = new fleets.Fleet(system.clock, new Map(system.regions.map(({ name }) => [name, name])));
+    this.fleet = new runnerFleet.RunnerFleet(system.clock, new Map(system.regions.map(({ name }) => [name, name])));
     this.reader = new reader.Reader(system.clock, this.fleet, region, () => undefined);
     this.fleet.takeList(system.instances());
     this.made = new links.SimRouter(system.clock, region);
--- a/tests/summary.test.ts
+++ b/tests/summary.test.ts
@@ -1,6 +1,6 @@
 // Summaries of regions: what they count, when they are fresh, and how routers judge a region by them (design/usage 4).
 import * as usage from "./sim/usage.js";
-import * as cells from "../src/router/policies/cells.js";
+import * as cellPolicy from "../src/router/policies/cell-policy.js";
 import * as regionReports from "../src/load/region-reports.js";
 import * as summary from "../src/load/summary.js";
 import * as schema from "../src/wire/schema.js";
@@ -41,7 +41,7 @@
   const clock = new sims.SimWorld(1);
   const runner = (id: string, region: string): unknown => ({ id, region, isSuspect: () => false, instance: instance(id, region) });
   const known = new summary.Summaries();
-  const policy = new cells.CellPolicy("a", known);
+  const policy = new cellPolicy.CellPolicy("a", known);
   const order = (): string[] => {
     const plan = {
       requestId: "q",
@@ -68,7 +68,7 @@
   ["a long prompt anywhere", 5000, ["a", "b", "c"], ["a", "b", "c"]],
 ])("cells that requests rank by key are followed: %s", (_name, tokens, regions, expected) => {
   const known = new summary.Summaries();
-  const policy = new cells.CellPolicy("a", known);
+  const policy = new cellPolicy.CellPolicy("a", known);
   for (let index = 0; index < 50; index += 1) {
     const shared = [{ id: `p${index}`, tokens }];
     const candidates = regions.map((region) => ({ id: region, region, isSuspect: () => false }));
--- a/tests/system.test.ts
+++ b/tests/system.test.ts
@@ -6,7 +6,7 @@
 import * as client from "../src/cli/client.js";
 import * as commands from "../src/cli/commands.js";
 import * as control from "../src/control/program.js";
-import * as router from "../src/router/program.js";
+import * as routerProgram from "../src/router/router-program.js";
 import * as platforms from "../src/emulator/platform.js";
 import * as runner from "../src/emulator/runner.js";
 import type * as settings from "../src/settings/settings.js";
@@ -23,7 +23,7 @@
 let platform: platforms.StandInPlatform;
 let standins: runner.StandInRunner[];
 let controls: control.ControlProgram[];
-let edge: router.RouterProgram;
+let edge: routerProgram.RouterProgram;
 
 function addressOf(index: number): string {
   return loopback.controlAddress(system(), index);
@@ -101,7 +101,7 @@
     });
   }
   controls = await Promise.all([0, 1, 2].map((index) => startControl(index, `disk-${index}`, true)));
-  edge = new router.RouterProgram(clock, startupOf("router", 0, "", true));
+  edge = new routerProgram.RouterProgram(clock, startupOf("router", 0, "", true));
   await edge.root.start();
 }, 30_000);
 
--- a/tests/tenancy.test.ts
+++ b/tests/tenancy.test.ts
@@ -1,7 +1,7 @@
 // Keys and quotas at a router over real sockets: who is let in, what the runner sees, and what becomes of units.
 import * as net from "node:net";
 import type * as dialer from "../src/feed/dialer.js";
-import * as tenancies from "../src/router/tenancy.js";
+import * as tenantGate from "../src/router/tenant-gate.js";
 import * as digests from "../src/tenants/digest.js";
 import * as tenant from "../src/tenants/tenant.js";
 import type * as tenantSchema from "../src/wire/tenant-schema.js";
@@ -51,7 +51,7 @@
 
 const clock = new timers.SystemClock();
 let owner: FakeOwner;
-let tenancy: tenancies.Tenancy;
+let tenancy: tenantGate.TenantGate;
 let edge: edges.Edge;
 
 function tenantOf(name: string, key: string, isLimited: boolean, homes: string[] = []): tenant.Tenant {
@@ -60,7 +60,7 @@
 
 beforeEach(async () => {
   owner = new FakeOwner();
-  tenancy = new tenancies.Tenancy(clock, "r", owner.controls, { revocation_strict: true, revoke_delay_ms: 5000 });
+  tenancy = new tenantGate.TenantGate(clock, "r", owner.controls, { revocation_strict: true, revoke_delay_ms: 5000 });
   const table = new tenant.TenantTable();
   table.amend(
     [tenantOf("yard", "k-yard", true), tenantOf("school", "k-school", false), tenantOf("far", "k-far", false, ["elsewhere"])],
@@ -144,7 +144,7 @@
   edge.fleet.takeChanges([], [edge.runners[0].id]);
   expect((await ask("k-yard")).status).toBe(503);
   expect(owner.units).toBe(0);
-  let admitted: tenancies.Admitted = null;
+  let admitted: tenantGate.Admitted = null;
   tenancy.admit(tenantOf("yard", "k-yard", true), (unit) => (admitted = unit), () => undefined); // prettier-ignore
   expect(admitted).toMatchObject({ id: 7 });
 });
--- a/tests/tenants-system.test.ts
+++ b/tests/tenants-system.test.ts
@@ -6,7 +6,7 @@
 import * as client from "../src/cli/client.js";
 import * as tenants from "../src/cli/tenants.js";
 import * as control from "../src/control/program.js";
-import * as router from "../src/router/program.js";
+import * as routerProgram from "../src/router/router-program.js";
 import * as platforms from "../src/emulator/platform.js";
 import * as runners from "../src/emulator/runner.js";
 import * as timers from "../src/runtime/timers.js";
@@ -24,7 +24,7 @@
 let platform: platforms.StandInPlatform;
 let runner: runners.StandInRunner;
 let controls: control.ControlProgram[];
-let edge: router.RouterProgram;
+let edge: routerProgram.RouterProgram;
 
 function system(): loopback.Loopback {
   const ports = { control: 9401, directory: 9402, internal: "9501,9515", frontend: 9601, readiness: 9602 };
@@ -46,7 +46,7 @@
     (index) => new control.ControlProgram(clock, loopback.startupOf(system(), "control", index, path.join(folder, `disk-${index}`), true)),
   );
   for (const program of controls) await program.root.start();
-  edge = new router.RouterProgram(clock, loopback.startupOf(system(), "router", 0, "", true));
+  edge = new routerProgram.RouterProgram(clock, loopback.startupOf(system(), "router", 0, "", true));
   await edge.root.start();
 }, 30_000);
 
