--- a/src/control/members/roster.ts
+++ b/src/control/members/roster.ts
@@ -1,17 +1,23 @@
-// A control node's roster and its differences: siblings hear what changed, and a gap asks for the whole
-// (design/members 1).
-import * as schema from "../../wire/schema.js";
+/**
+ * The publishing side of a control node's roster: its members, numbered by change, so that each peer gets a delta since the
+ * number it was sent last, or a snapshot when that is unknown or too old (design/members 1).
+ */
+import type * as schema from "../../wire/schema.js";
 import * as shares from "../../limits/shares.js";
 
-/** Differences reach back so many removals; whoever is further behind gets the whole. */
+/** Removals that are remembered for deltas; a peer that is further behind gets a snapshot. */
 const MAX_REMOVALS = 1024;
-/** Epochs that moved are told so many a beat, whatever the number of routers. */
+/** Nodes of which only the epoch moved that are published with one heartbeat, whatever the number of routers. */
 const MAX_EPOCHS_PER_HEARTBEAT = 2;
+/** `from` of a snapshot. */
+const BEFORE_ALL = -1;
 
 interface Entry {
   node: schema.NodeInfo;
   hash: number;
+  /** Of its last published change. */
   number: number;
+  /** Its epoch moved after it was numbered last. */
   isEpochStale: boolean;
 }
 
@@ -20,16 +26,17 @@
   number: number;
 }
 
-/** All but the epoch, which moves at every router with every change of the configuration. */
+/** Hash of a member without its epoch, which moves at every router with every change of the configuration. */
 export function hashNode(node: schema.NodeInfo): number {
   const { name, role, life, zone, region, address, outside, disk, isCounted, isReady } = node;
   return shares.hash([name, role, life, zone, region, address, outside, disk, isCounted, isReady].join("\n"));
 }
 
-/** The sending side. A number is one change within the life of this process. */
+/** The own roster. Numbers count changes within one incarnation of this process. */
 export class Roster {
   private readonly entries = new Map<string, Entry>();
-  private readonly leaving = new Map<string, number>();
+  /** Incarnations of draining routers, with the number of the change that added them. */
+  private readonly draining = new Map<string, number>();
   private removals: Removal[] = [];
   private number = 0;
   private oldestDeltaNumber = 0;
@@ -37,31 +44,32 @@
 
   constructor(private readonly incarnation: string) {}
 
+  /** Number of the newest change. */
   get newestNumber(): number {
     return this.number;
   }
 
-  /** Takes the roster as it is now; numbers what differs from before. */
-  update(nodes: readonly schema.NodeInfo[], leaving: Iterable<string>): void {
+  /** Replaces the members and the incarnations of draining routers, and numbers what differs from before. */
+  update(nodes: readonly schema.NodeInfo[], draining: Iterable<string>): void {
     const names = new Set<string>();
     let epochs = 0;
     for (const node of nodes) {
       names.add(node.name);
-      const before = this.entries.get(node.name);
-      if (before && before.node === node && !before.isEpochStale) continue;
-      const hashed = hashNode(node);
-      if (before && before.hash === hashed) {
-        before.isEpochStale ||= before.node.epoch !== node.epoch;
-        before.node = node;
-        if (!before.isEpochStale || epochs >= MAX_EPOCHS_PER_HEARTBEAT) continue;
+      const previous = this.entries.get(node.name);
+      if (previous && previous.node === node && !previous.isEpochStale) continue;
+      const hash = hashNode(node);
+      if (previous && previous.hash === hash) {
+        previous.isEpochStale ||= previous.node.epoch !== node.epoch;
+        previous.node = node;
+        if (!previous.isEpochStale || epochs >= MAX_EPOCHS_PER_HEARTBEAT) continue;
         epochs += 1;
       }
       this.number += 1;
-      this.digest += hashed - (before?.hash ?? 0);
-      this.entries.set(node.name, { node, hash: hashed, number: this.number, isEpochStale: false });
+      this.digest += hash - (previous?.hash ?? 0);
+      this.entries.set(node.name, { node, hash, number: this.number, isEpochStale: false });
     }
     for (const [name, entry] of this.entries) if (!names.has(name)) this.remove(name, entry);
-    this.updateLeaving(leaving);
+    this.updateDraining(draining);
   }
 
   private remove(name: string, entry: Entry): void {
@@ -72,19 +80,21 @@
     while (this.removals.length > MAX_REMOVALS) this.oldestDeltaNumber = this.removals.shift()!.number;
   }
 
-  private updateLeaving(leaving: Iterable<string>): void {
-    const lives = new Set(leaving);
-    for (const life of this.leaving.keys()) if (!lives.has(life)) this.leaving.delete(life);
-    for (const life of lives) if (!this.leaving.has(life)) this.leaving.set(life, (this.number += 1));
+  private updateDraining(incarnations: Iterable<string>): void {
+    const current = new Set(incarnations);
+    for (const incarnation of this.draining.keys()) if (!current.has(incarnation)) this.draining.delete(incarnation);
+    for (const incarnation of current) {
+      if (!this.draining.has(incarnation)) this.draining.set(incarnation, (this.number += 1));
+    }
   }
 
-  /** What changed after number `from`; all of it when that is not known (-1) or too long ago. */
+  /** The delta since change `from`; a snapshot when the peer's number is unknown (-1) or older than what is remembered. */
   deltaSince(from: number): schema.Sessions {
-    const isWhole = from < this.oldestDeltaNumber || from > this.number;
-    const after = isWhole ? -1 : from;
-    const told: schema.Sessions = {
+    const isSnapshot = from < this.oldestDeltaNumber || from > this.number;
+    const after = isSnapshot ? BEFORE_ALL : from;
+    const update: schema.Sessions = {
       life: this.incarnation,
-      isWhole,
+      isWhole: isSnapshot,
       from: after,
       number: this.number,
       count: this.entries.size,
@@ -94,51 +104,12 @@
       leaving: [],
       controls: [],
     };
-    if (after === this.number) return told;
-    for (const entry of this.entries.values()) if (entry.number > after) told.nodes.push(entry.node);
-    for (const [life, number] of this.leaving) if (number > after) told.leaving.push(life);
-    if (!isWhole) {
-      for (const item of this.removals) if (item.number > after && !this.entries.has(item.name)) told.gone.push(item.name);
+    if (after === this.number) return update;
+    for (const entry of this.entries.values()) if (entry.number > after) update.nodes.push(entry.node);
+    for (const [incarnation, number] of this.draining) if (number > after) update.leaving.push(incarnation);
+    if (!isSnapshot) {
+      for (const { name, number } of this.removals) if (number > after && !this.entries.has(name)) update.gone.push(name);
     }
-    return told;
-  }
-}
-
-/** The listener's side: a sibling's roster as far as it was told. */
-export class PeerRoster {
-  private readonly nodes = new Map<string, schema.NodeInfo>();
-  private incarnation = "";
-  private number = -1;
-  private digest = 0;
-
-  all(): Iterable<schema.NodeInfo> {
-    return this.nodes.values();
-  }
-
-  /** False when something is missing: the whole must be asked for, and until then what was known stays. */
-  applyUpdate(told: schema.Sessions): boolean {
-    if (told.isWhole) this.clear();
-    else if (told.life !== this.incarnation || told.from !== this.number) return false;
-    for (const name of told.gone) this.set(name, null);
-    for (const node of told.nodes) this.set(node.name, node);
-    this.incarnation = told.life;
-    this.number = told.number;
-    const isSame = this.nodes.size === told.count && this.digest === told.digest;
-    if (!isSame) this.number = -1;
-    return isSame;
-  }
-
-  private set(name: string, node: schema.NodeInfo | null): void {
-    const before = this.nodes.get(name);
-    if (before) this.digest -= hashNode(before);
-    if (node) {
-      this.digest += hashNode(node);
-      this.nodes.set(name, node);
-    } else this.nodes.delete(name);
-  }
-
-  private clear(): void {
-    this.nodes.clear();
-    this.digest = 0;
+    return update;
   }
 }
--- a/src/control/members/session-handlers.ts
+++ b/src/control/members/session-handlers.ts
@@ -1,4 +1,4 @@
-// What nodes say to a control node about themselves: hello, beats, and other control nodes' rosters (design 4.1).
+/** Answers what nodes send about themselves: hellos, heartbeats, and other control nodes' rosters (design 4.1). */
 import * as calls from "../../wire/calls.js";
 import type * as link from "../../wire/link.js";
 import type * as schema from "../../wire/schema.js";
@@ -8,40 +8,40 @@
 import type * as registerReplica from "../register-replica.js";
 import type * as membership from "./membership.js";
 
-/** What the handlers of sessions work on. */
+/** What the handlers work on. */
 export interface SessionHandlerParts {
   handlers: link.Handlers;
   members: membership.Membership;
   dial: dialer.Dialer;
-  core: registerReplica.RegisterReplica;
+  replica: registerReplica.RegisterReplica;
   contact: quorumContact.QuorumContact;
   describe(): schema.NodeInfo;
   /** This control node and those it has links to. */
   controls(): schema.ControlInfo[];
-  /** The life of this node's feed. */
-  place: string;
+  /** The incarnation of this node's feed. */
+  feedIncarnation: string;
 }
 
-/** Answers hellos, beats and rosters. */
+/** Registers the handlers of hellos, heartbeats and rosters. */
 export function registerHandlers(parts: SessionHandlerParts): void {
-  const { handlers, members, dial, core, contact } = parts;
-  handlers.on(calls.hello, function hello(from, ask) {
-    members.enter(ask.node, from);
-    if (ask.node.role === "control") dial.inReach(ask.node.address);
-    return { node: parts.describe(), controls: parts.controls(), place: parts.place, isConfirmed: contact.isConfirmed() };
+  const { handlers, members, dial, replica, contact } = parts;
+  handlers.on(calls.hello, (from, hello) => {
+    members.openSession(hello.node, from);
+    if (hello.node.role === "control") dial.inReach(hello.node.address);
+    return { node: parts.describe(), controls: parts.controls(), place: parts.feedIncarnation, isConfirmed: contact.isConfirmed() };
   });
-  handlers.on(calls.beat, function beat(from, told) {
-    members.receiveHeartbeat(from, told);
-    dial.heard(from, told);
-    if (told.epoch > (core.chosen?.epoch ?? types.NO_EPOCH)) void core.catchUp(from, told.epoch);
+  handlers.on(calls.beat, (from, heartbeat) => {
+    members.receiveHeartbeat(from, heartbeat);
+    dial.heard(from, heartbeat);
+    if (heartbeat.epoch > (replica.chosen?.epoch ?? types.NO_EPOCH)) void replica.catchUp(from, heartbeat.epoch);
     return null;
   });
-  handlers.on(calls.sessions, function sessions(from, told) {
-    members.receiveRoster(from, told);
-    dial.learn(told.controls);
+  handlers.on(calls.sessions, (from, update) => {
+    members.receiveRoster(from, update);
+    dial.learn(update.controls);
     return null;
   });
-  handlers.on(calls.whole, function whole(from) {
+  handlers.on(calls.whole, (from) => {
     members.forgetOffset(from);
     return null;
   });
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -104,7 +104,7 @@
     core.registerHandlers(handlers);
     this.cells.register(handlers);
     this.leases.registerHandlers(handlers, this.contact);
-    sessionHandlers.registerHandlers({ handlers, members, dial, core, contact, describe, controls, place: feed.place });
+    sessionHandlers.registerHandlers({ handlers, members, dial, replica: core, contact, describe, controls, feedIncarnation: feed.place });
     dial.on("up", function met() {
       members.publishControls(controls());
     });
--- a/tests/sim/fleet.ts
+++ b/tests/sim/fleet.ts
@@ -55,7 +55,7 @@
     this.dial = new SimDialer(fleet.clock, info.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
     this.dial.reach = (address) => fleet.connect(address, this.handlers);
     this.handlers.on(calls.hello, (from, ask) => {
-      this.members.enter(ask.node, from);
+      this.members.openSession(ask.node, from);
       if (ask.node.role === "control") this.dial.inReach(ask.node.address);
       return { node: this.describe(), controls: [info, ...this.dial.met()], place: info.name, isConfirmed: this.isSettled };
     });
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -135,11 +135,11 @@
       handlers,
       members,
       dial,
-      core,
+      replica: core,
       contact,
       describe,
       controls: () => this.controls(),
-      place: feed.place,
+      feedIncarnation: feed.place,
     });
     handlers.on(calls.follow, (from, ask) => {
       feed.follow(from, ask);
--- a/tests/sim/nodes.ts
+++ b/tests/sim/nodes.ts
@@ -1,7 +1,11 @@
-/** Nodes as the membership tests name them. */
+/** Nodes as the tests of the membership name them: zone and region "r" unless said otherwise. */
 import type * as schema from "../../src/wire/schema.js";
-import * as fleets from "./fleet.js";
+import * as fleet from "./fleet.js";
+
+export function node(name: string, role: string, more: Partial<schema.NodeInfo> = {}): schema.NodeInfo {
+  return { ...fleet.nodeOf(name, role, "r", ""), ...more };
+}
 
 export function router(name: string, more: Partial<schema.NodeInfo> = {}): schema.NodeInfo {
-  return { ...fleets.nodeOf(name, "router", "r", ""), ...more };
+  return node(name, "router", more);
 }
