--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -211,7 +211,7 @@
       nominal: this.predictAt(plan, runner, { place, need, slow, waitFactor }),
       waitFactor,
       safeFirstMs: this.predictAt(plan, runner, { place, need, slow, waitFactor: safeWaitFactor }).firstEventMs,
-      fullness: runner.usage() / Math.max(1, runner.instance.capacity),
+      fullness: runner.requestCount() / Math.max(1, runner.instance.capacity),
       rank,
       deadline: plan.deadline,
       gapMs: route.target_gap_ms ?? Infinity,
--- a/src/admission/cell-leases.ts
+++ b/src/admission/cell-leases.ts
@@ -84,7 +84,7 @@
     let all = 0;
     for (const runner of cell) {
       own += runner.inflight;
-      all += runner.usage();
+      all += runner.requestCount();
     }
     const room = cellCapacity.sumCapacity(cell.map(this.reportedSlotUsage.bind(this, 0)));
     const share = cellCapacity.routerFraction(own, all, routers);
@@ -115,7 +115,7 @@
     return {
       // What others had there by a report that is stale is not known now.
       capacity: runner.instance.capacity,
-      used: known && !fresh ? runner.inflight : runner.usage(),
+      used: known && !fresh ? runner.inflight : runner.requestCount(),
       waiting: fresh?.waiting ?? 0,
       kvUsed: (fresh?.kvUsed ?? 0) + (fresh?.sentTokens ?? 0),
       kvCapacity: fresh?.kvCapacity ?? 0,
--- a/src/control/batches/batch-loads.ts
+++ b/src/control/batches/batch-loads.ts
@@ -10,7 +10,7 @@
 import type * as dialer from "../../feed/dialer.js";
 import type * as feeds from "../../feed/feed.js";
 import * as loads from "../../forecast/loads.js";
-import * as summary from "../../load/summary.js";
+import * as loadSummary from "../../load/load-summary.js";
 import type * as membership from "../members/membership.js";
 
 const ASK_EVERY_MS = 5000;
@@ -62,7 +62,7 @@
 
   private async gather(spanMs: number): Promise<void> {
     this.isAsking = true;
-    const followers = new Set(this.feed.followersOf(summary.SUMMARY_TOPIC));
+    const followers = new Set(this.feed.followersOf(loadSummary.SUMMARY_TOPIC));
     const asked: Promise<Heard | null>[] = [];
     for (const { node, link: to } of this.members.readyRouters()) if (followers.has(to)) asked.push(ask(node, to));
     const heard = await Promise.all(asked);
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -22,7 +22,7 @@
 import * as batchLoads from "./batch-loads.js";
 import * as batchRegister from "./batch-register.js";
 import * as batchView from "./batch-view.js";
-import type * as cells from "../platform/cells.js";
+import type * as fleetObserver from "../platform/fleet-observer.js";
 import type * as serve from "../../wire/serve.js";
 import type * as membership from "../members/membership.js";
 
@@ -39,7 +39,7 @@
   readonly handlers: link.Handlers;
   readonly feed: feeds.Feed;
   readonly members: membership.Membership;
-  readonly cells: cells.Cells;
+  readonly cells: fleetObserver.FleetObserver;
   /** The newest chosen value of the configuration's register. */
   configuration(): schema.Value | null;
   isConfirmed(): boolean;
--- a/src/control/platform/deal.ts
+++ b/src/control/platform/assignment.ts
@@ -3,13 +3,13 @@
 import * as shares from "../../limits/shares.js";
 
 /** A control node that may read reports. */
-export interface Reader {
+export interface ReportReader {
   name: string;
   region: string;
 }
 
 interface Load {
-  reader: Reader;
+  reader: ReportReader;
   weight: number;
 }
 
@@ -23,7 +23,7 @@
  * that know the same readers and weights; where views differ for a while, a region is read twice.
  * `weights`: runners of each region, all regions among them.
  */
-export function readersOf(region: string, readers: readonly Reader[], weights: ReadonlyMap<string, number>): Reader[] {
+export function assignReaders(region: string, readers: readonly ReportReader[], weights: ReadonlyMap<string, number>): ReportReader[] {
   const loads = new Map<string, Load>();
   for (const reader of readers) loads.set(reader.name, { reader, weight: 0 });
   const heaviestFirst = [...weights].map(stepped).sort(byWeight);
@@ -48,7 +48,7 @@
   }
 }
 
-function readerOf(load: Load): Reader {
+function readerOf(load: Load): ReportReader {
   return load.reader;
 }
 
--- a/src/control/platform/list.ts
+++ b/src/control/platform/endpoint-list.ts
@@ -21,7 +21,7 @@
 }
 
 /** The platform's list as keyed items. */
-export class InstanceItems {
+export class EndpointList {
   private readonly items = new keyed.Keyed();
   private readonly entries = new Map<types.RunnerId, Entry>();
 
@@ -36,7 +36,7 @@
   }
 
   /** The whole list as it was read: what is new of it is kept and returned. */
-  read(list: readonly schema.Instance[], now: types.SteadyMs): keyed.Plan {
+  replaceAll(list: readonly schema.Instance[], now: types.SteadyMs): keyed.Plan {
     const changes = new Map<string, Buffer | null>();
     const standing = new Set<string>();
     for (const item of list) {
@@ -52,7 +52,7 @@
   }
 
   /** What a sibling told; null when it builds on other items or does not prove itself. */
-  hear(change: schema.Change, now: types.SteadyMs): keyed.Plan | null {
+  applyUpdate(change: schema.Change, now: types.SteadyMs): keyed.Plan | null {
     if (!change.isView && change.base !== this.items.digest) return null;
     const changes = keyed.unpack(change);
     const plan = change.isView ? this.items.planView(changes) : this.items.plan(changes);
@@ -68,13 +68,13 @@
   }
 
   /** All of it, for a sibling that lacks it. */
-  view(): ReturnType<typeof keyed.pack> {
+  snapshot(): ReturnType<typeof keyed.pack> {
     return keyed.pack(this.items.bodies());
   }
 }
 
 /** The list divided by region: a topic each, and one for zones that the settings do not name. */
-export class RegionLists {
+export class RegionalEndpoints {
   private readonly lists = new Map<string, Map<string, schema.Instance>>();
   private readonly regionOfId = new Map<string, string>();
   private isPublished = false;
@@ -87,11 +87,11 @@
     this.lists.set(NO_REGION, new Map());
   }
 
-  of(region: string): Iterable<schema.Instance> {
+  instancesOf(region: string): Iterable<schema.Instance> {
     return this.lists.get(region)?.values() ?? [];
   }
 
-  take(plan: keyed.Plan, stamp: types.Stamp): void {
+  applyChange(plan: keyed.Plan, stamp: types.Stamp): void {
     const changes = new Map<string, Map<string, Buffer | null>>();
     function amend(region: string, id: string, body: Buffer | null): void {
       const some = changes.get(region);
--- a/src/control/platform/watcher.ts
+++ b/src/control/platform/endpoint-watcher.ts
@@ -8,7 +8,7 @@
 import * as log from "../../runtime/log.js";
 import type * as dialer from "../../feed/dialer.js";
 import * as keyed from "../../feed/keyed.js";
-import * as list from "./list.js";
+import * as endpointList from "./endpoint-list.js";
 
 const PERIOD_MS = 700;
 const STEP_MS = 700;
@@ -46,8 +46,8 @@
  * Reads the platform's list while this node ranks first, else takes what the reader sends; stands in when that falls
  * silent. rank: this node's place among the readers, 0 reads.
  */
-export class Watcher {
-  private readonly items = new list.InstanceItems();
+export class EndpointWatcher {
+  private readonly items = new endpointList.EndpointList();
   private heardAt = -1e9;
   private isBusy = false;
   private nextAt = 0;
@@ -67,7 +67,7 @@
     return this.items.all();
   }
 
-  turn(): void {
+  pollWhenDue(): void {
     const now = this.world.now();
     // Without a platform there is no list to read.
     if (this.address === "" || this.isBusy || now < this.nextAt) return;
@@ -78,10 +78,10 @@
   }
 
   /** Replies with what is held now: the reader tells the whole list to one that holds another. */
-  hear(told: schema.Change): schema.HeldList {
+  receiveUpdate(told: schema.Change): schema.HeldList {
     this.heardAt = this.world.now();
     if (told.digest !== this.items.digest || !this.hasList) {
-      const plan = this.items.hear(told, this.world.now());
+      const plan = this.items.applyUpdate(told, this.world.now());
       if (plan) this.take(plan);
     }
     return { digest: this.items.digest };
@@ -96,7 +96,7 @@
     if (!list) return;
     this.heardAt = this.world.now();
     const base = this.items.digest;
-    const plan = this.items.read(list, this.world.now());
+    const plan = this.items.replaceAll(list, this.world.now());
     this.take(plan);
     const told = this.frame(base, false, keyed.pack(keyed.changesOf(plan)));
     for (const control of this.dial.controls.values()) void this.tell(control, told);
@@ -111,7 +111,7 @@
   }
 
   private tellView(control: dialer.Control): void {
-    control.link.tell(calls.instances, this.frame(keyed.EMPTY_DIGEST, true, this.items.view()));
+    control.link.tell(calls.instances, this.frame(keyed.EMPTY_DIGEST, true, this.items.snapshot()));
   }
 
   private frame(base: types.Digest, isView: boolean, packed: ReturnType<typeof keyed.pack>): schema.Change {
@@ -128,7 +128,7 @@
   }
 
   /** A sibling that came up gets the list whole. */
-  greet(control: dialer.Control): void {
+  sendSnapshotIfReader(control: dialer.Control): void {
     if (this.hasList && this.rank() === 0) this.tellView(control);
   }
 
@@ -157,7 +157,7 @@
     return null;
   }
 
-  resettle(address: string): void {
+  setAddress(address: string): void {
     if (address === this.address) return;
     this.address = address;
     this.drop();
--- a/src/control/platform/cells.ts
+++ b/src/control/platform/fleet-observer.ts
@@ -11,23 +11,23 @@
 import type * as check from "../../config/check.js";
 import type * as registerReplica from "../register-replica.js";
 import type * as membership from "../members/membership.js";
-import * as deal from "./deal.js";
-import * as duties from "./duties.js";
-import * as list from "./list.js";
-import * as orchestrators from "./orchestrator.js";
-import * as relay from "../../hints/relay.js";
-import * as publisher from "../../load/publisher.js";
-import * as summary from "../../load/summary.js";
-import * as watchers from "./watcher.js";
+import * as assignment from "./assignment.js";
+import * as singletonRole from "./singleton-role.js";
+import * as endpointList from "./endpoint-list.js";
+import * as regionOrchestrator from "./region-orchestrator.js";
+import * as hintRelay from "../../hints/hint-relay.js";
+import * as loadPublisher from "../../load/load-publisher.js";
+import * as loadSummary from "../../load/load-summary.js";
+import * as endpointWatcher from "./endpoint-watcher.js";
 
 /** Puts together the list, the reports, the signs and the summaries of this control node. */
-export class Cells implements orchestrators.CellsView {
+export class FleetObserver implements regionOrchestrator.RegionView {
   private readonly regionOf = new Map<string, string>();
-  private readonly lists: list.RegionLists;
-  private readonly watcher: watchers.Watcher;
-  private readonly orchestrator: orchestrators.Orchestrator;
-  private readonly publisher: publisher.Publisher;
-  private readonly relay: relay.Relay;
+  private readonly lists: endpointList.RegionalEndpoints;
+  private readonly watcher: endpointWatcher.EndpointWatcher;
+  private readonly orchestrator: regionOrchestrator.RegionOrchestrator;
+  private readonly publisher: loadPublisher.LoadPublisher;
+  private readonly relay: hintRelay.HintRelay;
   private engines = new Set<string>();
 
   constructor(
@@ -38,58 +38,64 @@
     core: registerReplica.RegisterReplica,
     private readonly members: membership.Membership,
     /** How fit for duty this node is now. */
-    private readonly ownFitness: () => duties.Fitness,
+    private readonly ownFitness: () => singletonRole.Eligibility,
   ) {
     for (const [zone, region] of Object.entries(startup.zones)) this.regionOf.set(zone, region);
-    this.lists = new list.RegionLists(this.regionOf, feed);
+    this.lists = new endpointList.RegionalEndpoints(this.regionOf, feed);
     const { address, rate_per_s: rate } = startup.cloud_api;
-    this.watcher = new watchers.Watcher(world, address ?? "", rate, dial, this.listRank.bind(this), this.listed.bind(this));
-    this.orchestrator = new orchestrators.Orchestrator(world, new Set(this.regionOf.values()), this, dial, this.reported.bind(this));
-    this.publisher = new publisher.Publisher(world, feed);
-    this.relay = new relay.Relay(world, this);
+    this.watcher = new endpointWatcher.EndpointWatcher(world, address ?? "", rate, dial, this.listRank.bind(this), this.listed.bind(this));
+    this.orchestrator = new regionOrchestrator.RegionOrchestrator(
+      world,
+      new Set(this.regionOf.values()),
+      this,
+      dial,
+      this.reported.bind(this),
+    );
+    this.publisher = new loadPublisher.LoadPublisher(world, feed);
+    this.relay = new hintRelay.HintRelay(world, this);
     core.on("chosen", this.configured.bind(this));
-    dial.on("up", this.watcher.greet.bind(this.watcher));
+    dial.on("up", this.watcher.sendSnapshotIfReader.bind(this.watcher));
     dial.on("up", this.greet.bind(this));
   }
 
-  register(handlers: link.Handlers): void {
+  registerHandlers(handlers: link.Handlers): void {
     const { watcher, orchestrator, relay } = this;
     handlers.on(calls.instances, function hear(_from, told) {
-      return watcher.hear(told);
+      return watcher.receiveUpdate(told);
     });
     handlers.on(calls.signs, function signs(from, told) {
-      relay.hear(from, told);
+      relay.receive(from, told);
       return null;
     });
     handlers.on(calls.report, function hear(_from, told) {
-      orchestrator.hear(told);
+      orchestrator.receiveReport(told);
       return null;
     });
   }
 
-  resettle(startup: settings.Settings): void {
+  applySettings(startup: settings.Settings): void {
     this.startup = startup;
-    this.watcher.resettle(startup.cloud_api.address ?? "");
+    this.watcher.setAddress(startup.cloud_api.address ?? "");
   }
 
-  siblings(): link.Link[] {
+  peers(): link.Link[] {
     return [...this.dial.controls.values()].map(linkOf);
   }
 
   /** Routers that follow this control node follow its summaries. */
-  routers(): number {
-    return [...this.feed.followersOf(summary.SUMMARY_TOPIC)].length;
+  routerCount(): number {
+    return [...this.feed.followersOf(loadSummary.SUMMARY_TOPIC)].length;
   }
 
   /** Own routers that follow the reports of the region. */
-  followers(region: string): Iterable<link.Link> {
+  followersOf(region: string): Iterable<link.Link> {
     return this.feed.followersOf(feeds.cellTopic(region));
   }
 
   /** A sibling that came up gets whole what is read here. */
   private greet(control: dialer.Control): void {
     for (const region of new Set(this.regionOf.values())) {
-      if (this.orchestrator.isReader(region)) control.link.tell(calls.report, { region, reports: this.publisher.whole(region) });
+      if (this.orchestrator.isReader(region)) control.link.tell(calls.report, { region, reports: this.publisher.snapshot(region) });
     }
   }
 
@@ -99,10 +105,10 @@
     this.relay.stop();
   }
 
-  turn(): void {
-    this.watcher.turn();
-    this.orchestrator.turn();
-    this.publisher.turn();
+  runPeriodically(): void {
+    this.watcher.pollWhenDue();
+    this.orchestrator.pollDueRegions();
+    this.publisher.publishSummariesWhenDue();
   }
 
   private configured(value: schema.Value): void {
@@ -112,36 +118,37 @@
   }
 
   private listed(plan: keyed.Plan): void {
-    this.lists.take(plan, types.small(this.world.now()));
+    this.lists.applyChange(plan, types.small(this.world.now()));
     const instances = this.watcher.instances();
     const regions = new Map<types.RunnerId, string>();
     for (const item of instances) regions.set(item.id, this.regionOf.get(item.zone) ?? item.zone);
-    this.relay.takeList(regions);
-    this.publisher.takeList(instances, regions);
+    this.relay.setRegions(regions);
+    this.publisher.setInstances(instances, regions);
   }
 
   private reported(report: schema.CellReport): void {
-    this.publisher.take(report);
+    this.publisher.applyReport(report);
   }
 
   /** The control nodes that this one hears, itself among them, and how fit for duty each says it is. */
-  private candidates(): duties.Candidate[] {
+  private candidates(): singletonRole.Candidate[] {
     const { node_name: name, region } = this.startup;
-    const all: duties.Candidate[] = [{ name, region, fitness: this.ownFitness() }];
+    const all: singletonRole.Candidate[] = [{ name, region, eligibility: this.ownFitness() }];
     for (const control of this.dial.controls.values()) {
       const { node } = control;
-      if (this.members.hasSession(node.name)) all.push({ name: node.name, region: node.region, fitness: duties.fitnessOf(control) });
+      if (this.members.hasSession(node.name))
+        all.push({ name: node.name, region: node.region, eligibility: singletonRole.eligibilityOf(control) });
     }
     return all;
   }
 
   private listRank(): number {
-    return duties.rankOf(this.startup.node_name, duties.fittest(this.candidates()));
+    return singletonRole.rankOf(this.startup.node_name, singletonRole.mostEligible(this.candidates()));
   }
 
-  rank(region: string): number {
-    const readers = deal.readersOf(region, duties.fittest(this.candidates()), this.weights());
-    return duties.rankOf(this.startup.node_name, readers);
+  rankIn(region: string): number {
+    const readers = assignment.assignReaders(region, singletonRole.mostEligible(this.candidates()), this.weights());
+    return singletonRole.rankOf(this.startup.node_name, readers);
   }
 
   /** Runners that write reports, by region. */
@@ -155,14 +162,14 @@
     return weights;
   }
 
-  reporting(region: string): schema.Instance[] {
+  reportingRunners(region: string): schema.Instance[] {
     const found: schema.Instance[] = [];
-    for (const item of this.lists.of(region)) if (this.engines.has(item.service)) found.push(item);
+    for (const item of this.lists.instancesOf(region)) if (this.engines.has(item.service)) found.push(item);
     return found;
   }
 
-  differ(region: string, reports: readonly schema.Report[]): schema.Report[] {
-    return this.publisher.differ(region, reports);
+  selectChanges(region: string, reports: readonly schema.Report[]): schema.Report[] {
+    return this.publisher.selectChanges(region, reports);
   }
 
   /** The platform's list as read last, here or by another control node. */
--- a/src/control/platform/orchestrator.ts
+++ b/src/control/platform/region-orchestrator.ts
@@ -26,35 +26,35 @@
 }
 
 /** What the orchestrator knows of regions and duties. */
-export interface CellsView {
+export interface RegionView {
   /** The runners of a region that write reports. */
-  reporting(region: string): schema.Instance[];
+  reportingRunners(region: string): schema.Instance[];
   /** This node's place in the order of those who watch the region. */
-  rank(region: string): number;
+  rankIn(region: string): number;
   /** What of the reports read is news to those who hear them (design/usage 3.2). */
-  differ(region: string, reports: readonly schema.Report[]): schema.Report[];
+  selectChanges(region: string, reports: readonly schema.Report[]): schema.Report[];
 }
 
 /** Reads the reports of each region in which this node ranks first, else stands in for a reader that is silent. */
-export class Orchestrator {
+export class RegionOrchestrator {
   private readonly watched = new Map<string, Watched>();
   private readonly cells = new Map<string, Cell>();
 
   constructor(
     private readonly world: types.Clock,
     regions: Iterable<string>,
-    private readonly view: CellsView,
+    private readonly view: RegionView,
     private readonly dial: dialer.Dialer,
     private readonly onReport: (report: schema.CellReport) => void,
   ) {
     for (const region of regions) this.cells.set(region, { heardAt: -1e9, readAt: -1e9, nextAt: 0, isBusy: false });
   }
 
-  turn(): void {
+  pollDueRegions(): void {
     const now = this.world.now();
     for (const [region, cell] of this.cells) {
       if (cell.isBusy || now < cell.nextAt) continue;
-      const rank = this.view.rank(region);
+      const rank = this.view.rankIn(region);
       if (rank > 0 && now - cell.heardAt < PERIOD_MS + STEP_MS * rank) continue;
       cell.isBusy = true;
       cell.nextAt = now + PERIOD_MS;
@@ -62,7 +62,7 @@
     }
   }
 
-  hear(report: schema.CellReport): void {
+  receiveReport(report: schema.CellReport): void {
     const cell = this.cells.get(report.region);
     if (cell) cell.heardAt = this.world.now();
     this.onReport(report);
@@ -74,12 +74,12 @@
   }
 
   private async poll(region: string, cell: Cell): Promise<void> {
-    const instances = this.view.reporting(region);
+    const instances = this.view.reportingRunners(region);
     this.forget(region, instances);
     const reports = await Promise.all(instances.map(this.ask.bind(this)));
     cell.isBusy = false;
     cell.heardAt = cell.readAt = this.world.now();
-    const told = { region, reports: this.view.differ(region, reports) };
+    const told = { region, reports: this.view.selectChanges(region, reports) };
     this.onReport(told);
     for (const control of this.dial.controls.values()) control.link.tell(calls.report, told);
   }
@@ -121,7 +121,7 @@
   private forget(region: string, instances: readonly schema.Instance[]): void {
     const standing = new Set<string>();
     for (const other of this.cells.keys()) {
-      for (const item of other === region ? instances : this.view.reporting(other)) standing.add(item.id);
+      for (const item of other === region ? instances : this.view.reportingRunners(other)) standing.add(item.id);
     }
     for (const [id, watched] of this.watched) {
       if (standing.has(id)) continue;
--- a/src/control/platform/duties.ts
+++ b/src/control/platform/singleton-role.ts
@@ -2,34 +2,34 @@
 import * as dialer from "../../feed/dialer.js";
 
 /** A higher one goes first: a confirmed node, then one that is cut off from a majority, last one that is leaving. */
-export const LEAVING = 0;
+export const DRAINING = 0;
 /** Not confirmed by a majority now. */
 export const UNCONFIRMED = 1;
 /** Confirmed by a majority. */
 export const CONFIRMED = 2;
 /** How fit for duty a control node is. */
-export type Fitness = typeof LEAVING | typeof UNCONFIRMED | typeof CONFIRMED;
+export type Eligibility = typeof DRAINING | typeof UNCONFIRMED | typeof CONFIRMED;
 
 /** A control node that may have duties. */
 export interface Candidate {
   name: string;
   region: string;
-  fitness: Fitness;
+  eligibility: Eligibility;
 }
 
 /** By what another control node said last. */
-export function fitnessOf(control: dialer.Control): Fitness {
-  if (dialer.isLeaving(control)) return LEAVING;
+export function eligibilityOf(control: dialer.Control): Eligibility {
+  if (dialer.isLeaving(control)) return DRAINING;
   return dialer.isConfirmed(control) ? CONFIRMED : UNCONFIRMED;
 }
 
 /** The fittest of all, by name; while nobody is confirmed, a side that is cut off still has its readers. */
-export function fittest(candidates: readonly Candidate[]): Candidate[] {
-  let best: Fitness = LEAVING;
-  for (const { fitness } of candidates) if (fitness > best) best = fitness;
+export function mostEligible(candidates: readonly Candidate[]): Candidate[] {
+  let best: Eligibility = DRAINING;
+  for (const { eligibility: fitness } of candidates) if (fitness > best) best = fitness;
   return candidates.filter(isBest).sort(byName);
   function isBest(candidate: Candidate): boolean {
-    return candidate.fitness === best;
+    return candidate.eligibility === best;
   }
 }
 
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -17,11 +17,11 @@
 import * as account from "./account.js";
 import * as voterManager from "./voters/voter-manager.js";
 import * as batches from "./batches/batches.js";
-import * as cells from "./platform/cells.js";
+import * as fleetObserver from "./platform/fleet-observer.js";
 import * as quorumContact from "./voters/quorum-contact.js";
 import * as registerReplica from "./register-replica.js";
 import * as voterDisk from "./voters/voter-disk.js";
-import * as duties from "./platform/duties.js";
+import * as singletonRole from "./platform/singleton-role.js";
 import * as endpoints from "./endpoints.js";
 import * as leaseServer from "./leases/lease-server.js";
 import * as sessionHandlers from "./members/session-handlers.js";
@@ -46,7 +46,7 @@
   private readonly feed: feeds.Feed;
   private readonly core: registerReplica.RegisterReplica;
   private readonly contact: quorumContact.QuorumContact;
-  private readonly cells: cells.Cells;
+  private readonly cells: fleetObserver.FleetObserver;
   private readonly leases: leaseServer.LeaseServer;
   private readonly voterManager: voterManager.VoterManager;
   private readonly tallies: ReturnType<typeof tallies.make>;
@@ -71,7 +71,7 @@
     this.core = new registerReplica.RegisterReplica(world, { life: this.life, address: this.address, first }, this.dial);
     this.leases = new leaseServer.LeaseServer(world, this.life, startup.bounds, this.core);
     this.contact = new quorumContact.QuorumContact(world, this.core, this.dial, this.leases.recordFenceReply.bind(this.leases));
-    this.cells = new cells.Cells(world, startup, this.dial, this.feed, this.core, this.members, this.fitness.bind(this));
+    this.cells = new fleetObserver.FleetObserver(world, startup, this.dial, this.feed, this.core, this.members, this.fitness.bind(this));
     this.voterManager = new voterManager.VoterManager(world, this.core, this.heldControls.bind(this));
     this.tallies = tallies.make({ ...this.parts(), settings: () => this.startup });
     this.batches = this.makeBatches(seeds);
@@ -102,7 +102,7 @@
     const controls = this.controls.bind(this);
     const splitter = new parts.Splitter();
     core.registerHandlers(handlers);
-    this.cells.register(handlers);
+    this.cells.registerHandlers(handlers);
     this.leases.registerHandlers(handlers, this.contact);
     sessionHandlers.registerHandlers({ handlers, members, dial, replica: core, contact, describe, controls, feedIncarnation: feed.place });
     dial.on("up", function met() {
@@ -184,9 +184,9 @@
     return this.contact.isConfirmed() ? this.members.routers() : this.members.ownRouters();
   }
 
-  private fitness(): duties.Fitness {
-    if (this.isLeaving) return duties.LEAVING;
-    return this.contact.isConfirmed() ? duties.CONFIRMED : duties.UNCONFIRMED;
+  private fitness(): singletonRole.Eligibility {
+    if (this.isLeaving) return singletonRole.DRAINING;
+    return this.contact.isConfirmed() ? singletonRole.CONFIRMED : singletonRole.UNCONFIRMED;
   }
 
   /** This control node and those it has links to. */
@@ -200,7 +200,7 @@
     this.members.expireSilent();
     this.core.runPeriodically();
     this.contact.runPeriodically();
-    this.cells.turn();
+    this.cells.runPeriodically();
     this.voterManager.runPeriodically();
     this.tallies.turn();
     this.batches?.turn();
@@ -215,7 +215,7 @@
   resettle(startup: settings.Settings): void {
     this.startup = startup;
     this.dial.know(settings.innerSeeds(startup));
-    this.cells.resettle(startup);
+    this.cells.applySettings(startup);
     this.leases.updateSettings(startup.bounds);
     log.state("settings: read again");
   }
--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -126,7 +126,7 @@
       const shared = this.prompt().slice(0, -1);
       this.known.note(runner.id, 0, prefillTracker.chainKeys(shared), this.world.now());
     }
-    this.fleet.takeReport({ region, reports });
+    this.fleet.applyReport({ region, reports });
     admission.applyReport({ region, reports });
   }
 
--- a/src/experiment/routers.ts
+++ b/src/experiment/routers.ts
@@ -86,7 +86,7 @@
   }
 
   private recordUse(): void {
-    for (const { program, regions } of this.hollows) for (const region of regions) program.usage.sent(region);
+    for (const { program, regions } of this.hollows) for (const region of regions) program.usage.recordSend(region);
   }
 
   private sample(): void {
--- a/src/hints/batch.ts
+++ b/src/hints/hint-batch.ts
@@ -11,7 +11,7 @@
 export const MAX_KEYS = 24;
 
 /** One frame: the marks of silent runners, and readings that were sent. */
-export interface SignFrame {
+export interface HintFrame {
   /** Marks of runners that fell silent while at work. */
   silent: number[];
   /** Long prompts sent to a runner: its mark, tokens to read, and keys of the parts. */
@@ -19,7 +19,7 @@
 }
 
 /** Signs until the next frame, bounded in entries and keys. */
-export class Batch {
+export class HintBatch {
   private readonly silent = new Set<number>();
   private readonly readings = new Map<number, schema.ReadingSign>();
 
@@ -29,13 +29,13 @@
   }
 
   /** A runner is silent. */
-  addSilent(mark: number): void {
+  addUnresponsive(mark: number): void {
     this.silent.add(mark);
     dropOldest(this.silent);
   }
 
   /** A prompt was sent to a runner; it is added to the runner's earlier ones. */
-  addReading(reading: schema.ReadingSign): void {
+  addPrefill(reading: schema.ReadingSign): void {
     const before = this.readings.get(reading.runner);
     const keys = new Set([...(before?.keys ?? []), ...reading.keys]);
     this.readings.set(reading.runner, {
@@ -47,7 +47,7 @@
   }
 
   /** All signs as one frame; the batch is empty afterwards. */
-  drain(): SignFrame {
+  drain(): HintFrame {
     const frame = { silent: [...this.silent], readings: [...this.readings.values()] };
     this.silent.clear();
     this.readings.clear();
@@ -64,6 +64,6 @@
 }
 
 /** Upper side of an entry's bytes in a frame: varints of a mark, tokens and keys, and the ends of its array. */
-export function bytesOf(reading: schema.ReadingSign): number {
+export function maxBytesOf(reading: schema.ReadingSign): number {
   return 10 + 5 * reading.keys.length;
 }
--- a/src/hints/sign-sender.ts
+++ b/src/hints/hint-exchange.ts
@@ -4,30 +4,30 @@
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
-import * as batch from "./batch.js";
-import type * as marks from "./marks.js";
+import * as hintBatch from "./hint-batch.js";
+import type * as runnerHash from "./runner-hash.js";
 import * as throttle from "./throttle.js";
 
 /** Keys of one reading that are told (*ours*). */
 const MAX_KEYS = 8;
 
 /** What takes the signs of other routers; the router's program is it. */
-export interface Hearer {
+export interface HintHandler {
   /** Others found these runners silent. */
-  suspected(ids: types.RunnerId[]): void;
+  onUnresponsive(ids: types.RunnerId[]): void;
   /** A prompt with so many unread tokens was sent to the runner by another router. */
-  read(runner: types.RunnerId, unread: number, keys: readonly number[]): void;
+  onPrefill(runner: types.RunnerId, unread: number, keys: readonly number[]): void;
 }
 
 /** Sends and takes the signs of one router. Runners whose mark is shared are left out. */
-export class SignSender {
-  private readonly batch = new batch.Batch();
+export class HintExchange {
+  private readonly batch = new hintBatch.HintBatch();
   private readonly throttle: throttle.Throttle;
 
   constructor(
     world: types.Clock,
-    private readonly marks: marks.Marks<types.RunnerId>,
-    private readonly handler: Hearer,
+    private readonly marks: runnerHash.RunnerHashes<types.RunnerId>,
+    private readonly handler: HintHandler,
     private readonly publish: (signs: schema.Signs) => void,
   ) {
     this.throttle = new throttle.Throttle(world, this.flush.bind(this));
@@ -36,40 +36,40 @@
   /** Hears signs from the links. */
   register(handlers: link.Handlers): void {
     handlers.on(calls.signs, (_from, told) => {
-      this.hear(told);
+      this.receive(told);
       return null;
     });
   }
 
   /** A reading sent from here; `keys` are those of its unread parts: the others were told when they were read. */
-  reading(runner: types.RunnerId, unread: number, keys: readonly number[]): void {
-    const mark = this.marks.markOf(runner);
+  publishPrefill(runner: types.RunnerId, unread: number, keys: readonly number[]): void {
+    const mark = this.marks.hashOf(runner);
     if (mark === null) return;
-    this.batch.addReading({ runner: mark, unread, keys: keys.slice(-MAX_KEYS) });
+    this.batch.addPrefill({ runner: mark, unread, keys: keys.slice(-MAX_KEYS) });
     this.throttle.request();
   }
 
   /** These runners fell silent while at work for this router. */
-  silence(runners: readonly types.RunnerId[]): void {
+  publishUnresponsive(runners: readonly types.RunnerId[]): void {
     for (const runner of runners) {
-      const mark = this.marks.markOf(runner);
-      if (mark !== null) this.batch.addSilent(mark);
+      const mark = this.marks.hashOf(runner);
+      if (mark !== null) this.batch.addUnresponsive(mark);
     }
     if (!this.batch.isEmpty) this.throttle.request();
   }
 
   /** Signs of other routers are here; unknown marks are counted and passed over. */
-  hear(signs: schema.Signs): void {
+  receive(signs: schema.Signs): void {
     const silent: types.RunnerId[] = [];
     for (const mark of signs.silent) {
       const id = this.marks.idOf(mark);
       if (id !== null) silent.push(id);
     }
-    if (silent.length > 0) this.handler.suspected(silent);
+    if (silent.length > 0) this.handler.onUnresponsive(silent);
     for (const reading of signs.readings) {
       const id = this.marks.idOf(reading.runner);
       if (id === null) log.count("signs.unknown");
-      else this.handler.read(id, reading.unread, reading.keys);
+      else this.handler.onPrefill(id, reading.unread, reading.keys);
     }
   }
 
--- a/src/hints/relay.ts
+++ b/src/hints/hint-relay.ts
@@ -7,8 +7,8 @@
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
-import * as batches from "./batch.js";
-import * as marks from "./marks.js";
+import * as hintBatch from "./hint-batch.js";
+import * as runnerHash from "./runner-hash.js";
 import * as throttle from "./throttle.js";
 
 /** What all routers of one control node are told of readings, bytes a second, and the bounds of one router's part (*ours*). */
@@ -19,26 +19,26 @@
 export const BURST_S = 3;
 
 /** The bytes a second that one of so many routers may be sent of readings. */
-export function bytesPerS(routers: number): number {
+export function routerBytesPerS(routers: number): number {
   return Math.max(MIN_BYTES_PER_S, Math.min(MAX_BYTES_PER_S, TOTAL_BYTES_PER_S / Math.max(1, routers)));
 }
 
 type Peer = Pick<link.Link, "tell" | "once">;
 
 /** Where signs can go; the control node's `Cells` is it. */
-export interface Targets {
+export interface RelayTargets {
   /** Links to the other control nodes. */
-  siblings(): Iterable<Peer>;
+  peers(): Iterable<Peer>;
   /** Own routers that follow the region's cell. */
-  followers(region: string): Iterable<Peer>;
+  followersOf(region: string): Iterable<Peer>;
   /** How many routers follow this control node. */
-  routers(): number;
+  routerCount(): number;
 }
 
 interface PendingSigns {
   from: Peer;
   isRelayed: boolean;
-  batch: batches.Batch;
+  batch: hintBatch.HintBatch;
 }
 
 interface TokenBucket {
@@ -50,8 +50,8 @@
  * Gathers signs and passes them on at most once a period. Signs of silence always go; readings within a token bucket
  * per router.
  */
-export class Relay {
-  private readonly marks = new marks.Marks<types.RunnerId>();
+export class HintRelay {
+  private readonly marks = new runnerHash.RunnerHashes<types.RunnerId>();
   private regions: ReadonlyMap<types.RunnerId, string> = new Map();
   private readonly pending = new Map<Peer, PendingSigns>();
   private readonly buckets = new Map<Peer, TokenBucket>();
@@ -59,32 +59,32 @@
 
   constructor(
     private readonly world: types.Clock,
-    private readonly targets: Targets,
+    private readonly targets: RelayTargets,
   ) {
     this.throttle = new throttle.Throttle(world, this.flush.bind(this));
   }
 
   /** The regions of the runners listed. */
-  takeList(regions: ReadonlyMap<types.RunnerId, string>): void {
+  setRegions(regions: ReadonlyMap<types.RunnerId, string>): void {
     this.regions = regions;
-    this.marks.takeList(regions.keys());
+    this.marks.replaceAll(regions.keys());
   }
 
   /** Signs came by this link, from a router or from another control node. */
-  hear(from: Peer, signs: schema.Signs): void {
+  receive(from: Peer, signs: schema.Signs): void {
     let pending = this.pending.get(from);
     if (!pending) {
-      pending = { from, isRelayed: signs.isRelayed, batch: new batches.Batch() };
+      pending = { from, isRelayed: signs.isRelayed, batch: new hintBatch.HintBatch() };
       this.pending.set(from, pending);
     }
-    for (const mark of signs.silent) pending.batch.addSilent(mark);
-    for (const reading of signs.readings) pending.batch.addReading(reading);
+    for (const mark of signs.silent) pending.batch.addUnresponsive(mark);
+    for (const reading of signs.readings) pending.batch.addPrefill(reading);
     this.throttle.request();
   }
 
   private flush(): void {
-    const toPeers = new batches.Batch();
-    const toRouters = new Map<Peer, batches.Batch>();
+    const toPeers = new hintBatch.HintBatch();
+    const toRouters = new Map<Peer, hintBatch.HintBatch>();
     for (const { from, isRelayed, batch } of this.pending.values()) {
       const frame = batch.drain();
       if (!isRelayed) fill(toPeers, frame);
@@ -93,32 +93,32 @@
     this.pending.clear();
     if (!toPeers.isEmpty) {
       const frame = { isRelayed: true, ...toPeers.drain() };
-      for (const peer of this.targets.siblings()) peer.tell(calls.signs, frame);
+      for (const peer of this.targets.peers()) peer.tell(calls.signs, frame);
     }
-    const perS = bytesPerS(this.targets.routers());
+    const perS = routerBytesPerS(this.targets.routerCount());
     for (const [router, batch] of toRouters) this.send(router, batch.drain(), perS);
   }
 
   /** Each sign to the followers of its runner's cell, but not to the one it came from. */
-  private distribute(from: Peer, frame: batches.SignFrame, toRouters: Map<Peer, batches.Batch>): void {
-    for (const mark of frame.silent) for (const batch of this.batchesFor(mark, from, toRouters)) batch.addSilent(mark);
+  private distribute(from: Peer, frame: hintBatch.HintFrame, toRouters: Map<Peer, hintBatch.HintBatch>): void {
+    for (const mark of frame.silent) for (const batch of this.batchesFor(mark, from, toRouters)) batch.addUnresponsive(mark);
     for (const reading of frame.readings) {
-      for (const batch of this.batchesFor(reading.runner, from, toRouters)) batch.addReading(reading);
+      for (const batch of this.batchesFor(reading.runner, from, toRouters)) batch.addPrefill(reading);
     }
   }
 
-  private batchesFor(mark: number, from: Peer, toRouters: Map<Peer, batches.Batch>): batches.Batch[] {
-    const found: batches.Batch[] = [];
+  private batchesFor(mark: number, from: Peer, toRouters: Map<Peer, hintBatch.HintBatch>): hintBatch.HintBatch[] {
+    const found: hintBatch.HintBatch[] = [];
     const region = this.regions.get(this.marks.idOf(mark) ?? types.small(""));
     if (region === undefined) {
       log.count("signs.unknown");
       return found;
     }
-    for (const router of this.targets.followers(region)) {
+    for (const router of this.targets.followersOf(region)) {
       if (router === from) continue;
       let batch = toRouters.get(router);
       if (!batch) {
-        batch = new batches.Batch();
+        batch = new hintBatch.HintBatch();
         toRouters.set(router, batch);
       }
       found.push(batch);
@@ -127,11 +127,11 @@
   }
 
   /** Silences always; of the readings the newest that the router's bytes allow. */
-  private send(router: Peer, frame: batches.SignFrame, perS: number): void {
+  private send(router: Peer, frame: hintBatch.HintFrame, perS: number): void {
     const bucket = this.bucketOf(router, perS);
     const readings: schema.ReadingSign[] = [];
     for (const reading of [...frame.readings].reverse()) {
-      const bytes = batches.bytesOf(reading);
+      const bytes = hintBatch.maxBytesOf(reading);
       if (bytes > bucket.bytes) break;
       bucket.bytes -= bytes;
       readings.push(reading);
@@ -166,7 +166,7 @@
   }
 }
 
-function fill(batch: batches.Batch, frame: batches.SignFrame): void {
-  for (const mark of frame.silent) batch.addSilent(mark);
-  for (const reading of frame.readings) batch.addReading(reading);
+function fill(batch: hintBatch.HintBatch, frame: hintBatch.HintFrame): void {
+  for (const mark of frame.silent) batch.addUnresponsive(mark);
+  for (const reading of frame.readings) batch.addPrefill(reading);
 }
--- a/src/hints/marks.ts
+++ b/src/hints/runner-hash.ts
@@ -3,19 +3,19 @@
 import * as shares from "../limits/shares.js";
 
 /** The mark of an id, a signed 32-bit number. */
-export function markOf(id: string): number {
+export function runnerHash(id: string): number {
   return shares.hash(id) | 0;
 }
 
 /** Ids by mark over the runners listed; rebuilt with each list. */
-export class Marks<Id extends string> {
+export class RunnerHashes<Id extends string> {
   private readonly ids = new Map<number, Id>();
   private readonly shared = new Set<number>();
 
-  constructor(private readonly hash: (id: string) => number = markOf) {}
+  constructor(private readonly hash: (id: string) => number = runnerHash) {}
 
   /** The runners that marks may name from now on. */
-  takeList(ids: Iterable<Id>): void {
+  replaceAll(ids: Iterable<Id>): void {
     this.ids.clear();
     this.shared.clear();
     for (const id of ids) {
@@ -33,7 +33,7 @@
   }
 
   /** Null when the mark would name another runner too. */
-  markOf(id: string): number | null {
+  hashOf(id: string): number | null {
     const mark = this.hash(id);
     return this.shared.has(mark) ? null : mark;
   }
--- a/src/load/publisher.ts
+++ b/src/load/load-publisher.ts
@@ -3,26 +3,26 @@
  * topics `cell:REGION`, and in short in the topic `summary`.
  */
 import * as feeds from "../feed/feed.js";
-import * as marks from "../hints/marks.js";
+import * as runnerHash from "../hints/runner-hash.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as regionReports from "./region-reports.js";
-import * as resolution from "./resolution.js";
-import * as summaries from "./summary.js";
+import * as reportResolution from "./report-resolution.js";
+import * as loadSummary from "./load-summary.js";
 
 /** Summaries are told together so often, if anything moved (*ours*). */
 const SUMMARY_MS = 1800;
 
 /** The key of a runner's item: its mark, or its id where the mark would name another too. */
-export function keyOf(known: marks.Marks<types.RunnerId>, id: types.RunnerId): string {
-  const mark = known.markOf(id);
+export function keyOf(known: runnerHash.RunnerHashes<types.RunnerId>, id: types.RunnerId): string {
+  const mark = known.hashOf(id);
   return mark === null ? `=${id}` : (mark >>> 0).toString(36);
 }
 
 /** Owned by the control node's `Cells`; it publishes by the feed and sends nothing itself. */
-export class Publisher {
+export class LoadPublisher {
   private readonly regionReports = new Map<string, regionReports.RegionReports>();
-  private readonly marks = new marks.Marks<types.RunnerId>();
+  private readonly marks = new runnerHash.RunnerHashes<types.RunnerId>();
   private instances: readonly schema.Instance[] = [];
   private regions: ReadonlyMap<types.RunnerId, string> = new Map();
   private readonly capacities = new Map<types.RunnerId, number>();
@@ -44,10 +44,10 @@
   }
 
   /** The list, and the regions of its runners. */
-  takeList(instances: readonly schema.Instance[], regions: ReadonlyMap<types.RunnerId, string>): void {
+  setInstances(instances: readonly schema.Instance[], regions: ReadonlyMap<types.RunnerId, string>): void {
     this.instances = instances;
     this.regions = regions;
-    this.marks.takeList(regions.keys());
+    this.marks.replaceAll(regions.keys());
     this.capacities.clear();
     for (const instance of instances) this.capacities.set(instance.id, instance.capacity);
     for (const known of this.regionReports.values()) {
@@ -59,17 +59,17 @@
   }
 
   /** Of the reports that this orchestrator has read, what is to be published. */
-  differ(region: string, reports: readonly schema.Report[]): schema.Report[] {
+  selectChanges(region: string, reports: readonly schema.Report[]): schema.Report[] {
     return this.reportsOf(region).changesIn(reports, this.capacities);
   }
 
   /** All reports of a region as published last. */
-  whole(region: string): schema.Report[] {
+  snapshot(region: string): schema.Report[] {
     return [...this.reportsOf(region).reports.values()];
   }
 
   /** Published by the orchestrator of the region, here or at another control node. */
-  take(report: schema.CellReport): void {
+  applyReport(report: schema.CellReport): void {
     const now = this.world.now();
     this.reportsOf(report.region).apply(report.reports, now);
     this.feed.amend(feeds.cellTopic(report.region), this.items(report.reports), types.small(now));
@@ -77,21 +77,21 @@
 
   private items(reports: readonly schema.Report[]): Map<string, Buffer> {
     const items = new Map<string, Buffer>();
-    for (const report of reports) items.set(keyOf(this.marks, report.id), resolution.bodyOf(report));
+    for (const report of reports) items.set(keyOf(this.marks, report.id), reportResolution.bodyOf(report));
     return items;
   }
 
   /** Called by the control node's timer: publishes the summaries when their period is over. */
-  turn(): void {
+  publishSummariesWhenDue(): void {
     const now = this.world.now();
     if (now - this.summarisedAt < SUMMARY_MS) return;
     this.summarisedAt = now;
     const current = new Map<string, schema.Summary>();
     for (const known of this.regionReports.values()) {
       const here = this.instances.filter(isHere.bind(null, this.regions, known.region));
-      for (const [service, summary] of summaries.summarise(known, here, now)) {
-        const key = summaries.keyOf(known.region, service);
-        current.set(key, summaries.withHysteresis(this.summaries.get(key), summary));
+      for (const [service, summary] of loadSummary.summarise(known, here, now)) {
+        const key = loadSummary.keyOf(known.region, service);
+        current.set(key, loadSummary.withHysteresis(this.summaries.get(key), summary));
       }
     }
     this.summaries.clear();
@@ -100,13 +100,13 @@
       this.summaries.set(key, summary);
       items.set(key, schema.summary.toBuffer(summary));
     }
-    this.feed.publish(summaries.SUMMARY_TOPIC, items, types.small(now));
+    this.feed.publish(loadSummary.SUMMARY_TOPIC, items, types.small(now));
   }
 
   /** All regions with their reports, for `status`. */
   status(): schema.CellReport[] {
     const reports: schema.CellReport[] = [];
-    for (const { region } of this.regionReports.values()) reports.push({ region, reports: this.whole(region) });
+    for (const { region } of this.regionReports.values()) reports.push({ region, reports: this.snapshot(region) });
     return reports;
   }
 }
--- a/src/load/reader.ts
+++ b/src/load/load-reader.ts
@@ -1,31 +1,31 @@
 /** The router's side of usage (design/usage 3, 4): which topics it follows, and what it takes from them. */
 import * as feeds from "../feed/feed.js";
 import type * as mirrors from "../feed/mirror.js";
-import * as marks from "../hints/marks.js";
+import * as runnerHash from "../hints/runner-hash.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
-import * as interest from "./interest.js";
-import * as publisher from "./publisher.js";
-import type * as reported from "./reported.js";
-import * as resolution from "./resolution.js";
-import * as summaries from "./summary.js";
+import * as regionInterest from "./region-interest.js";
+import * as loadPublisher from "./load-publisher.js";
+import type * as runnerLoad from "./runner-load.js";
+import * as reportResolution from "./report-resolution.js";
+import * as loadSummary from "./load-summary.js";
 
 /** A runner whose load is read. */
-export interface ReadRunner extends reported.Reported {
+export interface ReportedRunner extends runnerLoad.RunnerLoad {
   readonly id: types.RunnerId;
   readonly region: string;
   readonly instance: schema.Instance;
 }
 
 /** The runners that one router knows; its fleet is it. */
-export interface ReadFleet {
-  readonly summaries: summaries.Summaries;
+export interface ReportedFleet {
+  readonly summaries: loadSummary.LoadSummaries;
   /** Grows with each runner that comes or goes. */
   readonly listing: number;
-  all(): Iterable<ReadRunner>;
-  in(region: string): Iterable<ReadRunner>;
-  takeReport(report: schema.CellReport): void;
+  all(): Iterable<ReportedRunner>;
+  in(region: string): Iterable<ReportedRunner>;
+  applyReport(report: schema.CellReport): void;
 }
 
 /** What is left after a tenth of a second of stale reports: half a second halves it (*ours*). */
@@ -38,41 +38,41 @@
 }
 
 /** Keeps the load of the fleet's runners by what control nodes publish. Owned by the router's program. */
-export class Reader {
-  private readonly interest: interest.Interest;
+export class LoadReader {
+  private readonly interest: regionInterest.RegionInterest;
   private listVersion = 0;
   /** Estimates by summary are renewed when a summary, the list or what is followed has changed. */
   private isEstimateDue = true;
   /** The runners of the lists that this router follows. */
-  readonly marks = new marks.Marks<types.RunnerId>();
+  readonly runnerHashes = new runnerHash.RunnerHashes<types.RunnerId>();
   private idsByKey = new Map<string, types.RunnerId>();
   private readonly followed = new Map<string, FollowedRegion>();
 
   constructor(
     private readonly world: types.Clock,
-    private readonly fleet: ReadFleet,
+    private readonly fleet: ReportedFleet,
     ownRegion: string,
     private readonly onPeriod: (region: string) => void,
   ) {
-    this.interest = new interest.Interest(world, ownRegion);
+    this.interest = new regionInterest.RegionInterest(world, ownRegion);
   }
 
   /** A request went to a runner of the region. */
-  sent(region: string): void {
+  recordSend(region: string): void {
     this.interest.recordUse(region);
   }
 
   /** The topics to follow now: the summaries, and the cells of the regions of interest. */
   topics(): string[] {
-    for (const region of this.fleet.summaries.takeWanted()) this.interest.recordUse(region);
-    return [summaries.SUMMARY_TOPIC, ...this.interest.regions().map(feeds.cellTopic)];
+    for (const region of this.fleet.summaries.drainRequestedRegions()) this.interest.recordUse(region);
+    return [loadSummary.SUMMARY_TOPIC, ...this.interest.regions().map(feeds.cellTopic)];
   }
 
   /** Takes what the mirror has just applied of a topic. */
-  take(applied: mirrors.Applied): void {
-    if (applied.topic === summaries.SUMMARY_TOPIC) {
-      for (const [key, body] of applied.changed) this.fleet.summaries.take(key, body);
-      for (const key of applied.gone) this.fleet.summaries.take(key, null);
+  applyUpdate(applied: mirrors.Applied): void {
+    if (applied.topic === loadSummary.SUMMARY_TOPIC) {
+      for (const [key, body] of applied.changed) this.fleet.summaries.applyItem(key, body);
+      for (const key of applied.gone) this.fleet.summaries.applyItem(key, null);
       this.isEstimateDue = true;
       return;
     }
@@ -84,9 +84,9 @@
     const reports: schema.Report[] = [];
     for (const [key, body] of items) {
       const id = this.idsByKey.get(key);
-      if (id !== undefined) reports.push(resolution.reportOf(id, body));
+      if (id !== undefined) reports.push(reportResolution.reportOf(id, body));
     }
-    this.fleet.takeReport({ region, reports });
+    this.fleet.applyReport({ region, reports });
   }
 
   /** What was told of runners before they were listed counts from now on. */
@@ -95,16 +95,16 @@
     this.isEstimateDue = true;
     const ids: types.RunnerId[] = [];
     for (const { id } of this.fleet.all()) ids.push(id);
-    this.marks.takeList(ids);
+    this.runnerHashes.replaceAll(ids);
     this.idsByKey = new Map();
-    for (const id of ids) this.idsByKey.set(publisher.keyOf(this.marks, id), id);
+    for (const id of ids) this.idsByKey.set(loadPublisher.keyOf(this.runnerHashes, id), id);
     for (const region of this.interest.regions()) {
       if (!this.followed.get(region)?.isStale) this.takeItems(region, mirror.bodies(feeds.cellTopic(region)));
     }
   }
 
   /** Each period moves the stamp of a cell; one that stands still is stale, and its usage fades (design/usage 3.4). */
-  watch(mirror: mirrors.Mirror): void {
+  refresh(mirror: mirrors.Mirror): void {
     const now = this.world.now();
     if (this.listVersion !== this.fleet.listing) this.relist(mirror);
     const regions = new Set(this.interest.regions());
@@ -117,13 +117,13 @@
         followed.stamp = mirror.stamp(topic);
         followed.movedAt = now;
         if (followed.isStale) this.takeItems(region, mirror.bodies(topic));
-        for (const runner of this.fleet.in(region)) runner.rebase();
+        for (const runner of this.fleet.in(region)) runner.updateOthers();
         this.onPeriod(region);
       }
-      this.setStale(region, followed, now - followed.movedAt > summaries.STALE_MS);
+      this.setStale(region, followed, now - followed.movedAt > loadSummary.STALE_MS);
       if (followed.isStale) for (const runner of this.fleet.in(region)) runner.fade(FADE_FACTOR);
     }
-    this.fleet.summaries.detailed(regions);
+    this.fleet.summaries.setDetailedRegions(regions);
     if (this.isEstimateDue) for (const runner of this.fleet.all()) if (!regions.has(runner.region)) this.estimate(runner);
     this.isEstimateDue = false;
   }
@@ -137,12 +137,12 @@
   private unfollow(region: string): void {
     this.followed.delete(region);
     this.isEstimateDue = true;
-    for (const runner of this.fleet.in(region)) runner.forgetReport();
+    for (const runner of this.fleet.in(region)) runner.clearReport();
   }
 
   /** A runner of a region known by its summary has the mean usage. */
-  private estimate(runner: ReadRunner): void {
-    const summary = this.fleet.summaries.of(runner.region, runner.instance.service);
-    runner.others = summary ? Math.max(0, summaries.usageOf(summary, runner.instance.capacity) - runner.inflight) : 0;
+  private estimate(runner: ReportedRunner): void {
+    const summary = this.fleet.summaries.summaryOf(runner.region, runner.instance.service);
+    runner.others = summary ? Math.max(0, loadSummary.meanRequests(summary, runner.instance.capacity) - runner.inflight) : 0;
   }
 }
--- a/src/load/summary.ts
+++ b/src/load/load-summary.ts
@@ -73,36 +73,36 @@
 }
 
 /** The router's side: region and service -> summary. */
-export class Summaries {
+export class LoadSummaries {
   private readonly byKey = new Map<string, schema.Summary>();
   private detailedRegions: ReadonlySet<string> = new Set();
   private requestedRegions = new Set<string>();
 
   /** An item of the topic: its body, or null where it is gone. */
-  take(key: string, body: Buffer | null): void {
+  applyItem(key: string, body: Buffer | null): void {
     if (body) this.byKey.set(key, schema.summary.fromBuffer(body));
     else this.byKey.delete(key);
   }
 
   /** A request ranks runners of this region: a summary is not enough. */
-  want(region: string): void {
+  requestDetails(region: string): void {
     this.requestedRegions.add(region);
   }
 
   /** The regions asked for since the last call. */
-  takeWanted(): ReadonlySet<string> {
+  drainRequestedRegions(): ReadonlySet<string> {
     const { requestedRegions } = this;
     if (requestedRegions.size > 0) this.requestedRegions = new Set();
     return requestedRegions;
   }
 
   /** Of these regions more is known than a summary says. */
-  detailed(regions: ReadonlySet<string>): void {
+  setDetailedRegions(regions: ReadonlySet<string>): void {
     this.detailedRegions = regions;
   }
 
   /** Null when nothing fresh is known, or more is known by reports. */
-  of(region: string, service: string): schema.Summary | null {
+  summaryOf(region: string, service: string): schema.Summary | null {
     if (this.detailedRegions.has(region)) return null;
     const found = this.byKey.get(keyOf(region, service));
     return found?.isFresh ? found : null;
@@ -110,6 +110,6 @@
 }
 
 /** Mean requests a runner of this capacity has at a summary's usage. */
-export function usageOf(summary: schema.Summary, capacity: number): number {
+export function meanRequests(summary: schema.Summary, capacity: number): number {
   return (summary.usage / STEPS) * capacity;
 }
--- a/src/load/interest.ts
+++ b/src/load/region-interest.ts
@@ -5,7 +5,7 @@
 export const RETENTION_MS = 10_000;
 
 /** The regions that one router is interested in. */
-export class Interest {
+export class RegionInterest {
   private readonly lastUsedAt = new Map<string, types.SteadyMs>();
 
   constructor(
--- a/src/load/region-reports.ts
+++ b/src/load/region-reports.ts
@@ -5,8 +5,8 @@
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
-import * as marks from "../hints/marks.js";
-import * as resolution from "./resolution.js";
+import * as runnerHash from "../hints/runner-hash.js";
+import * as reportResolution from "./report-resolution.js";
 
 /** Each period this part of the runners is told again, moved or not, so that lost knowledge heals (*ours*). */
 export const REFRESH_PARTS = 16;
@@ -42,9 +42,9 @@
     const refreshed: schema.Report[] = [];
     for (const report of reports) {
       const published = this.reports.get(report.id);
-      const deviation = published ? resolution.deviation(published, report, capacities.get(report.id) ?? 1) : Infinity;
+      const deviation = published ? reportResolution.deviation(published, report, capacities.get(report.id) ?? 1) : Infinity;
       if (deviation >= 1) changed.push({ report, deviation });
-      else if (published && (marks.markOf(report.id) >>> 0) % REFRESH_PARTS === this.refreshSlot) refreshed.push(published);
+      else if (published && (runnerHash.runnerHash(report.id) >>> 0) % REFRESH_PARTS === this.refreshSlot) refreshed.push(published);
     }
     changed.sort(byDeviation);
     let limit = changed.findIndex(isMeasured);
@@ -74,5 +74,5 @@
 }
 
 function reportOf(moved: ChangedReport): schema.Report {
-  return resolution.rounded(moved.report);
+  return reportResolution.quantized(moved.report);
 }
--- a/src/load/resolution.ts
+++ b/src/load/report-resolution.ts
@@ -30,7 +30,7 @@
 }
 
 /** The report as it travels and as every side holds it: kept tokens in steps of the capacity. */
-export function rounded(report: schema.Report): schema.Report {
+export function quantized(report: schema.Report): schema.Report {
   return { ...report, kvUsed: Math.round((stepOf(report) / KV_STEPS) * report.kvCapacity) };
 }
 
--- a/src/load/reported.ts
+++ b/src/load/runner-load.ts
@@ -4,9 +4,9 @@
 import type * as schema from "../wire/schema.js";
 
 /** Base of the router's `Runner`: requests and tokens at one runner. */
-export class Reported {
+export class RunnerLoad {
   /** False: the last reading of it failed. */
-  isSpeaking = true;
+  isReporting = true;
   /** As told last; requests and tokens. They fade while the reports of the region are stale. */
   active = 0;
   waiting = 0;
@@ -17,29 +17,29 @@
   others = 0;
 
   /** Requests there, from all routers. */
-  usage(): number {
+  requestCount(): number {
     return this.inflight + this.others;
   }
 
   /** Tokens held over the capacity, 0 to 1; 0 where it is unknown. */
-  get kvShare(): number {
+  get kvUsedFraction(): number {
     return this.kvCapacity > 0 ? this.kvUsed / this.kvCapacity : 0;
   }
 
   /** Takes a published report. */
-  takeReport(report: schema.Report): void {
-    this.isSpeaking = report.isSpeaking;
+  applyReport(report: schema.Report): void {
+    this.isReporting = report.isSpeaking;
     if (!report.isSpeaking) return;
     this.active = report.active;
     this.waiting = report.waiting;
     this.kvUsed = report.kvUsed;
     this.kvCapacity = report.kvCapacity;
-    this.rebase();
+    this.updateOthers();
   }
 
   /** What it has from others is what was told less what it has from here. */
-  rebase(): void {
-    if (this.isSpeaking) this.others = Math.max(0, this.active + this.waiting - this.inflight);
+  updateOthers(): void {
+    if (this.isReporting) this.others = Math.max(0, this.active + this.waiting - this.inflight);
   }
 
   /** Nothing new was published: what it has from others counts less and less, by this factor. */
@@ -51,8 +51,8 @@
   }
 
   /** The region is no longer followed. */
-  forgetReport(): void {
+  clearReport(): void {
     this.fade(0);
-    this.isSpeaking = true;
+    this.isReporting = true;
   }
 }
--- a/src/router/policies/cell-policy.ts
+++ b/src/router/policies/cell-policy.ts
@@ -1,7 +1,7 @@
 // Cell selection (design 7.3): deterministic by the key of the kept prompt where reading it again is dear,
 // else priority order: the own region, then the others in one fixed order.
 import * as shares from "../../limits/shares.js";
-import * as summary from "../../load/summary.js";
+import * as loadSummary from "../../load/load-summary.js";
 import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
 import * as routePlan from "../../routing/route-plan.js";
 import * as zoneRotation from "../../runners/zone-rotation.js";
@@ -69,13 +69,13 @@
   private readonly states = new Map<string, CellState>();
   constructor(
     private readonly ownRegion: string,
-    private readonly known = new summary.Summaries(),
+    private readonly known = new loadSummary.LoadSummaries(),
   ) {}
 
   apply(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const counts = countCells(plan.candidates, plan.now);
     for (const [region, cell] of counts) {
-      const summary = this.known.of(region, plan.service);
+      const summary = this.known.summaryOf(region, plan.service);
       if (summary) cell.good = Math.min(cell.good, Math.round((cell.all * summary.good) / Math.max(1, summary.total)));
     }
     const order = plan.sharedTokens >= DETERMINISTIC_TOKENS ? this.byKey(plan, counts) : this.byPriority(counts);
@@ -85,7 +85,8 @@
       return !available.includes(region);
     }
     plan.cells = [...available, ...rest];
-    if (plan.sharedTokens >= DETERMINISTIC_TOKENS) for (const region of plan.cells.slice(0, RANKED_CELLS)) this.known.want(region);
+    if (plan.sharedTokens >= DETERMINISTIC_TOKENS)
+      for (const region of plan.cells.slice(0, RANKED_CELLS)) this.known.requestDetails(region);
     return null;
   }
 
--- a/src/router/policies/runner-policy.ts
+++ b/src/router/policies/runner-policy.ts
@@ -62,7 +62,7 @@
       let ms =
         runnerHealth.penaltyMs(runner, plan.now, plan.entry.isRepeatable) +
         place * NEXT_CELL_MS +
-        (BATCH_MS * runner.usage()) / runner.instance.capacity;
+        (BATCH_MS * runner.requestCount()) / runner.instance.capacity;
       if (hasPrompt) {
         const unread = known.unread(runner.id, plan.parts, plan.keys);
         ms += known.backlogMs(runner.id, plan.now) + (READ_WEIGHT * unread) / known.rate + RANK_MS * (ranks?.get(runner) ?? MAX_RANK);
@@ -83,13 +83,13 @@
 /** No runner takes much more than its cell's mean, so that one hot key does not fill it. */
 function boundOf(cell: readonly runnerEndpoint.RunnerEndpoint[]): number {
   let sum = 0;
-  for (const runner of cell) sum += runner.usage();
+  for (const runner of cell) sum += runner.requestCount();
   return OVER_MEAN * (sum / Math.max(1, cell.length)) + SLACK;
 }
 
 function isOver(runner: runnerEndpoint.RunnerEndpoint, bound: number, now: number): boolean {
-  const usage = runner.usage();
-  return usage >= runner.instance.capacity || usage > bound || now < runner.fullUntil || runner.kvShare > FULL_MEMORY;
+  const usage = runner.requestCount();
+  return usage >= runner.instance.capacity || usage > bound || now < runner.fullUntil || runner.kvUsedFraction > FULL_MEMORY;
 }
 
 /** The first places of the key's order; all others are alike. The key is hashed once, not for each runner. */
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -15,7 +15,7 @@
 import type * as mirrors from "../feed/mirror.js";
 import * as shares from "../limits/shares.js";
 import * as tree from "../supervisor/tree.js";
-import * as reader from "../load/reader.js";
+import * as loadReader from "../load/load-reader.js";
 import * as routerStatus from "./router-status.js";
 import * as routerBatches from "./router-batches.js";
 import * as runnerPicker from "./runner-picker.js";
@@ -49,7 +49,7 @@
   private readonly config = new parts.ConfigParts();
   private readonly borrower: limitBorrower.LimitBorrower;
   private readonly known = new prefillTracker.PrefillTracker();
-  readonly usage: reader.Reader;
+  readonly usage: loadReader.LoadReader;
   private readonly prompts: prefillSharing.PrefillSharing;
   private readonly chooser: runnerPicker.RunnerPicker;
   private readonly server: routerServer.RouterServer;
@@ -66,7 +66,7 @@
     this.rotation = new zoneRotation.ZoneRotation(clock);
     this.share = new shares.Shares(clock, startup.bounds);
     this.chooser = new runnerPicker.RunnerPicker(clock, this.fleet, this.rotation, this.share, startup.region, this.known);
-    this.usage = new reader.Reader(clock, this.fleet, startup.region, this.reported.bind(this));
+    this.usage = new loadReader.LoadReader(clock, this.fleet, startup.region, this.reported.bind(this));
     this.prompts = new prefillSharing.PrefillSharing(clock, this.fleet, this.known, this.usage, this.tellSigns.bind(this));
     const sending = this.prompts.sending.bind(this.prompts);
     const selector = new sessionSelector.SessionSelector(clock, { name: startup.node_name, region: startup.region });
@@ -138,7 +138,7 @@
     this.dial.turn();
     this.follower.elect();
     this.follower.narrow();
-    this.usage.watch(this.follower.mirror);
+    this.usage.refresh(this.follower.mirror);
     const dealer = this.follower.main;
     if (dealer?.beat && this.clock.now() - dealer.beatAt < link.BEAT_MS * 3) this.share.deal(dealer.beat.members);
     this.borrower.turn();
@@ -146,7 +146,7 @@
     this.fleet.cohorts.routers = this.share.routers;
     this.server.watch();
     this.fleet.sweep();
-    this.prompts.signSender.silence(this.fleet.newSuspects());
+    this.prompts.signSender.publishUnresponsive(this.fleet.newSuspects());
     this.cutRegions();
   }
 
@@ -166,7 +166,7 @@
   take(applied: mirrors.Applied): void {
     if (applied.topic === feeds.REGISTER_TOPIC) this.takeRegister(applied);
     else if (feeds.isListTopic(applied.topic)) this.takeList(applied);
-    else this.usage.take(applied);
+    else this.usage.applyUpdate(applied);
   }
 
   leave(topic: string, keys: readonly string[]): void {
--- a/src/router/runner-picker.ts
+++ b/src/router/runner-picker.ts
@@ -77,7 +77,7 @@
     const { target_gap_ms: gap, target_latency_ms: aim } = entry.route;
     const usual = isPassing ? (gap ?? 1000) * PATIENT_GAPS : (aim ?? 1000) * PATIENT_AIMS;
     // A runner that speaks to others is at work; one that is silent to all is not worth the wait.
-    if (runner.quietMs(now) < usual && runner.isSpeaking) return Math.max(2 * usual, 1500);
+    if (runner.quietMs(now) < usual && runner.isReporting) return Math.max(2 * usual, 1500);
     return Math.max(MIN_PATIENCE_MS, usual);
   }
 
--- a/src/runners/runner-endpoint.ts
+++ b/src/runners/runner-endpoint.ts
@@ -3,7 +3,7 @@
 import * as types from "../wire/types.js";
 import * as shares from "../limits/shares.js";
 import * as log from "../runtime/log.js";
-import * as reported from "../load/reported.js";
+import * as runnerLoad from "../load/runner-load.js";
 import * as connectionPool from "./connection-pool.js";
 import * as idleTimeout from "./idle-timeout.js";
 import * as outlierDetection from "./outlier-detection.js";
@@ -22,7 +22,7 @@
 const READING_SLACK_MS = 200;
 
 /** One life of a runner. */
-export class RunnerEndpoint extends reported.Reported {
+export class RunnerEndpoint extends runnerLoad.RunnerLoad {
   status: EndpointStatus = "ready";
   coldUntil = 0;
   leavesAt = Infinity;
@@ -68,7 +68,7 @@
 
   /** Readings that are known to be ahead there explain a pause; so does a batch that is nearly full. */
   isLoaded(now: number): boolean {
-    return this.usage() >= LOADED_SHARE * this.instance.capacity || now < this.readingUntil + READING_SLACK_MS;
+    return this.requestCount() >= LOADED_SHARE * this.instance.capacity || now < this.readingUntil + READING_SLACK_MS;
   }
 
   /** A reading is sent there, from here or elsewhere, that takes so long. */
@@ -85,7 +85,7 @@
 
   /** Packets may pass one way only: where reports are good, a silent way is a matter of this router alone. */
   sign(sign: failureKind.FailureKind, now: number): void {
-    this.outcomes.sign(sign, now, this.isLoaded(now), sign === "unreached" && this.isSpeaking);
+    this.outcomes.sign(sign, now, this.isLoaded(now), sign === "unreached" && this.isReporting);
   }
 
   awaitFirstByte(send: object, overdueAt: number): void {
@@ -125,13 +125,13 @@
   }
 
   reported(report: schema.Report, now: number): void {
-    if (this.isSpeaking && !report.isSpeaking) this.unreportedAt = now;
-    this.takeReport(report);
+    if (this.isReporting && !report.isSpeaking) this.unreportedAt = now;
+    this.applyReport(report);
   }
 
   /** A report that stays out is one sign: a reply that came well since then outweighs it. */
   isUnproved(now: number): boolean {
-    return !this.isSpeaking && this.outcomes.succeededAt <= this.unreportedAt && now - this.receivedAt > QUIET_STREAM_MS;
+    return !this.isReporting && this.outcomes.succeededAt <= this.unreportedAt && now - this.receivedAt > QUIET_STREAM_MS;
   }
 
   isSuspect(now: number): boolean {
@@ -158,7 +158,16 @@
   account(now: number): unknown {
     const { id, status, inflight } = this;
     const { service, zone } = this.instance;
-    return { id, service, zone, status, inflight, usage: this.usage(), state: this.outcomes.state(now), rates: this.outcomes.rates(now) };
+    return {
+      id,
+      service,
+      zone,
+      status,
+      inflight,
+      usage: this.requestCount(),
+      state: this.outcomes.state(now),
+      rates: this.outcomes.rates(now),
+    };
   }
 }
 
--- a/src/runners/runner-fleet.ts
+++ b/src/runners/runner-fleet.ts
@@ -1,7 +1,7 @@
 // The runners as this router sees them: the pushed list and reports, and its own signs (design 7.4).
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as summary from "../load/summary.js";
+import * as loadSummary from "../load/load-summary.js";
 import * as peerGroup from "./peer-group.js";
 import * as connectionPool from "./connection-pool.js";
 import * as runnerTombstones from "./runner-tombstones.js";
@@ -14,7 +14,7 @@
   private readonly gone = new runnerTombstones.RunnerTombstones();
   private readonly byService = new Map<string, runnerEndpoint.RunnerEndpoint[]>();
   private readonly byRegion = new Map<string, Set<runnerEndpoint.RunnerEndpoint>>();
-  readonly summaries = new summary.Summaries();
+  readonly summaries = new loadSummary.LoadSummaries();
   /** Grows with each runner that comes or goes. */
   listing = 0;
   private readonly limits: idleTimeout.IdleTimeouts;
@@ -120,7 +120,7 @@
     return isNew;
   }
 
-  takeReport(report: schema.CellReport): void {
+  applyReport(report: schema.CellReport): void {
     for (const item of report.reports) this.runners.get(item.id)?.reported(item, this.world.now());
   }
 
@@ -128,7 +128,7 @@
   reportsOf(region: string): schema.Report[] {
     const reports: schema.Report[] = [];
     for (const runner of this.in(region)) {
-      const { id, isSpeaking, waiting, active, kvUsed, kvCapacity } = runner;
+      const { id, isReporting: isSpeaking, waiting, active, kvUsed, kvCapacity } = runner;
       if (isSpeaking && kvCapacity > 0) reports.push({ id, isSpeaking, waiting, active, kvUsed, kvCapacity });
     }
     return reports;
--- a/src/runners/runner-health.ts
+++ b/src/runners/runner-health.ts
@@ -25,5 +25,5 @@
 
 /** Milliseconds that a choice pays for doubt. */
 export function penaltyMs(runner: runnerEndpoint.RunnerEndpoint, now: number, isRepeatable: boolean): number {
-  return runner.outcomes.penaltyMs(now, isRepeatable) + (runner.isSpeaking ? 0 : UNREPORTED_MS);
+  return runner.outcomes.penaltyMs(now, isRepeatable) + (runner.isReporting ? 0 : UNREPORTED_MS);
 }
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -87,7 +87,7 @@
         return runner.region === region.name;
       }
       for (const router of this.routers) {
-        router.fleet.takeReport({ region: region.name, reports });
+        router.fleet.applyReport({ region: region.name, reports });
         router.chooser.admission.applyReport({ region: region.name, reports });
       }
     }
--- a/tests/admission-judge.test.ts
+++ b/tests/admission-judge.test.ts
@@ -94,7 +94,7 @@
       kvUsed: 0,
       kvCapacity: 100_000,
     }));
-    this.fleet.takeReport({ region: "r", reports });
+    this.fleet.applyReport({ region: "r", reports });
     this.admission.applyReport({ region: "r", reports });
   }
 
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -95,7 +95,7 @@
           kvCapacity: 10_000,
         })),
       };
-      fleet.takeReport(report);
+      fleet.applyReport(report);
       admission.applyReport(report);
     },
   };
--- a/tests/choice.test.ts
+++ b/tests/choice.test.ts
@@ -30,7 +30,7 @@
   const ranked = [...cell].sort((left, right) => shares.hash(`${key}|${right.id}`) - shares.hash(`${key}|${left.id}`));
   const found = new Map<runnerEndpoint.RunnerEndpoint, number>();
   for (const [rank, runner] of ranked.entries()) {
-    let ms = place * 100 + (400 * runner.usage()) / runner.instance.capacity;
+    let ms = place * 100 + (400 * runner.requestCount()) / runner.instance.capacity;
     if (plan.parts.length > 0) {
       const unread = known.unread(runner.id, plan.parts, plan.keys);
       ms += known.backlogMs(runner.id, plan.now) + (2 * unread) / known.rate + 70 * Math.min(rank, 3);
--- a/tests/contact.test.ts
+++ b/tests/contact.test.ts
@@ -1,6 +1,6 @@
 // A control node that is cut off (design/hardening/1-cut-off): it hands out nothing as confirmed, and hinders nobody.
 import * as confirmations from "../src/register/confirmation.js";
-import * as duties from "../src/control/platform/duties.js";
+import * as singletonRole from "../src/control/platform/singleton-role.js";
 import type * as serve from "../src/wire/serve.js";
 import * as serveGate from "../src/router/serve-gate.js";
 import * as members from "./sim/members.js";
@@ -88,7 +88,7 @@
   expect(ms).toBeLessThanOrEqual(20);
   await systems.take(system, "b", "z0");
   // b reads the list for all now: a says that it is not confirmed.
-  expect(b.fitness(a)).toBe(duties.UNCONFIRMED);
+  expect(b.fitness(a)).toBe(singletonRole.UNCONFIRMED);
 });
 
 test("a process that was cut off from its start knows nobody to send operators to, and says so", async () => {
--- a/tests/deal.test.ts
+++ b/tests/deal.test.ts
@@ -1,12 +1,12 @@
 // Which control node reads which region's reports (design 4.5).
-import * as deal from "../src/control/platform/deal.js";
+import * as assignment from "../src/control/platform/assignment.js";
 
-function nodes(...regions: string[]): deal.Reader[] {
+function nodes(...regions: string[]): assignment.ReportReader[] {
   return regions.map((region, index) => ({ name: `c${index + 1}`, region }));
 }
 
-function firsts(readers: deal.Reader[], weights: Map<string, number>): Map<string, string> {
-  return new Map([...weights.keys()].map((region) => [region, deal.readersOf(region, readers, weights)[0].name]));
+function firsts(readers: assignment.ReportReader[], weights: Map<string, number>): Map<string, string> {
+  return new Map([...weights.keys()].map((region) => [region, assignment.assignReaders(region, readers, weights)[0].name]));
 }
 
 test.each([
@@ -14,8 +14,8 @@
   ["of two of its own the first by name, the other stands in before strangers", nodes("a", "b", "b"), "b", ["c2", "c3"]],
   ["a region that no weight names has its order too", nodes("a", "b"), "z", []],
 ] as const)("%s", (_name, readers, region, first) => {
-  const order = deal
-    .readersOf(
+  const order = assignment
+    .assignReaders(
       region,
       readers,
       new Map([
@@ -45,8 +45,8 @@
 test("every region has exactly one first, whatever the order in which nodes are known", () => {
   const shuffled = [...READERS].reverse();
   for (const region of WEIGHTS.keys()) {
-    expect(deal.readersOf(region, shuffled, WEIGHTS).map((reader) => reader.name)).toEqual(
-      deal.readersOf(region, READERS, WEIGHTS).map((reader) => reader.name),
+    expect(assignment.assignReaders(region, shuffled, WEIGHTS).map((reader) => reader.name)).toEqual(
+      assignment.assignReaders(region, READERS, WEIGHTS).map((reader) => reader.name),
     );
   }
 });
@@ -65,5 +65,5 @@
 });
 
 test("without any other node known the own one reads all", () => {
-  expect(deal.readersOf("x", nodes("a"), WEIGHTS).map((reader) => reader.name)).toEqual(["c1"]);
+  expect(assignment.assignReaders("x", nodes("a"), WEIGHTS).map((reader) => reader.name)).toEqual(["c1"]);
 });
--- a/tests/experiment-run.test.ts
+++ b/tests/experiment-run.test.ts
@@ -9,7 +9,7 @@
 import * as layout from "../src/experiment/layout.js";
 import * as run from "../src/experiment/run.js";
 import * as settings from "../src/settings/settings.js";
-import * as reader from "../src/load/reader.js";
+import * as loadReader from "../src/load/load-reader.js";
 import * as counts from "../src/wire/counts.js";
 import { options } from "./sim/experiment.js";
 
@@ -57,7 +57,7 @@
   const launcher = new LocalLauncher();
   const small = options({ routers: 2, runners: 4, routes: 3, tenants: 2, controls: 1, changesPerS: 3, seconds: 1, loseControl: true });
   const steps: string[] = [];
-  const used = jest.spyOn(reader.Reader.prototype, "sent");
+  const used = jest.spyOn(loadReader.LoadReader.prototype, "recordSend");
   const outcome = await new run.Run(launcher.world, launcher, small, folder, (step) => steps.push(step), "small").play();
   fs.rmSync(folder, { recursive: true });
   expect(new Set(used.mock.calls.map(([region]) => region))).toEqual(new Set(["region-1", "region-2", "region-3"]));
--- a/tests/leaving.test.ts
+++ b/tests/leaving.test.ts
@@ -1,5 +1,5 @@
 // A control node that leaves in order, and who takes its duties (design/hardening/1-cut-off).
-import * as duties from "../src/control/platform/duties.js";
+import * as singletonRole from "../src/control/platform/singleton-role.js";
 import * as calls from "../src/wire/calls.js";
 import type * as leaseSchema from "../src/wire/lease-schema.js";
 import type * as members from "./sim/members.js";
@@ -15,12 +15,12 @@
   const system = await systems.start();
   const { clock } = system;
   const [a, b] = [systems.get(system, "a"), systems.get(system, "b")];
-  expect(b.fitness(a)).toBe(duties.CONFIRMED);
+  expect(b.fitness(a)).toBe(singletonRole.CONFIRMED);
   expect(isGranting(a)).toBe(true);
   a.leave();
   expect([isGranting(a), isGranting(b)]).toEqual([false, true]);
   await clock.play(20);
-  expect(b.fitness(a)).toBe(duties.LEAVING);
+  expect(b.fitness(a)).toBe(singletonRole.DRAINING);
   expect((await systems.answered(system, a.evacuate("z0"))).told.status).toBe(307);
   await clock.play(130);
   expect(["b", "c"]).toContain(systems.router(system, "ra").main);
@@ -30,17 +30,17 @@
   expect([told.status, ms < 100]).toEqual([200, true]); // a's vote is one of the two
 });
 
-test("duties go to confirmed nodes by name, then to those cut off, and last to one that leaves", () => {
-  const { LEAVING, UNCONFIRMED, CONFIRMED } = duties;
-  function order(...fitness: duties.Fitness[]): string[] {
-    const all = fitness.map((item, index) => ({ name: "abc"[index], region: "", fitness: item }));
-    return duties.fittest(all).map((item) => item.name);
+test("singleton roles go to confirmed nodes by name, then to those without a majority, and last to one that is draining", () => {
+  const { DRAINING, UNCONFIRMED, CONFIRMED } = singletonRole;
+  function order(...eligibilities: singletonRole.Eligibility[]): string[] {
+    const all = eligibilities.map((eligibility, index) => ({ name: "abc"[index], region: "", eligibility }));
+    return singletonRole.mostEligible(all).map((item) => item.name);
   }
   expect(order(CONFIRMED, CONFIRMED, CONFIRMED)).toEqual(["a", "b", "c"]);
   expect(order(UNCONFIRMED, CONFIRMED, CONFIRMED)).toEqual(["b", "c"]);
-  expect(order(LEAVING, CONFIRMED, UNCONFIRMED)).toEqual(["b"]);
-  expect(order(LEAVING, UNCONFIRMED, UNCONFIRMED)).toEqual(["b", "c"]);
-  expect(order(LEAVING, LEAVING)).toEqual(["a", "b"]);
-  expect(duties.rankOf("b", [{ name: "a" }, { name: "b" }])).toBe(1);
-  expect(duties.rankOf("c", [{ name: "a" }, { name: "b" }])).toBe(2);
+  expect(order(DRAINING, CONFIRMED, UNCONFIRMED)).toEqual(["b"]);
+  expect(order(DRAINING, UNCONFIRMED, UNCONFIRMED)).toEqual(["b", "c"]);
+  expect(order(DRAINING, DRAINING)).toEqual(["a", "b"]);
+  expect(singletonRole.rankOf("b", [{ name: "a" }, { name: "b" }])).toBe(1);
+  expect(singletonRole.rankOf("c", [{ name: "a" }, { name: "b" }])).toBe(2);
 });
--- a/tests/lists.test.ts
+++ b/tests/lists.test.ts
@@ -1,5 +1,5 @@
 // The platform's list in regions: what is news, and who is told (design/parts 6).
-import * as list from "../src/control/platform/list.js";
+import * as endpointList from "../src/control/platform/endpoint-list.js";
 import * as feeds from "../src/feed/feed.js";
 import * as keyed from "../src/feed/keyed.js";
 import type * as link from "../src/wire/link.js";
@@ -30,9 +30,9 @@
 ];
 
 test.each(NEWS)("%s of the list is news or not", (_name, more, passedMs, isNews) => {
-  const items = new list.InstanceItems();
-  items.read([INSTANCE], types.small(0));
-  const plan = items.read([{ ...INSTANCE, ...more }], types.small(passedMs));
+  const items = new endpointList.EndpointList();
+  items.replaceAll([INSTANCE], types.small(0));
+  const plan = items.replaceAll([{ ...INSTANCE, ...more }], types.small(passedMs));
   expect(keyed.isEmpty(plan)).toBe(!isNews);
 });
 
@@ -45,12 +45,12 @@
     ["y", "q"],
     ["x", "o"],
   ]);
-  const byRegion = new list.RegionLists(regions, feed);
+  const byRegion = new endpointList.RegionalEndpoints(regions, feed);
   const topics = ["r", "q", "o", feeds.NO_REGION].map(feeds.listTopic);
   feed.follow(fake, { place: "", topics: topics.map((topic) => ({ topic, mode: "items", from: 0, digest: types.small("") })) });
-  const items = new list.InstanceItems();
+  const items = new endpointList.EndpointList();
   function read(list: schema.Instance[]): [string, string[]][] {
-    byRegion.take(items.read(list, types.small(0)), types.small(0));
+    byRegion.applyChange(items.replaceAll(list, types.small(0)), types.small(0));
     return told.splice(0).map((change) => [change.topic, watch.keysOf(change)]);
   }
   const other = { ...INSTANCE, id: types.small<types.RunnerId>("i-2"), zone: "nowhere" };
@@ -65,7 +65,7 @@
     ["list:r", ["i-1"]],
     ["list:q", ["i-1"]],
   ]);
-  expect([...byRegion.of("q")].map((item) => item.id)).toEqual(["i-1"]);
+  expect([...byRegion.instancesOf("q")].map((item) => item.id)).toEqual(["i-1"]);
   expect(read([])).toEqual([
     ["list:q", ["i-1"]],
     ["list:", ["i-2"]],
--- a/tests/orchestrator.test.ts
+++ b/tests/orchestrator.test.ts
@@ -1,5 +1,5 @@
 // Who reads the reports of a region, and who takes over (design 4.5).
-import * as orchestrators from "../src/control/platform/orchestrator.js";
+import * as regionOrchestrator from "../src/control/platform/region-orchestrator.js";
 import * as runners from "../src/emulator/runner.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
@@ -23,13 +23,13 @@
   const clock = new watch.MixedWorld(1);
   const seen: schema.CellReport[] = [];
   const view = {
-    reporting: () => [instance, gone],
-    rank: () => 0,
-    differ: (_region: string, reports: readonly schema.Report[]) => [...reports],
+    reportingRunners: () => [instance, gone],
+    rankIn: () => 0,
+    selectChanges: (_region: string, reports: readonly schema.Report[]) => [...reports],
   };
-  const orchestrator = new orchestrators.Orchestrator(clock, ["r"], view, watch.dialTo([]), (report) => seen.push(report));
+  const orchestrator = new regionOrchestrator.RegionOrchestrator(clock, ["r"], view, watch.dialTo([]), (report) => seen.push(report));
   clock.skip(1000);
-  orchestrator.turn();
+  orchestrator.pollDueRegions();
   await watch.until(() => seen.length === 1);
   expect(seen[0].reports.map((report) => [report.id, report.isSpeaking])).toEqual([
     ["i-1", true],
@@ -43,25 +43,25 @@
   const clock = new sim.SimWorld(1);
   let polls = 0;
   const view = {
-    reporting: () => {
+    reportingRunners: () => {
       polls += 1;
       return [];
     },
-    rank: () => 1,
-    differ: () => [],
+    rankIn: () => 1,
+    selectChanges: () => [],
   };
-  const orchestrator = new orchestrators.Orchestrator(clock, ["r"], view, watch.dialTo([]), () => undefined);
+  const orchestrator = new regionOrchestrator.RegionOrchestrator(clock, ["r"], view, watch.dialTo([]), () => undefined);
   clock.skip(5000);
-  orchestrator.hear({ region: "r", reports: [] });
+  orchestrator.receiveReport({ region: "r", reports: [] });
   clock.skip(1400);
-  orchestrator.turn();
+  orchestrator.pollDueRegions();
   expect(polls).toBe(0);
   clock.skip(200);
-  orchestrator.turn();
+  orchestrator.pollDueRegions();
   expect(polls).toBeGreaterThan(0);
   const before = polls;
-  orchestrator.hear({ region: "r", reports: [] });
+  orchestrator.receiveReport({ region: "r", reports: [] });
   clock.skip(700);
-  orchestrator.turn();
+  orchestrator.pollDueRegions();
   expect(polls).toBe(before);
 });
--- a/tests/pictures.test.ts
+++ b/tests/pictures.test.ts
@@ -1,16 +1,16 @@
 // Control nodes among each other hold the same picture of a region, whoever reads it (design/usage 3.2).
-import * as orchestrators from "../src/control/platform/orchestrator.js";
+import * as regionOrchestrator from "../src/control/platform/region-orchestrator.js";
 import type * as dialer from "../src/feed/dialer.js";
 import * as feeds from "../src/feed/feed.js";
 import * as regionReports from "../src/load/region-reports.js";
-import * as publishers from "../src/load/publisher.js";
+import * as loadPublisher from "../src/load/load-publisher.js";
 import type * as schema from "../src/wire/schema.js";
 import type * as types from "../src/wire/types.js";
 import * as sims from "./sim/world.js";
 import * as usage from "./sim/usage.js";
 
 interface Node {
-  publisher: publishers.Publisher;
+  publisher: loadPublisher.LoadPublisher;
   told: [string, string[], number][];
 }
 
@@ -20,13 +20,13 @@
     publish: (topic: string, items: ReadonlyMap<string, Buffer>, stamp: types.Stamp) => told.push([topic, [...items.keys()], stamp]),
     amend: (topic: string, items: ReadonlyMap<string, Buffer | null>, stamp: types.Stamp) => told.push([topic, [...items.keys()], stamp]),
   } as unknown as feeds.Feed;
-  const publisher = new publishers.Publisher(clock, feed);
-  publisher.takeList(region.instances, new Map(region.instances.map((item): [types.RunnerId, string] => [item.id, region.name])));
+  const publisher = new loadPublisher.LoadPublisher(clock, feed);
+  publisher.setInstances(region.instances, new Map(region.instances.map((item): [types.RunnerId, string] => [item.id, region.name])));
   return { publisher, told };
 }
 
 function heldBy(node: Node): schema.Report[] {
-  return node.publisher.whole("r").sort((left, right) => (left.id < right.id ? -1 : 1));
+  return node.publisher.snapshot("r").sort((left, right) => (left.id < right.id ? -1 : 1));
 }
 
 function setUp(
@@ -43,9 +43,9 @@
     sibling,
     turn(isLost = false) {
       clock.skip(usage.PERIOD_MS);
-      const told = { region: "r", reports: reader.publisher.differ("r", region.reports) };
-      reader.publisher.take(told);
-      if (!isLost) sibling.publisher.take(told);
+      const told = { region: "r", reports: reader.publisher.selectChanges("r", region.reports) };
+      reader.publisher.applyReport(told);
+      if (!isLost) sibling.publisher.applyReport(told);
       return told.reports;
     },
   };
@@ -68,7 +68,7 @@
     region.turn();
     turn();
   }
-  const told = sibling.publisher.differ("r", region.reports);
+  const told = sibling.publisher.selectChanges("r", region.reports);
   expect(told.length).toBeLessThan(16);
 });
 
@@ -81,7 +81,7 @@
   expect([second[0], second[2] - first[2]]).toEqual(["cell:r", usage.PERIOD_MS]);
   clock.skip(5000);
   const regions = new Map(region.instances.slice(1).map((item): [types.RunnerId, string] => [item.id, "r"]));
-  reader.publisher.takeList(region.instances.slice(1), regions);
+  reader.publisher.setInstances(region.instances.slice(1), regions);
   const [topic, keys, stamp] = reader.told.at(-1)!;
   expect([topic, keys.length, stamp]).toEqual(["cell:r", 2, second[2]]);
 });
@@ -92,13 +92,13 @@
   for (let index = 0; index < 30; index += 1) {
     region.turn();
     turn();
-    reader.publisher.turn();
+    reader.publisher.publishSummariesWhenDue();
   }
   expect(summed()).toBeLessThanOrEqual(10);
   expect(summed()).toBeGreaterThanOrEqual(9);
   const before = reader.told.length;
   clock.skip(2500);
-  reader.publisher.turn();
+  reader.publisher.publishSummariesWhenDue();
   expect(reader.told.slice(before)).toEqual([["summary", ["r/s"], clock.now()]]);
 });
 
@@ -109,12 +109,12 @@
     controls: new Map([["s", { link: { tell: (_pair: unknown, ask: schema.CellReport) => told.push(ask) } }]]),
   } as unknown as dialer.Dialer;
   const news = [usage.report("x")];
-  const view = { reporting: () => [], rank: (region: string) => (region === "r" ? 0 : 1), differ: () => news };
+  const view = { reportingRunners: () => [], rankIn: (region: string) => (region === "r" ? 0 : 1), selectChanges: () => news };
   const heard: schema.CellReport[] = [];
-  const orchestrator = new orchestrators.Orchestrator(clock, ["r", "q"], view, dial, (report) => heard.push(report));
+  const orchestrator = new regionOrchestrator.RegionOrchestrator(clock, ["r", "q"], view, dial, (report) => heard.push(report));
   clock.skip(10);
-  orchestrator.hear({ region: "q", reports: [] });
-  orchestrator.turn();
+  orchestrator.receiveReport({ region: "q", reports: [] });
+  orchestrator.pollDueRegions();
   await clock.play(10);
   expect(told).toEqual([{ region: "r", reports: news }]);
   expect(heard).toEqual([
--- a/tests/regions.test.ts
+++ b/tests/regions.test.ts
@@ -35,7 +35,7 @@
 test("reports and doubts of a region are those of its runners alone", () => {
   const fleet = new runnerFleet.RunnerFleet(new clock.SeededWorld(1), ZONES);
   fleet.takeList([listed("a", "n1"), listed("b", "n2"), listed("c", "s1")]);
-  fleet.takeReport({
+  fleet.applyReport({
     region: "",
     reports: ["a", "b", "c"].map((id) => ({ id: types.small(id), isSpeaking: true, waiting: 0, active: 1, kvUsed: 1, kvCapacity: 9 })),
   });
--- a/tests/relay.test.ts
+++ b/tests/relay.test.ts
@@ -1,7 +1,7 @@
 // Signs relayed by control nodes (design/usage 2): to followers of the cell, once, within a bound of bytes.
-import * as marks from "../src/hints/marks.js";
+import * as runnerHash from "../src/hints/runner-hash.js";
 import * as throttle from "../src/hints/throttle.js";
-import * as relays from "../src/hints/relay.js";
+import * as hintRelay from "../src/hints/hint-relay.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sim from "./sim/world.js";
@@ -10,26 +10,26 @@
 function relayTo(
   clock: sim.SimWorld,
   routers = 3,
-): { relay: relays.Relay; links: Map<string, signs.FakeLink>; hear(name: string, told: schema.Signs): void } {
+): { relay: hintRelay.HintRelay; links: Map<string, signs.FakeLink>; hear(name: string, told: schema.Signs): void } {
   const links = new Map(["r1", "r2", "r3", "s1", "s2"].map((name) => [name, new signs.FakeLink()]));
   // r1 and r2 follow north, r3 follows both cells.
   const followers = new Map([
     ["north", ["r1", "r2", "r3"]],
     ["south", ["r3"]],
   ]);
-  const relay = new relays.Relay(clock, {
-    siblings: () => ["s1", "s2"].map((name) => signs.ear(links.get(name)!)),
-    routers: () => routers,
-    followers: (region) => (followers.get(region) ?? []).map((name) => signs.ear(links.get(name)!)),
+  const relay = new hintRelay.HintRelay(clock, {
+    peers: () => ["s1", "s2"].map((name) => signs.ear(links.get(name)!)),
+    routerCount: () => routers,
+    followersOf: (region) => (followers.get(region) ?? []).map((name) => signs.ear(links.get(name)!)),
   });
-  relay.takeList(
+  relay.setRegions(
     new Map([
       [types.small("n"), "north"],
       [types.small("m"), "north"],
       [types.small("s"), "south"],
     ]),
   );
-  return { relay, links, hear: (name, told) => relay.hear(signs.ear(links.get(name)!), told) };
+  return { relay, links, hear: (name, told) => relay.receive(signs.ear(links.get(name)!), told) };
 }
 
 test("a relay tells siblings once, followers of the runner's cell, and nobody what came from him", async () => {
@@ -40,7 +40,7 @@
   hear("s1", { ...signs.signs(signs.reading("m", 700)), isRelayed: true });
   await clock.play(200);
   const seen = new Map([...links].map(([name, made]) => [name, made.entries()]));
-  const [n, m, s] = ["n", "m", "s"].map(marks.markOf);
+  const [n, m, s] = ["n", "m", "s"].map(runnerHash.runnerHash);
   expect(seen.get("r1")).toEqual([
     [n, 3000],
     [m, 700],
@@ -76,9 +76,9 @@
 test("silences are relayed like readings; a mark of no listed runner, or of two, goes nowhere", async () => {
   const clock = new sim.SimWorld(1);
   const { links, hear } = relayTo(clock);
-  hear("r1", { isRelayed: false, silent: [marks.markOf("n"), 77], readings: [signs.reading("nobody")] });
+  hear("r1", { isRelayed: false, silent: [runnerHash.runnerHash("n"), 77], readings: [signs.reading("nobody")] });
   await clock.play(100);
-  expect(links.get("r2")!.told).toEqual([{ isRelayed: true, silent: [marks.markOf("n")], readings: [] }]);
+  expect(links.get("r2")!.told).toEqual([{ isRelayed: true, silent: [runnerHash.runnerHash("n")], readings: [] }]);
 });
 
 test.each([
@@ -88,7 +88,7 @@
   [100, 640],
   [400, 600],
 ])("of %d routers each has %d bytes a second of readings", (routers, expected) => {
-  expect(relays.bytesPerS(routers)).toBe(expected);
+  expect(hintRelay.routerBytesPerS(routers)).toBe(expected);
 });
 
 test.each([[100], [20]])("one of %d routers is told no more bytes of readings than its bound, silences always", async (routers) => {
@@ -96,14 +96,16 @@
   const { relay, links } = relayTo(clock, routers);
   const dropped = signs.counted("signs.dropped");
   const names = Array.from({ length: 5000 }, (_item, index) => `i-${index}`);
-  relay.takeList(new Map(signs.ids(...names).map((id) => [id, "north"])));
+  relay.setRegions(new Map(signs.ids(...names).map((id) => [id, "north"])));
   for (const [index, name] of names.entries())
-    clock.schedule(index * 2, () => relay.hear(signs.ear(links.get("r1")!), signs.signs(signs.reading(name, 1000, [index, ~index]))));
-  clock.schedule(9000, () => relay.hear(signs.ear(links.get("r1")!), { isRelayed: false, silent: [marks.markOf("i-3")], readings: [] }));
+    clock.schedule(index * 2, () => relay.receive(signs.ear(links.get("r1")!), signs.signs(signs.reading(name, 1000, [index, ~index]))));
+  clock.schedule(9000, () =>
+    relay.receive(signs.ear(links.get("r1")!), { isRelayed: false, silent: [runnerHash.runnerHash("i-3")], readings: [] }),
+  );
   await clock.play(10_100);
   const bytes = links.get("r2")!.told.reduce((sum, told) => sum + schema.signs.toBuffer(told).length, 0);
-  const perS = relays.bytesPerS(routers);
-  expect(bytes).toBeLessThan(perS * (relays.BURST_S + 10.1));
+  const perS = hintRelay.routerBytesPerS(routers);
+  expect(bytes).toBeLessThan(perS * (hintRelay.BURST_S + 10.1));
   expect(bytes).toBeGreaterThan(perS * 5);
   expect(signs.counted("signs.dropped")).toBeGreaterThan(dropped);
   expect(links.get("r2")!.told.some((told) => told.silent.length === 1)).toBe(true);
--- a/tests/signs.test.ts
+++ b/tests/signs.test.ts
@@ -1,9 +1,9 @@
 // Signs between routers (design/usage 2): few frames, marks that name one runner, no echo, bounds.
 import * as prefillTracker from "../src/runners/prefill-tracker.js";
-import * as batches from "../src/hints/batch.js";
-import * as marks from "../src/hints/marks.js";
+import * as hintBatch from "../src/hints/hint-batch.js";
+import * as runnerHash from "../src/hints/runner-hash.js";
 import * as throttle from "../src/hints/throttle.js";
-import * as signSenders from "../src/hints/sign-sender.js";
+import * as hintExchange from "../src/hints/hint-exchange.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sim from "./sim/world.js";
@@ -22,16 +22,16 @@
   expect(ran).toEqual(expected);
 });
 
-function signSenderTo(clock: sim.SimWorld): { signSender: signSenders.SignSender; told: schema.Signs[]; heard: unknown[] } {
+function signSenderTo(clock: sim.SimWorld): { signSender: hintExchange.HintExchange; told: schema.Signs[]; heard: unknown[] } {
   const told: schema.Signs[] = [];
   const heard: unknown[] = [];
-  const hearer: signSenders.Hearer = {
-    suspected: (silent) => heard.push(silent),
-    read: (id, unread, keys) => heard.push([id, unread, [...keys]]),
+  const hearer: hintExchange.HintHandler = {
+    onUnresponsive: (silent) => heard.push(silent),
+    onPrefill: (id, unread, keys) => heard.push([id, unread, [...keys]]),
   };
-  const known = new marks.Marks<types.RunnerId>();
-  known.takeList(signs.ids("a", "b", "c"));
-  const signSender = new signSenders.SignSender(clock, known, hearer, (frame) => told.push(frame));
+  const known = new runnerHash.RunnerHashes<types.RunnerId>();
+  known.replaceAll(signs.ids("a", "b", "c"));
+  const signSender = new hintExchange.HintExchange(clock, known, hearer, (frame) => told.push(frame));
   return { signSender, told, heard };
 }
 
@@ -40,7 +40,7 @@
   const { signSender, told } = signSenderTo(clock);
   for (let index = 0; index < perS; index += 1) {
     const runner = ["a", "b", "c"][index % 3];
-    clock.schedule((index * 1000) / perS, () => signSender.reading(types.small(runner), 2000, [index]));
+    clock.schedule((index * 1000) / perS, () => signSender.publishPrefill(types.small(runner), 2000, [index]));
   }
   await clock.play(1100);
   expect(told.length).toBeLessThanOrEqual(Math.ceil(1000 / throttle.PERIOD_MS) + 1);
@@ -51,13 +51,17 @@
 test("a router tells marks and hears ids; what it cannot name it ignores", () => {
   const clock = new sim.SimWorld(1);
   const { signSender, told, heard } = signSenderTo(clock);
-  signSender.silence(signs.ids("b"));
-  expect(told).toEqual([{ isRelayed: false, silent: [marks.markOf("b")], readings: [] }]);
+  signSender.publishUnresponsive(signs.ids("b"));
+  expect(told).toEqual([{ isRelayed: false, silent: [runnerHash.runnerHash("b")], readings: [] }]);
   const unknown = signs.counted("signs.unknown");
-  signSender.hear({ isRelayed: true, silent: [marks.markOf("c"), 77], readings: [signs.reading("a", 1500, [4, 5]), signs.reading("x")] });
+  signSender.receive({
+    isRelayed: true,
+    silent: [runnerHash.runnerHash("c"), 77],
+    readings: [signs.reading("a", 1500, [4, 5]), signs.reading("x")],
+  });
   expect(heard).toEqual([["c"], ["a", 1500, [4, 5]]]);
   expect(signs.counted("signs.unknown") - unknown).toBe(1);
-  signSender.silence([]);
+  signSender.publishUnresponsive([]);
   expect(told).toHaveLength(1);
 });
 
@@ -83,26 +87,26 @@
   ],
   ["listed twice", ["a", "a"], () => 7, [["a", 7]]],
 ] as const)("marks %s", (_name, listed, hash, expected) => {
-  const made = new marks.Marks<types.RunnerId>(hash);
-  made.takeList(signs.ids(...listed));
+  const made = new runnerHash.RunnerHashes<types.RunnerId>(hash);
+  made.replaceAll(signs.ids(...listed));
   for (const [id, mark] of expected) {
-    expect(made.markOf(id)).toBe(mark);
+    expect(made.hashOf(id)).toBe(mark);
     if (mark !== null) expect(made.idOf(mark)).toBe(id);
   }
   if (expected.some(([, mark]) => mark === null)) expect(made.idOf(7)).toBeNull();
-  made.takeList([]);
+  made.replaceAll([]);
   expect(made.idOf(7)).toBeNull();
 });
 
 test("a batch keeps the newest within its bound and counts what it drops", () => {
   const before = signs.counted("signs.dropped");
-  const batch = new batches.Batch();
-  for (let index = 0; index < batches.MAX_ENTRIES + 10; index += 1) batch.addReading({ runner: index, unread: 1, keys: [] });
+  const batch = new hintBatch.HintBatch();
+  for (let index = 0; index < hintBatch.MAX_ENTRIES + 10; index += 1) batch.addPrefill({ runner: index, unread: 1, keys: [] });
   const told = batch.drain();
-  expect([told.readings.length, told.readings[0].runner, signs.counted("signs.dropped") - before]).toEqual([batches.MAX_ENTRIES, 10, 10]);
+  expect([told.readings.length, told.readings[0].runner, signs.counted("signs.dropped") - before]).toEqual([hintBatch.MAX_ENTRIES, 10, 10]);
   expect(batch.isEmpty).toBe(true);
-  batch.addReading({ runner: 1, unread: 5, keys: [1, 2] });
-  batch.addReading({ runner: 1, unread: 6, keys: [2, 3] });
+  batch.addPrefill({ runner: 1, unread: 5, keys: [1, 2] });
+  batch.addPrefill({ runner: 1, unread: 6, keys: [2, 3] });
   expect(batch.drain().readings).toEqual([{ runner: 1, unread: 11, keys: [1, 2, 3] }]);
 });
 
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -5,7 +5,7 @@
 import * as confirmations from "../../src/register/confirmation.js";
 import * as registerReplica from "../../src/control/register-replica.js";
 import * as directory from "../../src/control/directory/directory.js";
-import * as duties from "../../src/control/platform/duties.js";
+import * as singletonRole from "../../src/control/platform/singleton-role.js";
 import * as leaseServer from "../../src/control/leases/lease-server.js";
 import * as sessionHandlers from "../../src/control/members/session-handlers.js";
 import * as operators from "../../src/control/operator/operator.js";
@@ -205,9 +205,9 @@
     this.tell();
   }
 
-  fitness(of: ControlNode): duties.Fitness | null {
+  fitness(of: ControlNode): singletonRole.Eligibility | null {
     const control = this.dial.controls.get(addressOf(of.name));
-    return control ? duties.fitnessOf(control) : null;
+    return control ? singletonRole.eligibilityOf(control) : null;
   }
 
   /** An operator's call to this very node; no redirect is followed. */
--- a/tests/sim/runners.ts
+++ b/tests/sim/runners.ts
@@ -144,7 +144,7 @@
         kvUsed: 0,
         kvCapacity: 1,
       }));
-      router.fleet.takeReport({ region: "", reports });
+      router.fleet.applyReport({ region: "", reports });
     }
   }
 
--- a/tests/sim/signs.ts
+++ b/tests/sim/signs.ts
@@ -1,6 +1,6 @@
 /** Signs, and links that keep what they are told. */
 import * as log from "../../src/runtime/log.js";
-import * as marks from "../../src/hints/marks.js";
+import * as runnerHash from "../../src/hints/runner-hash.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 
@@ -24,7 +24,7 @@
 export const ear = (made: FakeLink): never => made as unknown as never;
 
 export function reading(runner: string, unread = 1000, keys: number[] = [1]): schema.ReadingSign {
-  return { runner: marks.markOf(runner), unread, keys };
+  return { runner: runnerHash.runnerHash(runner), unread, keys };
 }
 
 export function signs(...told: schema.ReadingSign[]): schema.Signs {
--- a/tests/sim/usage.ts
+++ b/tests/sim/usage.ts
@@ -2,8 +2,8 @@
 import * as feeds from "../../src/feed/feed.js";
 import type * as mirrors from "../../src/feed/mirror.js";
 import * as runnerFleet from "../../src/runners/runner-fleet.js";
-import * as publisher from "../../src/load/publisher.js";
-import * as reader from "../../src/load/reader.js";
+import * as loadPublisher from "../../src/load/load-publisher.js";
+import * as loadReader from "../../src/load/load-reader.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import * as links from "./links.js";
@@ -54,12 +54,12 @@
 export class System {
   readonly clock = new sims.SimWorld(11);
   readonly feed = new feeds.Feed("place");
-  readonly publisher = new publisher.Publisher(this.clock, this.feed);
+  readonly publisher = new loadPublisher.LoadPublisher(this.clock, this.feed);
   readonly regions: Region[];
 
   constructor(names: readonly string[], perRegion: number, capacity: number, perS: number) {
     this.regions = names.map((name) => new Region(this.clock, name, perRegion, capacity, perS));
-    this.publisher.takeList(
+    this.publisher.setInstances(
       this.instances(),
       new Map(this.regions.flatMap((region) => region.instances.map((item): [types.RunnerId, string] => [item.id, region.name]))),
     );
@@ -72,9 +72,9 @@
   async turn(router?: Router): Promise<void> {
     for (const region of this.regions) {
       region.turn();
-      this.publisher.take({ region: region.name, reports: this.publisher.differ(region.name, region.reports) });
+      this.publisher.applyReport({ region: region.name, reports: this.publisher.selectChanges(region.name, region.reports) });
     }
-    this.publisher.turn();
+    this.publisher.publishSummariesWhenDue();
     for (let step = 0; step < PERIOD_MS / 100; step += 1) {
       await this.clock.play(100);
       router?.watch();
@@ -84,28 +84,28 @@
 
 export class Router {
   readonly fleet: runnerFleet.RunnerFleet;
-  readonly reader: reader.Reader;
+  readonly reader: loadReader.LoadReader;
   readonly made: links.SimRouter;
   readonly session: links.Session;
 
   constructor(system: System, region: string) {
     this.fleet = new runnerFleet.RunnerFleet(system.clock, new Map(system.regions.map(({ name }) => [name, name])));
-    this.reader = new reader.Reader(system.clock, this.fleet, region, () => undefined);
+    this.reader = new loadReader.LoadReader(system.clock, this.fleet, region, () => undefined);
     this.fleet.takeList(system.instances());
     this.made = new links.SimRouter(system.clock, region);
     this.made.topics = this.reader.topics();
     this.made.applied.push = (...applied: mirrors.Applied[]) => {
-      for (const item of applied) this.reader.take(item);
+      for (const item of applied) this.reader.applyUpdate(item);
       return applied.length;
     };
-    this.reader.watch(this.made.follower.mirror);
+    this.reader.refresh(this.made.follower.mirror);
     this.session = this.made.join("c", region, system.feed);
   }
 
   watch(): void {
     this.made.topics = this.reader.topics();
     this.made.follower.narrow();
-    this.reader.watch(this.made.follower.mirror);
+    this.reader.refresh(this.made.follower.mirror);
   }
 
   /** Bytes on the way to this router since the last time it was asked. */
--- a/tests/summary.test.ts
+++ b/tests/summary.test.ts
@@ -2,7 +2,7 @@
 import * as usage from "./sim/usage.js";
 import * as cellPolicy from "../src/router/policies/cell-policy.js";
 import * as regionReports from "../src/load/region-reports.js";
-import * as summary from "../src/load/summary.js";
+import * as loadSummary from "../src/load/load-summary.js";
 import * as schema from "../src/wire/schema.js";
 import * as sims from "./sim/world.js";
 
@@ -21,26 +21,26 @@
     100,
   );
   const expected = { isFresh: true, total: 4, good: 2, usage: 8, room: 3 };
-  expect(summary.summarise(picture, instances, 100).get("s")).toEqual(expected);
-  expect(summary.summarise(picture, instances, 2200).get("s")!.isFresh).toBe(false);
-  expect(summary.withHysteresis(expected, { ...expected, usage: 9, room: 2 })).toEqual(expected);
-  expect(summary.withHysteresis(expected, { ...expected, usage: 10, room: 0, good: 1 })).toEqual({
+  expect(loadSummary.summarise(picture, instances, 100).get("s")).toEqual(expected);
+  expect(loadSummary.summarise(picture, instances, 2200).get("s")!.isFresh).toBe(false);
+  expect(loadSummary.withHysteresis(expected, { ...expected, usage: 9, room: 2 })).toEqual(expected);
+  expect(loadSummary.withHysteresis(expected, { ...expected, usage: 10, room: 0, good: 1 })).toEqual({
     ...expected,
     usage: 10,
     room: 0,
     good: 1,
   });
-  const known = new summary.Summaries();
-  known.take("r/s", schema.summary.toBuffer(expected));
-  expect(known.of("r", "s")).toEqual(expected);
-  known.take("r/s", schema.summary.toBuffer({ ...expected, isFresh: false }));
-  expect(known.of("r", "s")).toBeNull();
+  const known = new loadSummary.LoadSummaries();
+  known.applyItem("r/s", schema.summary.toBuffer(expected));
+  expect(known.summaryOf("r", "s")).toEqual(expected);
+  known.applyItem("r/s", schema.summary.toBuffer({ ...expected, isFresh: false }));
+  expect(known.summaryOf("r", "s")).toBeNull();
 });
 
 test("a region that a summary shows to be lost is tried last, though no report of it is followed", () => {
   const clock = new sims.SimWorld(1);
   const runner = (id: string, region: string): unknown => ({ id, region, isSuspect: () => false, instance: instance(id, region) });
-  const known = new summary.Summaries();
+  const known = new loadSummary.LoadSummaries();
   const policy = new cellPolicy.CellPolicy("a", known);
   const order = (): string[] => {
     const plan = {
@@ -56,10 +56,10 @@
     return plan.cells;
   };
   expect(order()).toEqual(["a", "b", "c"]);
-  known.take("b/s", schema.summary.toBuffer({ isFresh: true, total: 3, good: 0, usage: 0, room: 0 }));
+  known.applyItem("b/s", schema.summary.toBuffer({ isFresh: true, total: 3, good: 0, usage: 0, room: 0 }));
   expect(order()).toEqual(["a", "c", "b"]);
-  known.detailed(new Set(["b"]));
-  expect(known.of("b", "s")).toBeNull();
+  known.setDetailedRegions(new Set(["b"]));
+  expect(known.summaryOf("b", "s")).toBeNull();
 });
 
 test.each([
@@ -67,13 +67,13 @@
   ["a long prompt at home", 5000, ["a"], ["a"]],
   ["a long prompt anywhere", 5000, ["a", "b", "c"], ["a", "b", "c"]],
 ])("cells that requests rank by key are followed: %s", (_name, tokens, regions, expected) => {
-  const known = new summary.Summaries();
+  const known = new loadSummary.LoadSummaries();
   const policy = new cellPolicy.CellPolicy("a", known);
   for (let index = 0; index < 50; index += 1) {
     const shared = [{ id: `p${index}`, tokens }];
     const candidates = regions.map((region) => ({ id: region, region, isSuspect: () => false }));
     policy.apply({ requestId: "q", service: "s", shared, sharedTokens: tokens, now: 0, cells: [], candidates } as never);
   }
-  expect([...known.takeWanted()].sort()).toEqual(expected);
-  expect(known.takeWanted().size).toBe(0);
+  expect([...known.drainRequestedRegions()].sort()).toEqual(expected);
+  expect(known.drainRequestedRegions().size).toBe(0);
 });
--- a/tests/usage.test.ts
+++ b/tests/usage.test.ts
@@ -1,10 +1,10 @@
 // What is told of runners' usage, to whom, and how much it is (design/usage 3, 4).
-import * as resolution from "../src/load/resolution.js";
+import * as reportResolution from "../src/load/report-resolution.js";
 import * as regionReports from "../src/load/region-reports.js";
-import * as interest from "../src/load/interest.js";
-import * as relay from "../src/hints/relay.js";
-import * as marks from "../src/hints/marks.js";
-import * as publisher from "../src/load/publisher.js";
+import * as regionInterest from "../src/load/region-interest.js";
+import * as hintRelay from "../src/hints/hint-relay.js";
+import * as runnerHash from "../src/hints/runner-hash.js";
+import * as loadPublisher from "../src/load/load-publisher.js";
 import * as types from "../src/wire/types.js";
 import * as usage from "./sim/usage.js";
 
@@ -19,7 +19,7 @@
   [64, 4],
   [200, 13],
 ])("a runner of capacity %d is told to %d requests", (capacity, expected) => {
-  expect(resolution.resolutionOf(capacity)).toBe(expected);
+  expect(reportResolution.resolutionOf(capacity)).toBe(expected);
 });
 
 test.each([
@@ -36,17 +36,17 @@
   ["still silent, with other numbers", { isSpeaking: false }, { isSpeaking: false, active: 9 }, 8, false],
   ["another memory", {}, { kvCapacity: 90_000 }, 64, true],
 ])("material or not: %s", (_name, told, now, capacity, expected) => {
-  expect(resolution.deviation(report("a", told), report("a", now), capacity) >= 1).toBe(expected);
+  expect(reportResolution.deviation(report("a", told), report("a", now), capacity) >= 1).toBe(expected);
 });
 
 test("a report travels as its item says, kept tokens to a sixty-fourth", () => {
   for (const kvUsed of [0, 700, 800, 50_000, 100_000, 120_000]) {
     const sent = report("a", { active: 5, waiting: 2, kvUsed });
-    const back = resolution.reportOf(sent.id, resolution.bodyOf(sent));
-    expect(back).toEqual(resolution.rounded(sent));
+    const back = reportResolution.reportOf(sent.id, reportResolution.bodyOf(sent));
+    expect(back).toEqual(reportResolution.quantized(sent));
     expect(Math.abs(back.kvUsed - Math.min(100_000, kvUsed))).toBeLessThanOrEqual(100_000 / 128 + 1);
   }
-  expect(resolution.reportOf(types.small("a"), resolution.bodyOf(report("a", { kvCapacity: 0 }))).kvUsed).toBe(0);
+  expect(reportResolution.reportOf(types.small("a"), reportResolution.bodyOf(report("a", { kvCapacity: 0 }))).kvUsed).toBe(0);
 });
 
 const CAPACITY_64 = { get: () => 64 };
@@ -103,10 +103,10 @@
     const region = system.regions[0];
     for (const truth of region.reports) {
       const runner = [...router.fleet.all()].find((item) => item.id === truth.id)!;
-      expect(runner.isSpeaking).toBe(truth.isSpeaking);
+      expect(runner.isReporting).toBe(truth.isSpeaking);
       if (!truth.isSpeaking) continue;
       expect([runner.active, runner.waiting, runner.kvCapacity]).toEqual([truth.active, truth.waiting, truth.kvCapacity]);
-      expect(Math.abs(runner.kvShare - truth.kvUsed / truth.kvCapacity)).toBeLessThanOrEqual(1 / 32 + 1 / 128);
+      expect(Math.abs(runner.kvUsedFraction - truth.kvUsed / truth.kvCapacity)).toBeLessThanOrEqual(1 / 32 + 1 / 128);
     }
   }
 }, 20_000);
@@ -116,28 +116,28 @@
   const router = new usage.Router(system, "a");
   await system.turn(router);
   expect(router.cells()).toEqual(["cell:a"]);
-  router.reader.sent("b");
-  router.reader.sent("c");
+  router.reader.recordSend("b");
+  router.reader.recordSend("c");
   await system.turn(router);
   expect(router.cells()).toEqual(["cell:a", "cell:b", "cell:c"]);
   const runner = [...router.fleet.all()].find((item) => item.region === "b")!;
   expect(runner.kvCapacity).toBe(100_000);
-  for (let turn = 0; turn < interest.RETENTION_MS / usage.PERIOD_MS + 1; turn += 1) {
-    router.reader.sent("c");
+  for (let turn = 0; turn < regionInterest.RETENTION_MS / usage.PERIOD_MS + 1; turn += 1) {
+    router.reader.recordSend("c");
     await system.turn(router);
   }
   expect(router.cells()).toEqual(["cell:a", "cell:c"]);
   // Of the region left it knows the mean usage by the summary, and takes no runner for silent.
-  expect([runner.isSpeaking, runner.active]).toEqual([true, 0]);
-  expect(runner.others).toBeCloseTo(router.fleet.summaries.of("b", "s")!.usage, 5);
-  expect(router.fleet.summaries.of("c", "s")).toBeNull();
+  expect([runner.isReporting, runner.active]).toEqual([true, 0]);
+  expect(runner.others).toBeCloseTo(router.fleet.summaries.summaryOf("b", "s")!.usage, 5);
+  expect(router.fleet.summaries.summaryOf("c", "s")).toBeNull();
 }, 20_000);
 
 test("a region whose reports stand still fades at the router, and counts again whole when they come again", async () => {
   const system = new usage.System(["a"], 4, 16, 1);
   const router = new usage.Router(system, "a");
   for (let turn = 0; turn < 5; turn += 1) await system.turn(router);
-  const used = (): number => [...router.fleet.all()].reduce((sum, runner) => sum + runner.usage(), 0);
+  const used = (): number => [...router.fleet.all()].reduce((sum, runner) => sum + runner.requestCount(), 0);
   const before = used();
   expect(before).toBeGreaterThan(10);
   const play = async (ms: number): Promise<void> => {
@@ -155,15 +155,15 @@
   await play(100);
   expect(used()).toBeLessThan(before * 0.1);
   // Nothing moved meanwhile: a stamp alone brings back what was told.
-  system.publisher.take({ region: "a", reports: [] });
+  system.publisher.applyReport({ region: "a", reports: [] });
   await play(200);
   expect(used()).toBe(before);
 }, 20_000);
 
 test("items are named by marks, by the id where two runners share a mark", () => {
-  const made = new marks.Marks<types.RunnerId>((id) => (id === "c" ? 40 : 7));
-  made.takeList([types.small("a"), types.small("b"), types.small("c")]);
-  expect(["a", "b", "c"].map((id) => publisher.keyOf(made, types.small(id)))).toEqual(["=a", "=b", "14"]);
+  const made = new runnerHash.RunnerHashes<types.RunnerId>((id) => (id === "c" ? 40 : 7));
+  made.replaceAll([types.small("a"), types.small("b"), types.small("c")]);
+  expect(["a", "b", "c"].map((id) => loadPublisher.keyOf(made, types.small(id)))).toEqual(["=a", "=b", "14"]);
 });
 
 async function bytesPerS(system: usage.System, region: string, alsoSent: readonly string[]): Promise<number> {
@@ -171,7 +171,7 @@
   const turns = 40;
   for (let turn = 0; turn < 10 + turns; turn += 1) {
     if (turn === 10) router.bytes();
-    for (const other of alsoSent) router.reader.sent(other);
+    for (const other of alsoSent) router.reader.recordSend(other);
     await system.turn(router);
   }
   // What the bounds of a period put off stays small, and nobody's status is put off.
@@ -180,8 +180,8 @@
   for (const runner of router.fleet.all()) {
     const truth = own.reports.find((item) => item.id === runner.id);
     if (!truth) continue;
-    expect(runner.isSpeaking).toBe(truth.isSpeaking);
-    if (truth.isSpeaking && resolution.deviation(report(runner.id, runner), truth, 64) >= 2) far += 1;
+    expect(runner.isReporting).toBe(truth.isSpeaking);
+    if (truth.isSpeaking && reportResolution.deviation(report(runner.id, runner), truth, 64) >= 2) far += 1;
   }
   expect(far).toBeLessThanOrEqual(own.reports.length * 0.02);
   return (router.bytes() * 1000) / (turns * usage.PERIOD_MS);
@@ -201,7 +201,7 @@
     if (process.env["SHOW_BYTES"]) process.stdout.write(`${name}: ${Math.round(measured)} B/s\n`);
     expect(measured).toBeLessThan(bound);
     // With the signs that one of 96 routers of a control node is told, it stays within 2 KB a second.
-    expect(measured + relay.bytesPerS(96)).toBeLessThan(2000);
+    expect(measured + hintRelay.routerBytesPerS(96)).toBeLessThan(2000);
     expect(measured).toBeGreaterThan(50);
   },
   60_000,
