--- a/src/router/client/client-response.ts
+++ b/src/router/client/client-response.ts
@@ -10,7 +10,7 @@
 export class ClientResponse {
   /** The head of a runner's answer was sent on; no other answer can take its place. */
   isHeadOut = false;
-  private cutter: eventSplitter.EventSplitter | null = null;
+  private splitter: eventSplitter.EventSplitter | null = null;
 
   /** `isLeaving`: whether the answer is to be the last on its connection. */
   constructor(
@@ -26,7 +26,7 @@
   begin(head: responseHead.ResponseHead, isResumable: boolean, onDrain: () => void): void {
     const raw = headerRules.forClient(head.raw, head.headers.get("connection"));
     if (this.isLeaving()) raw.push("Connection", "close");
-    if (isResumable) this.cutter = new eventSplitter.EventSplitter();
+    if (isResumable) this.splitter = new eventSplitter.EventSplitter();
     this.outgoing.writeHead(head.status, raw);
     this.isHeadOut = true;
     this.outgoing.on("drain", onDrain);
@@ -34,28 +34,28 @@
 
   /** Whether another runner may take the body up where it is. */
   get isResumable(): boolean {
-    return this.cutter !== null;
+    return this.splitter !== null;
   }
 
   /** The id of the last whole event that was passed on. */
   get lastEventId(): string | null {
-    return this.cutter?.lastId ?? null;
+    return this.splitter?.lastId ?? null;
   }
 
   /** False when the client reads slower than the runner sends. */
   write(chunk: Buffer): boolean {
-    const bytes = this.cutter ? this.cutter.feed(chunk) : chunk;
+    const bytes = this.splitter ? this.splitter.feed(chunk) : chunk;
     return bytes.length === 0 || this.outgoing.write(bytes);
   }
 
   /** The runner's answer ends early: a part of an event that it left behind is not passed on. */
   dropPart(): void {
-    this.cutter?.drop();
+    this.splitter?.drop();
   }
 
   /** The runner's answer is whole. */
   end(): void {
-    const rest = this.cutter?.rest();
+    const rest = this.splitter?.rest();
     this.outgoing.end(rest?.length ? rest : undefined);
   }
 
--- a/src/router/client/pending-requests.ts
+++ b/src/router/client/pending-requests.ts
@@ -6,7 +6,7 @@
 import type * as types from "../../wire/types.js";
 
 /** The longest wait, in milliseconds. */
-const MAX_MS = 800;
+const MAX_WAIT_MS = 800;
 
 /** What becomes of one that waits: exactly one of the two is called, none when its client leaves first. */
 export interface PendingHandler {
@@ -21,7 +21,7 @@
   /** `most`: how many may wait at once. */
   constructor(
     private readonly world: types.Clock,
-    private readonly most: number,
+    private readonly maxPending: number,
   ) {}
 
   get size(): number {
@@ -31,8 +31,8 @@
   /** arrivedAt and mostHeldMs: of the request, in milliseconds; where there is no room or time it is late at once. */
   add(outgoing: nodeHttp.ServerResponse, arrivedAt: number, mostHeldMs: number, outcomes: PendingHandler): void {
     const { waiting } = this;
-    const leftMs = arrivedAt + Math.min(MAX_MS, mostHeldMs) - this.world.now();
-    if (waiting.size >= this.most || leftMs <= 0) {
+    const leftMs = arrivedAt + Math.min(MAX_WAIT_MS, mostHeldMs) - this.world.now();
+    if (waiting.size >= this.maxPending || leftMs <= 0) {
       outcomes.onTimeout();
       return;
     }
--- a/src/router/client/request-body.ts
+++ b/src/router/client/request-body.ts
@@ -6,10 +6,10 @@
   bytes = 0;
   reading = 0;
 
-  constructor(private readonly mostBytes: number) {}
+  constructor(private readonly maxBytes: number) {}
 
   hasRoom(more: number): boolean {
-    return this.bytes + more <= this.mostBytes;
+    return this.bytes + more <= this.maxBytes;
   }
 }
 
@@ -22,11 +22,11 @@
 }
 
 /** Exactly one of the taker's functions is called, once, or none when the client goes away before its body is whole. */
-export function readBody(incoming: nodeHttp.IncomingMessage, mostBytes: number, held: BufferedBytes, taker: BodyHandler): void {
+export function readBody(incoming: nodeHttp.IncomingMessage, maxBytes: number, buffered: BufferedBytes, taker: BodyHandler): void {
   const parts: Buffer[] = [];
   let bytes = 0;
   let isOver = false;
-  held.reading += 1;
+  buffered.reading += 1;
   incoming.on("data", more);
   incoming.on("end", whole);
   incoming.on("error", lost);
@@ -35,9 +35,9 @@
   function more(chunk: Buffer): void {
     if (isOver) return;
     bytes += chunk.length;
-    held.bytes += chunk.length;
+    buffered.bytes += chunk.length;
     parts.push(chunk);
-    if (bytes <= mostBytes) return;
+    if (bytes <= maxBytes) return;
     lost();
     taker.onTooLarge();
   }
@@ -51,7 +51,7 @@
   function lost(): void {
     if (isOver) return;
     isOver = true;
-    held.reading -= 1;
-    held.bytes -= bytes;
+    buffered.reading -= 1;
+    buffered.bytes -= bytes;
   }
 }
--- a/src/router/client/request-validation.ts
+++ b/src/router/client/request-validation.ts
@@ -12,24 +12,24 @@
 
 const SLASH = 47;
 const HOST = "host";
-const CODING = "transfer-encoding";
+const TRANSFER_ENCODING = "transfer-encoding";
 /** Characters of an authority (RFC 3986), without user information. */
 const AUTHORITY = /^[\w.~!$&'()*+;=%:[\]-]*$/;
 const ABSOLUTE = /^http:\/\/([^/?#]+)([^#]*)$/i;
 /** Visible ASCII: an id is told back and compared byte by byte. */
-const ID = /^[\x21-\x7e]*$/;
+const VISIBLE_ASCII = /^[\x21-\x7e]*$/;
 /** Fields that are for the runner, and so can't be for one connection only. */
 const END_TO_END: ReadonlySet<string> = new Set([HOST, names.HEADER.requestId]);
 
 /** Connections that end with the reply to a fault: whatever follows on them in one go is no request. */
-const ended = new WeakSet<net.Socket>();
+const closingSockets = new WeakSet<net.Socket>();
 
 /** Whether the connection was to end with an earlier reply. */
 export function isClosing(socket: net.Socket): boolean {
-  return ended.has(socket);
+  return closingSockets.has(socket);
 }
 
-interface Replying {
+interface SocketWithResponse {
   /** What the server writes there now; Node keeps it under this name. */
   _httpMessage?: nodeHttp.ServerResponse | null;
 }
@@ -39,9 +39,9 @@
  * and no other is put in its place.
  */
 export function keepPendingResponse(socket: net.Socket): boolean {
-  const reply = (socket as net.Socket & Replying)._httpMessage;
-  if (!reply || !(reply.headersSent || reply.req.complete)) return ended.has(socket);
-  ended.add(socket);
+  const reply = (socket as net.Socket & SocketWithResponse)._httpMessage;
+  if (!reply || !(reply.headersSent || reply.req.complete)) return closingSockets.has(socket);
+  closingSockets.add(socket);
   reply.shouldKeepAlive = false;
   reply.once("close", socket.destroySoon.bind(socket));
   return true;
@@ -51,7 +51,7 @@
 export function validate(incoming: nodeHttp.IncomingMessage): InvalidRequest | null {
   const fault = find(incoming);
   if (fault) {
-    ended.add(incoming.socket);
+    closingSockets.add(incoming.socket);
     log.count("router.improper");
   }
   return fault;
@@ -65,42 +65,42 @@
     const name = raw[index];
     // Lengths first: few fields are looked at any closer.
     if (name.length === HOST.length && name.toLowerCase() === HOST) {
-      if (hostAt >= 0) return bad("two Host fields; send one");
+      if (hostAt >= 0) return badRequest("two Host fields; send one");
       hostAt = index + 1;
     } else if (name.length === names.HEADER.requestId.length && name.toLowerCase() === names.HEADER.requestId) {
-      if (hasId) return bad("two X-Cranewind-Request-Id fields; send one id a try");
+      if (hasId) return badRequest("two X-Cranewind-Request-Id fields; send one id a try");
       hasId = true;
-      if (!ID.test(raw[index + 1])) return bad("X-Cranewind-Request-Id holds more than visible ASCII; send a plain id");
-    } else if (name.length === CODING.length && name.toLowerCase() === CODING) {
-      if (incoming.httpVersionMinor === 0) return bad("Transfer-Encoding in HTTP/1.0; send Content-Length");
+      if (!VISIBLE_ASCII.test(raw[index + 1])) return badRequest("X-Cranewind-Request-Id holds more than visible ASCII; send a plain id");
+    } else if (name.length === TRANSFER_ENCODING.length && name.toLowerCase() === TRANSFER_ENCODING) {
+      if (incoming.httpVersionMinor === 0) return badRequest("Transfer-Encoding in HTTP/1.0; send Content-Length");
       if (raw[index + 1].toLowerCase() !== "chunked")
         return { status: 501, message: "a transfer coding other than chunked; send chunked alone" };
     }
   }
   if (incoming.httpVersionMajor !== 1) return { status: 505, message: "not HTTP/1.1; send HTTP/1.1" };
-  if (hostAt < 0 && incoming.httpVersionMinor > 0) return bad("Host is missing; send one");
-  if (hostAt >= 0 && !AUTHORITY.test(raw[hostAt])) return bad("Host is no host; send host or host:port");
-  return ofConnection(incoming.headers.connection) ?? ofTarget(incoming, hostAt);
+  if (hostAt < 0 && incoming.httpVersionMinor > 0) return badRequest("Host is missing; send one");
+  if (hostAt >= 0 && !AUTHORITY.test(raw[hostAt])) return badRequest("Host is no host; send host or host:port");
+  return checkConnection(incoming.headers.connection) ?? checkTarget(incoming, hostAt);
 }
 
-function bad(message: string): InvalidRequest {
+function badRequest(message: string): InvalidRequest {
   return { status: 400, message };
 }
 
-function ofConnection(connection: string | undefined): InvalidRequest | null {
+function checkConnection(connection: string | undefined): InvalidRequest | null {
   if (connection === undefined || connection === "keep-alive" || connection === "close") return null;
   for (const item of connection.toLowerCase().split(",")) {
-    if (END_TO_END.has(item.trim())) return bad(`Connection names ${item.trim()}; leave it out`);
+    if (END_TO_END.has(item.trim())) return badRequest(`Connection names ${item.trim()}; leave it out`);
   }
   return null;
 }
 
-function ofTarget(incoming: nodeHttp.IncomingMessage, hostAt: number): InvalidRequest | null {
+function checkTarget(incoming: nodeHttp.IncomingMessage, hostAt: number): InvalidRequest | null {
   const target = incoming.url ?? "/";
-  if (target.charCodeAt(0) === SLASH) return target.includes("#") ? bad("a fragment in the target; leave it out") : null;
-  if (target === "*") return incoming.method === "OPTIONS" ? null : bad("the target * is for OPTIONS; send a path");
+  if (target.charCodeAt(0) === SLASH) return target.includes("#") ? badRequest("a fragment in the target; leave it out") : null;
+  if (target === "*") return incoming.method === "OPTIONS" ? null : badRequest("the target * is for OPTIONS; send a path");
   const parts = ABSOLUTE.exec(target);
-  if (!parts || !AUTHORITY.test(parts[1])) return bad("the target is neither a path nor http://host/path; send a path");
+  if (!parts || !AUTHORITY.test(parts[1])) return badRequest("the target is neither a path nor http://host/path; send a path");
   const rest = parts[2];
   if (rest === "" && incoming.method === "OPTIONS") incoming.url = "*";
   else incoming.url = rest.charCodeAt(0) === SLASH ? rest : `/${rest}`;
--- a/src/router/client/router-server.ts
+++ b/src/router/client/router-server.ts
@@ -16,17 +16,17 @@
 import type * as tenantGate from "../tenant-gate.js";
 import * as requestTransaction from "../request-transaction.js";
 
-const DEFAULTS: Required<check.Limits> = {
+const DEFAULT_LIMITS: Required<check.Limits> = {
   max_header_bytes: 16384,
   max_body_bytes: 4 * 1024 * 1024,
   header_timeout_ms: 5000,
   idle_timeout_ms: 15000,
 };
 /** What of the machine's limits goes where (design 2.3). */
-const HELD_SHARE = 0.15;
+const BODY_MEMORY_FRACTION = 0.15;
 const PENDING_PER_MB = 1.5;
-const CONNECTIONS_SHARE = 0.5;
-const CHECK_MS = 1000;
+const CLIENT_CONNECTION_FRACTION = 0.5;
+const CONNECTION_CHECK_INTERVAL_MS = 1000;
 
 /** The machine's limits. */
 export interface Machine {
@@ -39,8 +39,8 @@
   private readonly server: nodeHttp.Server;
   private readonly active = new Set<requestTransaction.Transaction>();
   private readonly pending: pendingRequests.PendingRequests;
-  private limits = DEFAULTS;
-  private readonly held: requestBody.BufferedBytes;
+  private limits = DEFAULT_LIMITS;
+  private readonly buffered: requestBody.BufferedBytes;
   isLeaving = false;
 
   constructor(
@@ -52,24 +52,24 @@
     private readonly batches: routerBatches.RouterBatches,
     private readonly tenancy: tenantGate.TenantGate,
   ) {
-    this.held = new requestBody.BufferedBytes(machine.memory_mb * 1024 * 1024 * HELD_SHARE);
+    this.buffered = new requestBody.BufferedBytes(machine.memory_mb * 1024 * 1024 * BODY_MEMORY_FRACTION);
     this.pending = new pendingRequests.PendingRequests(world, Math.floor(machine.memory_mb * PENDING_PER_MB));
     this.server = nodeHttp.createServer(
-      { connectionsCheckingInterval: CHECK_MS, maxHeaderSize: DEFAULTS.max_header_bytes, requireHostHeader: false },
+      { connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS, maxHeaderSize: DEFAULT_LIMITS.max_header_bytes, requireHostHeader: false },
       this.take.bind(this),
     );
     this.server.on("clientError", clientError);
     this.server.on("connect", requestValidation.rejectConnect);
-    this.server.maxConnections = Math.floor(machine.max_open_files * CONNECTIONS_SHARE);
+    this.server.maxConnections = Math.floor(machine.max_open_files * CLIENT_CONNECTION_FRACTION);
     this.limit(undefined);
   }
 
   get activeCount(): number {
-    return this.active.size + this.held.reading + this.pending.size;
+    return this.active.size + this.buffered.reading + this.pending.size;
   }
 
   limit(limits: check.Limits | undefined): void {
-    this.limits = { ...DEFAULTS, ...limits };
+    this.limits = { ...DEFAULT_LIMITS, ...limits };
     const server = this.server as nodeHttp.Server & { maxHeaderSize?: number };
     server.maxHeaderSize = this.limits.max_header_bytes;
     server.headersTimeout = this.limits.header_timeout_ms;
@@ -109,8 +109,8 @@
     if (fault) return this.deny(outgoing, fault.status, fault.message, null, true);
     const arrivedAt = this.world.now();
     const length = Number(incoming.headers["content-length"] ?? 0);
-    if (length > this.limits.max_body_bytes) return this.denyTooLarge(outgoing);
-    if (!this.held.hasRoom(length)) {
+    if (length > this.limits.max_body_bytes) return this.rejectTooLarge(outgoing);
+    if (!this.buffered.hasRoom(length)) {
       this.deny(outgoing, 503, "too many bodies are held; come back shortly", 0.5, true);
       return;
     }
@@ -119,28 +119,28 @@
 
   private read(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number): void {
     const entry = this.chooser.table?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    const timer = this.world.schedule(routeRequest.mostHeldMs(incoming, entry), this.denyTooSlow.bind(this, incoming, outgoing));
+    const timer = this.world.schedule(routeRequest.mostHeldMs(incoming, entry), this.rejectLateBody.bind(this, incoming, outgoing));
     outgoing.once("close", () => timer.stop());
-    requestBody.readBody(incoming, this.limits.max_body_bytes, this.held, {
+    requestBody.readBody(incoming, this.limits.max_body_bytes, this.buffered, {
       onComplete: (body) => {
         timer.stop();
         if (!outgoing.headersSent) this.begin(incoming, outgoing, arrivedAt, body);
       },
       onTooLarge: () => {
         timer.stop();
-        this.denyTooLarge(outgoing);
+        this.rejectTooLarge(outgoing);
       },
     });
   }
 
   /** The body is not whole when the request's time is over: nothing was sent on, and its connection ends. */
-  private denyTooSlow(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
+  private rejectLateBody(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
     log.count("router.body_late");
     this.deny(outgoing, 408, "the deadline has passed before the body was whole; send it faster", null, true);
     outgoing.once("finish", () => incoming.destroy());
   }
 
-  private denyTooLarge(outgoing: nodeHttp.ServerResponse): void {
+  private rejectTooLarge(outgoing: nodeHttp.ServerResponse): void {
     this.deny(outgoing, 413, `the body is over max_body_bytes ${this.limits.max_body_bytes}; send a smaller one`, null, true);
   }
 
@@ -203,16 +203,16 @@
     outgoing: nodeHttp.ServerResponse,
     admitted: tenantGate.Admitted,
   ): void {
-    const { world, chooser, active, held, sending, tenancy } = this;
+    const { world, chooser, active, buffered, sending, tenancy } = this;
     const isLeaving = this.isGoing.bind(this);
     const bytes = request.body?.length ?? 0;
     const transaction = new requestTransaction.Transaction({ world, chooser, finished, sending, isLeaving }, request, incoming, outgoing);
-    held.bytes += bytes;
+    buffered.bytes += bytes;
     active.add(transaction);
     transaction.start();
     function finished(): void {
       if (!active.delete(transaction)) return;
-      held.bytes -= bytes;
+      buffered.bytes -= bytes;
       if (transaction.isUnsent) tenancy.giveBack(request.tenant, admitted);
     }
   }
@@ -222,7 +222,7 @@
   }
 }
 
-const CLIENT_ERRORS = new Map<string, string>([
+const STATUS_BY_PARSER_ERROR = new Map<string, string>([
   ["HPE_HEADER_OVERFLOW", "431 Request Header Fields Too Large"],
   ["ERR_HTTP_REQUEST_TIMEOUT", "408 Request Timeout"],
 ]);
@@ -234,7 +234,7 @@
     return;
   }
   if (requestValidation.keepPendingResponse(socket)) return;
-  const status = CLIENT_ERRORS.get(cause.code ?? "") ?? "400 Bad Request";
+  const status = STATUS_BY_PARSER_ERROR.get(cause.code ?? "") ?? "400 Bad Request";
   log.count(`router.reply_${status.slice(0, 3)}`);
   socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
 }
--- a/src/router/graceful-shutdown.ts
+++ b/src/router/graceful-shutdown.ts
@@ -6,14 +6,14 @@
 import type * as routerServer from "./client/router-server.js";
 
 /** Of the grace time, kept for the end of the process itself. */
-const LAST_MS = 400;
-const STEP_MS = 50;
+const EXIT_RESERVE_MS = 400;
+const POLL_INTERVAL_MS = 50;
 
 /** Resolves when no request is at work any more, or the grace time is nearly over. The server is marked as leaving before. */
 export async function drainRequests(clock: types.Clock, server: routerServer.RouterServer, graceMs: number): Promise<void> {
   const startedAt = clock.now();
-  const until = startedAt + graceMs - LAST_MS;
+  const until = startedAt + graceMs - EXIT_RESERVE_MS;
   await timers.sleep(clock, Math.min(directory.LEAVE_MS + link.BEAT_MS, until - startedAt));
   server.close();
-  while (server.activeCount > 0 && clock.now() < until) await timers.sleep(clock, STEP_MS);
+  while (server.activeCount > 0 && clock.now() < until) await timers.sleep(clock, POLL_INTERVAL_MS);
 }
--- a/src/router/header-rules.ts
+++ b/src/router/header-rules.ts
@@ -27,24 +27,24 @@
   [names.HEADER.key, "drop"],
   [names.HEADER.tenant, "replace"],
 ]);
-const REPLY_RULES = new Map<string, Rule>(CONNECTION_RULES);
+const RESPONSE_RULES = new Map<string, Rule>(CONNECTION_RULES);
 
 /** What the runner works by goes to it as the client sent it, also where the client names it as one of its connection. */
 const END_TO_END: ReadonlySet<string> = new Set([names.HEADER.model, names.HEADER.tokens, names.HEADER.prefix, names.HEADER.lastEventId]);
 
-function nominated(connection: string | undefined): ReadonlySet<string> {
+function connectionOptions(connection: string | undefined): ReadonlySet<string> {
   const found = new Set<string>();
   if (!connection) return found;
   for (const item of connection.toLowerCase().split(",")) {
-    const bare = item.trim();
-    if (bare !== "close" && bare !== "keep-alive" && bare !== "" && !END_TO_END.has(bare)) found.add(bare);
+    const option = item.trim();
+    if (option !== "close" && option !== "keep-alive" && option !== "" && !END_TO_END.has(option)) found.add(option);
   }
   return found;
 }
 
 /** A route of rank 0 goes a step before what names no priority at all, which a runner takes as 5. */
-const FIRST_PRIORITY = 4;
-const LAST_PRIORITY = 9;
+const HIGHEST_PRIORITY = 4;
+const LOWEST_PRIORITY = 9;
 
 /** What the router itself sets on a send. */
 export interface Sending {
@@ -59,16 +59,16 @@
 
 /** Raw name and value pairs for the runner. */
 export function forRunner(raw: readonly string[], connection: string | undefined, sending: Sending): string[] {
-  const dropped = nominated(connection);
-  const made: string[] = [];
+  const dropped = connectionOptions(connection);
+  const result: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index].toLowerCase();
     if (REQUEST_RULES.has(name) || dropped.has(name)) continue;
     if (sending.lastEventId !== null && name === names.HEADER.lastEventId) continue;
-    made.push(raw[index], raw[index + 1]);
+    result.push(raw[index], raw[index + 1]);
   }
-  const priority = Math.min(LAST_PRIORITY, FIRST_PRIORITY + sending.rank);
-  made.push(
+  const priority = Math.min(LOWEST_PRIORITY, HIGHEST_PRIORITY + sending.rank);
+  result.push(
     "X-Cranewind-Request-Priority",
     String(priority),
     "X-Cranewind-Target-Instance",
@@ -76,20 +76,20 @@
     "X-Cranewind-Time-Budget-Ms",
     String(sending.budgetMs),
   );
-  if (sending.tenant !== null) made.push("X-Cranewind-Tenant", sending.tenant);
-  if (sending.lastEventId !== null) made.push("Last-Event-Id", sending.lastEventId);
-  return made;
+  if (sending.tenant !== null) result.push("X-Cranewind-Tenant", sending.tenant);
+  if (sending.lastEventId !== null) result.push("Last-Event-Id", sending.lastEventId);
+  return result;
 }
 
 /** Raw name and value pairs for the client. */
 export function forClient(raw: readonly Buffer[], connection: string | undefined): string[] {
-  const dropped = nominated(connection);
-  const made: string[] = [];
+  const dropped = connectionOptions(connection);
+  const result: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index].toString("latin1");
     const lower = name.toLowerCase();
-    if (REPLY_RULES.has(lower) || dropped.has(lower)) continue;
-    made.push(name, raw[index + 1].toString("latin1"));
+    if (RESPONSE_RULES.has(lower) || dropped.has(lower)) continue;
+    result.push(name, raw[index + 1].toString("latin1"));
   }
-  return made;
+  return result;
 }
--- a/src/router/limit-borrower.ts
+++ b/src/router/limit-borrower.ts
@@ -6,29 +6,29 @@
 import type * as shares from "../limits/shares.js";
 
 /** With nothing to tell, an owner is asked so often whether it grants. */
-const QUIET_MS = 900;
-const ASK_MS = 300;
-const REPLY_MS = 1800;
+const IDLE_REQUEST_INTERVAL_MS = 900;
+const REQUEST_INTERVAL_MS = 300;
+const REPLY_TIMEOUT_MS = 1800;
 
-interface Source {
+interface LeaseSource {
   isGranting: boolean;
-  askedAt: number;
+  requestedAt: number;
 }
 
 /** The part of a need that goes to one of the owners: hot tries are rounded up, all else goes to one in turn. */
-export function split(need: leaseSchema.Need, place: number, owners: number, turn: number): leaseSchema.Need | null {
+export function split(need: leaseSchema.Need, index: number, owners: number, turn: number): leaseSchema.Need | null {
   const base = Math.floor(need.wanted / owners);
   const rest = need.wanted % owners;
-  const isNext = (place + turn) % owners < rest;
+  const isNext = (index + turn) % owners < rest;
   const wanted = base + (isNext || (need.isHot && need.kind === leaseSchema.TRIES && rest > 0) ? 1 : 0);
   return wanted > 0 ? { ...need, wanted } : null;
 }
 
 /** One for each router. */
 export class LimitBorrower {
-  private readonly sources = new Map<string, Source>();
-  private turnNumber = 0;
-  private askedAt = -Infinity;
+  private readonly sources = new Map<string, LeaseSource>();
+  private roundNumber = 0;
+  private requestedAt = -Infinity;
 
   constructor(
     private readonly world: types.Clock,
@@ -40,20 +40,20 @@
   /** Called often: asks at once when something was missing, else with each beat. */
   turn(): void {
     const now = this.world.now();
-    if (now - this.askedAt < ASK_MS && !this.share.held.isShort) return;
-    this.askedAt = now;
-    this.turnNumber += 1;
+    if (now - this.requestedAt < REQUEST_INTERVAL_MS && !this.share.held.isShort) return;
+    this.requestedAt = now;
+    this.roundNumber += 1;
     const needs = this.share.held.needs();
     const controls = [...this.dial.controls.values()];
-    const lives = new Set(controls.map(lifeOf));
+    const lives = new Set(controls.map(incarnationOf));
     for (const life of this.sources.keys()) if (!lives.has(life)) this.sources.delete(life);
     this.share.held.forgetAllBut(lives);
     const owners = controls.filter(this.isOwner.bind(this)).sort(byAddress);
     for (const control of controls) {
-      const place = owners.indexOf(control);
+      const index = owners.indexOf(control);
       const own: leaseSchema.Need[] = [];
       for (const need of needs) {
-        const part = place < 0 ? null : split(need, place, owners.length, this.turnNumber);
+        const part = index < 0 ? null : split(need, index, owners.length, this.roundNumber);
         if (part) own.push(part);
       }
       this.ask(control, own, now);
@@ -68,12 +68,12 @@
   private ask(control: dialer.Control, needs: leaseSchema.Need[], now: number): void {
     const { life } = control.node;
     const done = this.share.held.done(life);
-    const source = this.sources.get(life) ?? { isGranting: true, askedAt: -Infinity };
-    if (needs.length === 0 && done.length === 0 && now - source.askedAt < QUIET_MS) return;
-    source.askedAt = now;
+    const source = this.sources.get(life) ?? { isGranting: true, requestedAt: -Infinity };
+    if (needs.length === 0 && done.length === 0 && now - source.requestedAt < IDLE_REQUEST_INTERVAL_MS) return;
+    source.requestedAt = now;
     this.sources.set(life, source);
     const { share } = this;
-    void control.link.call(calls.lease, { router: this.life, life, needs, done }, REPLY_MS).then(take);
+    void control.link.call(calls.lease, { router: this.life, life, needs, done }, REPLY_TIMEOUT_MS).then(take);
     function take(reply: leaseSchema.LeaseReply | null): void {
       source.isGranting = reply?.isGranting ?? false;
       if (reply) share.grant(reply, now);
@@ -81,7 +81,7 @@
   }
 }
 
-function lifeOf(control: dialer.Control): string {
+function incarnationOf(control: dialer.Control): string {
   return control.node.life;
 }
 
--- a/src/router/policies/cell-policy.ts
+++ b/src/router/policies/cell-policy.ts
@@ -9,9 +9,9 @@
 /** From so many shared tokens on, the request goes to the data. */
 export const DETERMINISTIC_TOKENS = 1000;
 /** A cell with fewer of its runners in good status than this is unavailable. */
-export const THRESHOLD = 0.34;
+export const MIN_GOOD_FRACTION = 0.34;
 
-const SHORT_MS = 1000;
+const SHORT_ABSENCE_MS = 1000;
 /** Cells of the key's order that a request may well be sent to (*ours*): these are followed in detail (design/usage 4.1). */
 const RANKED_CELLS = 2;
 
@@ -40,7 +40,7 @@
 
 /** A short doubt is no absence: only who was away for longer comes back by steps. */
 function moved(state: CellState, isIn: boolean, now: number): CellState {
-  if (isIn && now - state.since < SHORT_MS) return { isIn, since: -Infinity };
+  if (isIn && now - state.since < SHORT_ABSENCE_MS) return { isIn, since: -Infinity };
   return { isIn, since: now };
 }
 
@@ -93,7 +93,7 @@
   /** Past the threshold a cell is unavailable; after a while away it comes back by percentage steps. */
   private isAvailable(plan: routePlan.RoutePlan, counts: ReadonlyMap<string, CellCount>, region: string): boolean {
     const cell = counts.get(region)!;
-    const isGood = cell.good >= cell.all * THRESHOLD && cell.good > 0;
+    const isGood = cell.good >= cell.all * MIN_GOOD_FRACTION && cell.good > 0;
     const key = `${plan.service}|${region}`;
     const state = this.states.get(key) ?? { isIn: true, since: -Infinity };
     if (state.isIn !== isGood) this.states.set(key, moved(state, isGood, plan.now));
--- a/src/router/policies/runner-policy.ts
+++ b/src/router/policies/runner-policy.ts
@@ -6,20 +6,20 @@
 import type * as prefillTracker from "../../runners/prefill-tracker.js";
 import * as runnerHealth from "../../runners/runner-health.js";
 
-const SLACK = 4;
-const OVER_MEAN = 1.5;
-const FULL_MEMORY = 0.92;
+const LOAD_SLACK = 4;
+const MAX_MEAN_LOAD_FACTOR = 1.5;
+const MAX_KV_CACHE_FRACTION = 0.92;
 /** A prompt of so many unread tokens is a long reading; it holds up every stream of its runner. */
 export const LONG_TOKENS = 2000;
 /** Weights in milliseconds. */
-const RANK_MS = 70;
-const MAX_RANK = 3;
+const AFFINITY_RANK_MS = 70;
+const AFFINITY_RANKS = 3;
 const NEXT_CELL_MS = 100;
-const BATCH_MS = 400;
+const LOAD_WEIGHT_MS = 400;
 /** Reading again costs the runner and whoever comes after, not only this request. */
-const READ_WEIGHT = 2;
+const PREFILL_WEIGHT = 2;
 
-interface Weighed {
+interface ScoredRunner {
   runner: runnerEndpoint.RunnerEndpoint;
   ms: number;
 }
@@ -30,70 +30,70 @@
   constructor(private readonly known: prefillTracker.PrefillTracker) {}
 
   apply(plan: routePlan.RoutePlan): routePlan.Rejection | null {
-    const good: Weighed[] = [];
-    const over: Weighed[] = [];
-    const suspect: Weighed[] = [];
-    const ejected: Weighed[] = [];
+    const good: ScoredRunner[] = [];
+    const over: ScoredRunner[] = [];
+    const suspect: ScoredRunner[] = [];
+    const ejected: ScoredRunner[] = [];
     const { isRepeatable } = plan.entry;
-    for (const [place, region] of plan.cells.entries()) {
+    for (const [cellIndex, region] of plan.cells.entries()) {
       const cell = plan.candidates.filter(isHere);
       function isHere(runner: runnerEndpoint.RunnerEndpoint): boolean {
         return runner.region === region;
       }
-      const bound = boundOf(cell);
-      for (const weighed of this.weigh(plan, cell, place)) {
-        const standing = runnerHealth.assessHealth(weighed.runner, plan.now, isRepeatable, plan.requestId);
-        if (standing === "ejected") ejected.push(weighed);
-        else if (standing === "suspect") suspect.push(weighed);
-        else if (isOver(weighed.runner, bound, plan.now)) over.push(weighed);
-        else good.push(weighed);
+      const bound = loadBound(cell);
+      for (const scored of this.scoreCell(plan, cell, cellIndex)) {
+        const standing = runnerHealth.assessHealth(scored.runner, plan.now, isRepeatable, plan.requestId);
+        if (standing === "ejected") ejected.push(scored);
+        else if (standing === "suspect") suspect.push(scored);
+        else if (isOverloaded(scored.runner, bound, plan.now)) over.push(scored);
+        else good.push(scored);
       }
     }
     plan.candidates = [...good.sort(byMs), ...over.sort(byMs), ...suspect.sort(byMs), ...ejected.sort(byMs)].map(runnerOf);
     return null;
   }
 
-  private weigh(plan: routePlan.RoutePlan, cell: runnerEndpoint.RunnerEndpoint[], place: number): Weighed[] {
+  private scoreCell(plan: routePlan.RoutePlan, cell: runnerEndpoint.RunnerEndpoint[], cellIndex: number): ScoredRunner[] {
     const { known } = this;
     const hasPrompt = plan.parts.length > 0;
-    const ranks = hasPrompt ? firstByKey(routePlan.promptKey(plan.shared), cell) : null;
-    return cell.map(weighed);
-    function weighed(runner: runnerEndpoint.RunnerEndpoint): Weighed {
+    const ranks = hasPrompt ? affinityRanks(routePlan.promptKey(plan.shared), cell) : null;
+    return cell.map(scored);
+    function scored(runner: runnerEndpoint.RunnerEndpoint): ScoredRunner {
       let ms =
         runnerHealth.penaltyMs(runner, plan.now, plan.entry.isRepeatable) +
-        place * NEXT_CELL_MS +
-        (BATCH_MS * runner.requestCount()) / runner.instance.capacity;
+        cellIndex * NEXT_CELL_MS +
+        (LOAD_WEIGHT_MS * runner.requestCount()) / runner.instance.capacity;
       if (hasPrompt) {
         const unread = known.unread(runner.id, plan.parts, plan.keys);
-        ms += known.backlogMs(runner.id, plan.now) + (READ_WEIGHT * unread) / known.rate + RANK_MS * (ranks?.get(runner) ?? MAX_RANK);
+        ms += known.backlogMs(runner.id, plan.now) + (PREFILL_WEIGHT * unread) / known.rate + AFFINITY_RANK_MS * (ranks?.get(runner) ?? AFFINITY_RANKS);
       }
       return { runner, ms };
     }
   }
 }
 
-function byMs(left: Weighed, right: Weighed): number {
+function byMs(left: ScoredRunner, right: ScoredRunner): number {
   return left.ms - right.ms || (left.runner.id < right.runner.id ? -1 : 1);
 }
 
-function runnerOf(item: Weighed): runnerEndpoint.RunnerEndpoint {
+function runnerOf(item: ScoredRunner): runnerEndpoint.RunnerEndpoint {
   return item.runner;
 }
 
 /** No runner takes much more than its cell's mean, so that one hot key does not fill it. */
-function boundOf(cell: readonly runnerEndpoint.RunnerEndpoint[]): number {
+function loadBound(cell: readonly runnerEndpoint.RunnerEndpoint[]): number {
   let sum = 0;
   for (const runner of cell) sum += runner.requestCount();
-  return OVER_MEAN * (sum / Math.max(1, cell.length)) + SLACK;
+  return MAX_MEAN_LOAD_FACTOR * (sum / Math.max(1, cell.length)) + LOAD_SLACK;
 }
 
-function isOver(runner: runnerEndpoint.RunnerEndpoint, bound: number, now: number): boolean {
+function isOverloaded(runner: runnerEndpoint.RunnerEndpoint, bound: number, now: number): boolean {
   const usage = runner.requestCount();
-  return usage >= runner.instance.capacity || usage > bound || now < runner.fullUntil || runner.kvUsedFraction > FULL_MEMORY;
+  return usage >= runner.instance.capacity || usage > bound || now < runner.fullUntil || runner.kvUsedFraction > MAX_KV_CACHE_FRACTION;
 }
 
 /** The first places of the key's order; all others are alike. The key is hashed once, not for each runner. */
-function firstByKey(key: string, cell: readonly runnerEndpoint.RunnerEndpoint[]): ReadonlyMap<runnerEndpoint.RunnerEndpoint, number> {
+function affinityRanks(key: string, cell: readonly runnerEndpoint.RunnerEndpoint[]): ReadonlyMap<runnerEndpoint.RunnerEndpoint, number> {
   const start = shares.begun(`${key}|`);
   const first: runnerEndpoint.RunnerEndpoint[] = [];
   const scores: number[] = [];
@@ -101,10 +101,10 @@
     const score = shares.ended(start, runner.id);
     let at = first.length;
     while (at > 0 && score > scores[at - 1]) at -= 1;
-    if (at >= MAX_RANK) continue;
+    if (at >= AFFINITY_RANKS) continue;
     first.splice(at, 0, runner);
     scores.splice(at, 0, score);
-    first.length = scores.length = Math.min(first.length, MAX_RANK);
+    first.length = scores.length = Math.min(first.length, AFFINITY_RANKS);
   }
   const ranks = new Map<runnerEndpoint.RunnerEndpoint, number>();
   for (const [rank, runner] of first.entries()) ranks.set(runner, rank);
--- a/src/router/prefill-sharing.ts
+++ b/src/router/prefill-sharing.ts
@@ -8,7 +8,7 @@
 import type * as routeRequest from "./route-request.js";
 
 /** The other routers learn of readings from so many tokens on. */
-const MIN_TOKENS = 1000;
+const MIN_SHARED_TOKENS = 1000;
 
 /** Joins what is read here and elsewhere. */
 export class PrefillSharing implements hintExchange.HintHandler {
@@ -32,7 +32,7 @@
     const unread = Math.round(this.known.unread(runner, request.parts, request.keys));
     const news = request.keys.slice(this.known.keptParts(runner, request.keys));
     this.onPrefill(runner, unread, request.keys);
-    if (unread >= MIN_TOKENS) this.signSender.publishPrefill(runner, unread, news);
+    if (unread >= MIN_SHARED_TOKENS) this.signSender.publishPrefill(runner, unread, news);
     return unread;
   }
 
--- a/src/router/request-transaction.ts
+++ b/src/router/request-transaction.ts
@@ -12,21 +12,21 @@
 import * as routeRequest from "./route-request.js";
 import * as transactionState from "./transaction-state.js";
 
-const MIN_MS = 10;
-const MAX_UNSENT = 4;
-const LOOK_MS = 250;
+const MIN_REMAINING_MS = 10;
+const MAX_UNSENT_ATTEMPTS = 4;
+const SILENCE_CHECK_INTERVAL_MS = 250;
 
 /** One request of a client, from its body to the end of its answer. */
 export class Transaction implements runnerAttempt.Owner {
   state: transactionState.TransactionState = "reading";
   private readonly tried = new Set<string>();
-  private sends = 0;
-  private unsent = 0;
+  private sendCount = 0;
+  private unsentCount = 0;
   private attempt: runnerAttempt.Attempt | null = null;
   private deadlineTimer: types.Timer | null = null;
   private reading: { tokens: number; since: number } | null = null;
-  private hasRun = false;
-  private nextLookAt = 0;
+  private mayHaveRun = false;
+  private nextSilenceCheckAt = 0;
   private readonly reply: clientResponse.ClientResponse;
 
   constructor(
@@ -61,11 +61,11 @@
   /** Runs the chain and sends on; a rejection is told at once. */
   private choose(): void {
     const left = this.request.deadline - this.context.world.now();
-    if (left < MIN_MS) {
+    if (left < MIN_REMAINING_MS) {
       this.deny({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
       return;
     }
-    const choice = this.context.chooser.pick(this.request, this.tried, this.sends);
+    const choice = this.context.chooser.pick(this.request, this.tried, this.sendCount);
     if ("status" in choice) this.deny(choice);
     else this.sendTo(choice);
   }
@@ -73,7 +73,7 @@
   private sendTo(choice: runnerPicker.Pick): void {
     const left = this.request.deadline - this.context.world.now();
     this.tried.add(choice.runner.id);
-    this.sends += 1;
+    this.sendCount += 1;
     const sending = { target: choice.runner.id, budgetMs: Math.max(1, Math.floor(left)), lastEventId: this.reply.lastEventId };
     this.attempt = new runnerAttempt.Attempt(
       this.context.world,
@@ -95,7 +95,7 @@
   /** Nothing has run, and nothing will: only then may a promise be given. */
   private deny(rejection: routePlan.Rejection): void {
     log.count("router.denied");
-    if (this.reply.isHeadOut || this.hasRun) this.lost();
+    if (this.reply.isHeadOut || this.mayHaveRun) this.lost();
     else this.finish(rejection.status, rejection.cause, rejection.retryAfterS, "denied");
   }
 
@@ -145,7 +145,7 @@
   }
 
   private mayRepeat(): boolean {
-    return this.sends < this.context.chooser.mostSends(this.request);
+    return this.sendCount < this.context.chooser.mostSends(this.request);
   }
 
   onEnd(attempt: runnerAttempt.Attempt, ending: runnerAttempt.Ending, head: responseHead.ResponseHead | null): void {
@@ -166,9 +166,9 @@
   }
 
   private notSent(): void {
-    if ((this.sends -= 1) > 0) this.context.chooser.giveBack(this.request.service);
-    this.unsent += 1;
-    if (this.unsent > MAX_UNSENT) this.deny({ status: 503, cause: "no runner takes a connection", retryAfterS: 0.4 });
+    if ((this.sendCount -= 1) > 0) this.context.chooser.giveBack(this.request.service);
+    this.unsentCount += 1;
+    if (this.unsentCount > MAX_UNSENT_ATTEMPTS) this.deny({ status: 503, cause: "no runner takes a connection", retryAfterS: 0.4 });
     else this.again();
   }
 
@@ -185,7 +185,7 @@
 
   /** Sent, and no whole reply: only what is repeatable goes on, a stream from its last whole event. */
   private broken(): void {
-    this.hasRun = true;
+    this.mayHaveRun = true;
     this.reply.dropPart();
     if (this.canGoOn()) this.again();
     else this.lost();
@@ -208,21 +208,21 @@
    */
   watch(now: number): void {
     const { attempt, context } = this;
-    if (!attempt?.isSent || attempt.isOver || now < this.nextLookAt || !this.canGoOn()) return;
+    if (!attempt?.isSent || attempt.isOver || now < this.nextSilenceCheckAt || !this.canGoOn()) return;
     const quiet = now - attempt.receivedAt;
     if (quiet < context.chooser.patienceMs(this.request.entry, this.state === "passing", attempt.runner, now)) return;
-    if (this.nextLookAt === 0) attempt.runner.suspect(now);
-    this.nextLookAt = now + LOOK_MS;
-    const choice = context.chooser.pick(this.request, this.tried, this.sends);
+    if (this.nextSilenceCheckAt === 0) attempt.runner.suspect(now);
+    this.nextSilenceCheckAt = now + SILENCE_CHECK_INTERVAL_MS;
+    const choice = context.chooser.pick(this.request, this.tried, this.sendCount);
     if ("status" in choice) {
       log.count("router.stayed");
       return;
     }
-    this.nextLookAt = 0;
+    this.nextSilenceCheckAt = 0;
     log.count("router.left_silent");
     this.attempt = null;
     attempt.cancel();
-    this.hasRun = true;
+    this.mayHaveRun = true;
     this.reply.dropPart();
     this.move("choosing");
     this.sendTo(choice);
@@ -235,7 +235,7 @@
     this.attempt = null;
     attempt?.cancel();
     if (this.reply.isHeadOut) this.breakOff("late");
-    else if (isOut || this.hasRun) this.finish(504, "the deadline passed while the request ran", null, "late");
+    else if (isOut || this.mayHaveRun) this.finish(504, "the deadline passed while the request ran", null, "late");
     else this.deny({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
   }
 
--- a/src/router/response-head.ts
+++ b/src/router/response-head.ts
@@ -13,11 +13,11 @@
 }
 
 const MISDIRECTED = 421;
-const FIRST_FAILURE = 400;
+const MIN_FAILURE_STATUS = 400;
 /** A client takes these as a promise that the request has not run and never will. */
-const PROMISES: ReadonlySet<number> = new Set([408, MISDIRECTED, 429, 503]);
+const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([408, MISDIRECTED, 429, 503]);
 /** Answers with these never have a body. */
-const BODILESS: ReadonlySet<number> = new Set([204, 304]);
+const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /**
  * Whether the answer bears this request's id, once or more often, and no other. Runners echo the id, so an answer
@@ -47,16 +47,16 @@
 
 /** Whether the runner says that it did not run the request. A success that says so contradicts itself: it may have run. */
 export function isNotExecuted(head: ResponseHead): boolean {
-  return head.status === MISDIRECTED || (head.status >= FIRST_FAILURE && head.headers.has(names.HEADER.notExecuted));
+  return head.status === MISDIRECTED || (head.status >= MIN_FAILURE_STATUS && head.headers.has(names.HEADER.notExecuted));
 }
 
 /** Whether a client would read the status as a promise that the request has not run. */
 export function isPromise(head: ResponseHead): boolean {
-  return PROMISES.has(head.status);
+  return NOT_EXECUTED_STATUSES.has(head.status);
 }
 
 /** Whether only the end of the connection tells the end of the body (RFC 9112, 6.3): neither a length nor chunks do. */
 export function endsWithConnection(head: ResponseHead, method: string): boolean {
-  if (method === "HEAD" || BODILESS.has(head.status)) return false;
+  if (method === "HEAD" || BODILESS_STATUSES.has(head.status)) return false;
   return !head.headers.has("content-length") && head.headers.get("transfer-encoding")?.toLowerCase().includes("chunked") !== true;
 }
--- a/src/router/route-request.ts
+++ b/src/router/route-request.ts
@@ -13,7 +13,7 @@
 
 /** For clients that don't say how long they wait. */
 const DEFAULT_BUDGET_MS = 60_000;
-const HASHES = 2 ** 32;
+const HASH_RANGE = 2 ** 32;
 
 /** One try of a client, read whole. */
 export interface RouteRequest {
@@ -35,18 +35,18 @@
   body: Buffer | null;
 }
 
-function single(header: string | string[] | undefined): string {
+function singleValue(header: string | string[] | undefined): string {
   return typeof header === "string" ? header : (header?.[0] ?? "");
 }
 
 /** Empty when the client sent none. */
 export function idOf(incoming: nodeHttp.IncomingMessage): types.RequestId {
-  return types.small(single(incoming.headers[names.HEADER.requestId]));
+  return types.small(singleValue(incoming.headers[names.HEADER.requestId]));
 }
 
 /** How long a request may be held from its arrival: the least of the client's time and its route's, where the route is known. */
 export function mostHeldMs(incoming: nodeHttp.IncomingMessage, entry: routes.RouteEntry | null): number {
-  const asked = Number(single(incoming.headers[names.HEADER.budgetMs]));
+  const asked = Number(singleValue(incoming.headers[names.HEADER.budgetMs]));
   return Math.min(asked > 0 ? asked : DEFAULT_BUDGET_MS, entry?.route.deadline_ms ?? Infinity);
 }
 
@@ -63,15 +63,15 @@
 /** The request of what was read. */
 export function requestOf(incoming: nodeHttp.IncomingMessage, received: Received): RouteRequest {
   const { requestId, entry, tenant, arrivedAt, isBatch } = received;
-  const parts = routePlan.parsePromptParts(single(incoming.headers[names.HEADER.prefix]));
+  const parts = routePlan.parsePromptParts(singleValue(incoming.headers[names.HEADER.prefix]));
   return {
     ...received,
     rank: isBatch ? routes.BATCH_RANK : routes.rankOf(entry.route, tenant?.priority),
-    service: routes.chooseService(entry, shares.hash(`${requestId}/split`) / HASHES),
+    service: routes.chooseService(entry, shares.hash(`${requestId}/split`) / HASH_RANGE),
     parts,
     keys: prefillTracker.chainKeys(parts),
     deadline: arrivedAt + mostHeldMs(incoming, entry),
-    requestedTokens: routePlan.parseRequestedTokens(single(incoming.headers[names.HEADER.tokens]), parts),
+    requestedTokens: routePlan.parseRequestedTokens(singleValue(incoming.headers[names.HEADER.tokens]), parts),
   };
 }
 
--- a/src/router/router-batches.ts
+++ b/src/router/router-batches.ts
@@ -28,14 +28,14 @@
   /** Takes passes, and answers control nodes that ask for loads. */
   register(handlers: link.Handlers): void {
     handlers.on(calls.batchPass, (from, told) => {
-      this.takePass(from, told.pass);
+      this.recordPass(from, told.pass);
       return null;
     });
     handlers.on(calls.routerLoads, () => this.loads());
   }
 
   /** A pass holds while the link stands over which it came. */
-  private takePass(from: link.Link, pass: string): void {
+  private recordPass(from: link.Link, pass: string): void {
     if (!this.passes.has(from)) from.once("end", () => this.passes.delete(from));
     this.passes.set(from, pass);
   }
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -31,8 +31,8 @@
 import * as tenantGate from "./tenant-gate.js";
 import * as followedTopics from "./followed-topics.js";
 
-const WATCH_MS = 100;
-const CHILL_MS = 2500;
+const WATCH_INTERVAL_MS = 100;
+const FAILBACK_WARM_UP_MS = 2500;
 
 export type { RouterPosition as Standing } from "./router-status.js";
 
@@ -125,7 +125,7 @@
     if (checked) root.add(readinessServer.readinessChild(checked, this.isReady.bind(this), this.status.bind(this)));
     if (frontend) root.add({ name: "frontend", start: server.listen.bind(server, frontend), stop: server.close.bind(server) });
     root.add(root.turns("beats", link.BEAT_MS, this.beat.bind(this)));
-    root.add(root.turns("watch", WATCH_MS, this.watch.bind(this)));
+    root.add(root.turns("watch", WATCH_INTERVAL_MS, this.watch.bind(this)));
   }
 
   private beat(): void {
@@ -134,7 +134,7 @@
 
   private watch(): void {
     this.judgeStart();
-    this.chooser.admission.runPeriodically(WATCH_MS);
+    this.chooser.admission.runPeriodically(WATCH_INTERVAL_MS);
     this.dial.turn();
     this.follower.elect();
     this.follower.narrow();
@@ -182,7 +182,7 @@
     this.chooser.table = config.table;
     if (config.table) this.server.limit(config.limits);
     this.tenancy.take(this.epoch, config.tenants);
-    for (const zone of this.rotation.take(config.evacuations, isFirst)) this.fleet.chill(zone, CHILL_MS);
+    for (const zone of this.rotation.take(config.evacuations, isFirst)) this.fleet.chill(zone, FAILBACK_WARM_UP_MS);
     log.state(`config: epoch ${this.epoch}, revision ${config.revision} in force`);
     this.beat();
     this.judgeStart();
--- a/src/router/runner-attempt.ts
+++ b/src/router/runner-attempt.ts
@@ -11,9 +11,9 @@
 import * as idleTimeout from "../runners/idle-timeout.js";
 import type * as failureKind from "../runners/failure-kind.js";
 
-const CONNECT_MS = 450;
+const CONNECT_TIMEOUT_MS = 450;
 /** After so many events the pace of a stream is known. */
-const GAP_PIECES = 6;
+const GAP_SAMPLE_CHUNKS = 6;
 
 /** How an attempt ended. */
 export type Ending =
@@ -52,10 +52,10 @@
   private connectTimer: types.Timer | null = null;
   private startedAt = 0;
   private tokens = 0;
-  private pieces = 0;
-  private firstAt = 0;
-  private isHandedBack = false;
-  private isFirst = false;
+  private chunkCount = 0;
+  private firstChunkAt = 0;
+  private isNotExecuted = false;
+  private isFirstUse = false;
   private isStreaming = false;
   private abortSend: ((reason?: Error) => void) | null = null;
   private resumeRead: (() => void) | null = null;
@@ -70,8 +70,8 @@
 
   /** `tokens`: of its prompt, those that the runner has to read. */
   start(tokens = 0): void {
-    this.isFirst = this.connection.isFresh;
-    if (this.isFirst) this.connectTimer = this.world.schedule(CONNECT_MS, this.tooLate.bind(this));
+    this.isFirstUse = this.connection.isFresh;
+    if (this.isFirstUse) this.connectTimer = this.world.schedule(CONNECT_TIMEOUT_MS, this.onConnectTimeout.bind(this));
     this.runner.inflight += 1;
     this.receivedAt = this.startedAt = this.world.now();
     this.tokens = tokens;
@@ -90,7 +90,7 @@
   }
 
   /** No connection came up: nothing was sent, and the request may go elsewhere. */
-  private tooLate(): void {
+  private onConnectTimeout(): void {
     if (this.isSent || this.isOver) return;
     this.runner.sign("unreached", this.world.now());
     this.end("not_sent", false);
@@ -118,20 +118,20 @@
     if (!responseHead.isOf(head, this.what.requestId)) {
       // An answer too many, of an earlier request, or no runner's answer: nothing on this connection can be trusted.
       log.count("router.foreign_answer");
-      this.spoiled("broken");
+      this.discard("broken");
       return true;
     }
     this.head = head;
     if (responseHead.isNotExecuted(head)) {
-      this.isHandedBack = true;
+      this.isNotExecuted = true;
       return true;
     }
     this.isPassing = this.owner.onHead(this, this.head);
-    if (!this.isPassing) this.spoiled(this.failure() ?? "broken");
+    if (!this.isPassing) this.discard(this.failure() ?? "broken");
     return true;
   }
 
-  private spoiled(sign: failureKind.FailureKind): void {
+  private discard(sign: failureKind.FailureKind): void {
     this.runner.sign(sign, this.world.now());
     this.end("broken", false);
   }
@@ -145,7 +145,7 @@
 
   private failure(): failureKind.FailureKind | null {
     const status = this.head?.status ?? 0;
-    if (this.isHandedBack) return status === 421 || status === 400 ? null : "shed";
+    if (this.isNotExecuted) return status === 421 || status === 400 ? null : "shed";
     if (status < 500) return null;
     return status === 504 ? "late" : "error";
   }
@@ -155,19 +155,19 @@
     const status = this.head?.status ?? 0;
     if (status < 200 || status >= 300) return;
     const { runner, receivedAt } = this;
-    this.pieces += 1;
-    if (this.pieces === 1) {
-      this.firstAt = receivedAt;
+    this.chunkCount += 1;
+    if (this.chunkCount === 1) {
+      this.firstChunkAt = receivedAt;
       runner.outcomes.took(this.work(), this.tokens, receivedAt - this.startedAt, receivedAt, runner.isLoaded(receivedAt));
-    } else if (this.what.isStream && this.pieces === GAP_PIECES + 1) {
-      runner.outcomes.took("gap", 0, (receivedAt - this.firstAt) / GAP_PIECES, receivedAt, runner.isLoaded(receivedAt));
+    } else if (this.what.isStream && this.chunkCount === GAP_SAMPLE_CHUNKS + 1) {
+      runner.outcomes.took("gap", 0, (receivedAt - this.firstChunkAt) / GAP_SAMPLE_CHUNKS, receivedAt, runner.isLoaded(receivedAt));
     }
   }
 
   onData(chunk: Buffer): boolean {
     if (this.isOver) return true;
     this.received();
-    if (this.isHandedBack) return true;
+    if (this.isNotExecuted) return true;
     this.time();
     this.what.ticket.recordEvent();
     if (!this.isStreaming && this.what.isStream) {
@@ -183,17 +183,17 @@
 
   onComplete(): void {
     if (this.isOver) return;
-    if (this.isCutOff()) {
+    if (this.isTruncated()) {
       this.onError();
       return;
     }
     this.judge();
     const isLeaving = this.head?.headers.get("connection")?.toLowerCase().includes("close") === true;
-    this.end(this.isHandedBack ? "handed_back" : "complete", !isLeaving);
+    this.end(this.isNotExecuted ? "handed_back" : "complete", !isLeaving);
   }
 
   /** A body that ends with its connection is whole only if that ended in order (RFC 9112, 8). */
-  private isCutOff(): boolean {
+  private isTruncated(): boolean {
     return this.connection.hasFailed && this.head !== null && responseHead.endsWithConnection(this.head, this.what.method);
   }
 
@@ -201,17 +201,17 @@
     const now = this.world.now();
     const failure = this.failure();
     if (failure) this.runner.sign(failure, now);
-    else if (!this.isHandedBack) this.runner.outcomes.succeed(now);
+    else if (!this.isNotExecuted) this.runner.outcomes.succeed(now);
   }
 
   onError(cause?: { code?: unknown }): void {
     if (this.isOver) return;
     if (this.isSent && !this.head && idleTimeout.isReset(cause)) this.runner.connections.broke(this.connection);
-    const isStale = this.isSent && !this.isFirst && this.head === null;
+    const isStale = this.isSent && !this.isFirstUse && this.head === null;
     const broken = isStale ? "stale" : "broken";
-    this.runner.sign(this.isHandedBack ? (this.failure() ?? "stale") : this.isSent ? broken : "refused", this.world.now());
+    this.runner.sign(this.isNotExecuted ? (this.failure() ?? "stale") : this.isSent ? broken : "refused", this.world.now());
     // A denial whose head was read stands, whatever became of the rest.
-    this.end(this.isHandedBack ? "handed_back" : this.isSent ? "broken" : "not_sent", false);
+    this.end(this.isNotExecuted ? "handed_back" : this.isSent ? "broken" : "not_sent", false);
   }
 
   /** Gives the attempt up: what the runner does from now on reaches nobody. */
--- a/src/router/runner-picker.ts
+++ b/src/router/runner-picker.ts
@@ -26,19 +26,19 @@
 }
 
 const MIN_CONNECTIONS = 2;
-const PATIENT_GAPS = 0.75;
-const PATIENT_AIMS = 1;
-const MIN_PATIENCE_MS = 300;
+const SILENCE_TIMEOUT_GAPS = 0.75;
+const SILENCE_TIMEOUT_LATENCY_TARGETS = 1;
+const MIN_SILENCE_TIMEOUT_MS = 300;
 const MIN_RETRY_S = 0.2;
 const MAX_RETRY_S = 3;
 
-function bounded(seconds: number): number {
+function boundedRetryS(seconds: number): number {
   return Math.min(MAX_RETRY_S, Math.max(MIN_RETRY_S, seconds));
 }
 
 /** The chain of policies of one router. */
 export class RunnerPicker {
-  private readonly chain: routePlan.Policy[];
+  private readonly policies: routePlan.Policy[];
   table: routes.RouteTable | null = null;
   readonly admission: admissions.Admission;
 
@@ -51,7 +51,7 @@
     readonly known: prefillTracker.PrefillTracker,
   ) {
     this.admission = new admissions.Admission(world, { runners: fleet.in.bind(fleet), known, routers });
-    this.chain = [
+    this.policies = [
       new homesPolicy.HomesPolicy(fleet, rotation),
       new cellPolicy.CellPolicy(ownRegion, fleet.summaries),
       new runnerPolicy.RunnerPolicy(known),
@@ -75,10 +75,10 @@
   /** How long a runner may be silent before a repeatable request leaves it. */
   patienceMs(entry: routes.RouteEntry, isPassing: boolean, runner: runnerEndpoint.RunnerEndpoint, now: number): number {
     const { target_gap_ms: gap, target_latency_ms: aim } = entry.route;
-    const usual = isPassing ? (gap ?? 1000) * PATIENT_GAPS : (aim ?? 1000) * PATIENT_AIMS;
+    const usual = isPassing ? (gap ?? 1000) * SILENCE_TIMEOUT_GAPS : (aim ?? 1000) * SILENCE_TIMEOUT_LATENCY_TARGETS;
     // A runner that speaks to others is at work; one that is silent to all is not worth the wait.
     if (runner.quietMs(now) < usual && runner.isReporting) return Math.max(2 * usual, 1500);
-    return Math.max(MIN_PATIENCE_MS, usual);
+    return Math.max(MIN_SILENCE_TIMEOUT_MS, usual);
   }
 
   pick(request: routeRequest.RouteRequest, tried: ReadonlySet<string>, sends: number): Pick | routePlan.Rejection {
@@ -104,13 +104,13 @@
       cells: [],
       candidates: [],
     };
-    const rejection = routePlan.runPolicies(this.chain, plan);
+    const rejection = routePlan.runPolicies(this.policies, plan);
     if (rejection) return rejection;
     if (sends > 0 && !this.share.takeRepeat(request.service)) {
       log.count("router.budget_spent");
       return { status: 503, cause: "the budget of further tries is spent", retryAfterS: 0.5 };
     }
-    const choice = this.firstOpen(plan);
+    const choice = this.pickConnected(plan);
     if (sends > 0 && "status" in choice) this.share.giveBack(request.service);
     return choice;
   }
@@ -121,13 +121,13 @@
   }
 
   /** When it is worth to come back: once the least pending of the candidates has read what it has ahead. */
-  private pendingS(plan: routePlan.RoutePlan): number {
+  private retryAfterS(plan: routePlan.RoutePlan): number {
     let least = Infinity;
     for (const runner of plan.candidates) least = Math.min(least, this.known.backlogMs(runner.id, plan.now));
-    return bounded(Number.isFinite(least) ? MIN_RETRY_S + least / 1000 : MIN_RETRY_S);
+    return boundedRetryS(Number.isFinite(least) ? MIN_RETRY_S + least / 1000 : MIN_RETRY_S);
   }
 
-  private firstOpen(plan: routePlan.RoutePlan): Pick | routePlan.Rejection {
+  private pickConnected(plan: routePlan.RoutePlan): Pick | routePlan.Rejection {
     const service = this.table?.services.get(plan.service);
     const most = Math.max(MIN_CONNECTIONS, Math.floor((service?.max_connections ?? 1000) / this.share.routers));
     const perS = service?.warmup_per_s ?? 0;
@@ -140,7 +140,7 @@
       if (connection) return { runner, connection, ticket: this.admission.recordSend(plan, runner) };
     }
     log.count(hasCold ? "router.all_cold" : "router.all_busy");
-    if (hasCold) return { status: 503, cause: "the runners are warming up", retryAfterS: bounded(this.share.coldWaitS(perS)) };
-    return { status: 503, cause: "all runners are taken", retryAfterS: this.pendingS(plan) };
+    if (hasCold) return { status: 503, cause: "the runners are warming up", retryAfterS: boundedRetryS(this.share.coldWaitS(perS)) };
+    return { status: 503, cause: "all runners are taken", retryAfterS: this.retryAfterS(plan) };
   }
 }
--- a/src/router/serve-gate.ts
+++ b/src/router/serve-gate.ts
@@ -21,7 +21,7 @@
 
 /** One for each life of a router. */
 export class ServeGate {
-  private heldSince: types.SteadyMs | null = null;
+  private configuredSince: types.SteadyMs | null = null;
   private confirmedAt: types.SteadyMs | null = null;
   private isOpen = false;
   private isExpired = false;
@@ -43,7 +43,7 @@
   }
 
   private isTooOld(): boolean {
-    const since = this.confirmedAt ?? this.heldSince;
+    const since = this.confirmedAt ?? this.configuredSince;
     return this.unconfirmedMs > 0 && since !== null && this.world.now() - since >= this.unconfirmedMs;
   }
 
@@ -53,15 +53,15 @@
    */
   judge(epoch: types.Epoch, hasAll: boolean): void {
     if (epoch < 0) return;
-    this.heldSince ??= this.world.now();
+    this.configuredSince ??= this.world.now();
     const isConfirmed = this.isConfirmed(epoch);
     if (isConfirmed) this.confirmedAt = this.world.now();
-    if (this.isOpen) this.judgeAge();
-    else if (hasAll) this.judgeStart(epoch, isConfirmed);
+    if (this.isOpen) this.updateExpiry();
+    else if (hasAll) this.openIfConfirmed(epoch, isConfirmed);
   }
 
-  private judgeStart(epoch: types.Epoch, isConfirmed: boolean): void {
-    const isLate = this.world.now() - this.heldSince! >= UNCONFIRMED_WAIT_MS;
+  private openIfConfirmed(epoch: types.Epoch, isConfirmed: boolean): void {
+    const isLate = this.world.now() - this.configuredSince! >= UNCONFIRMED_WAIT_MS;
     if (!isConfirmed && !isLate) return;
     this.isOpen = true;
     if (!isConfirmed) {
@@ -71,7 +71,7 @@
     this.onOpen();
   }
 
-  private judgeAge(): void {
+  private updateExpiry(): void {
     const isExpired = this.isTooOld();
     if (isExpired === this.isExpired) return;
     this.isExpired = isExpired;
--- a/src/router/tenant-gate.ts
+++ b/src/router/tenant-gate.ts
@@ -14,8 +14,8 @@
 import type * as types from "../wire/types.js";
 
 /** When a machine that does not know enough about keys, or reaches nobody who counts, may do so again (*ours*). */
-const UNKNOWING_MS = { leastMs: 500, mostMs: 3000 };
-const UNREACHED_MS = { leastMs: 300, mostMs: 3000 };
+const KEY_OUTAGE_RETRY_MS = { leastMs: 500, mostMs: 3000 };
+const QUOTA_OUTAGE_RETRY_MS = { leastMs: 300, mostMs: 3000 };
 const MIN_RETRY_S = 0.2;
 const MS_PER_S = 1000;
 
@@ -34,13 +34,13 @@
   private table = new tenant.TenantTable();
   private readonly lease: keyLease.KeyLease;
   private readonly quota: quotaClient.QuotaClient;
-  private readonly unknowing: outages.Outage;
-  private readonly unreached: outages.Outage;
+  private readonly keyOutage: outages.Outage;
+  private readonly quotaOutage: outages.Outage;
 
   constructor(world: types.Clock, region: string, controls: ReadonlyMap<string, dialer.Control>, bounds: keyLease.RevocationBounds) {
     this.lease = new keyLease.KeyLease(world, bounds);
-    this.unknowing = new outages.Outage(world, UNKNOWING_MS);
-    this.unreached = new outages.Outage(world, UNREACHED_MS);
+    this.keyOutage = new outages.Outage(world, KEY_OUTAGE_RETRY_MS);
+    this.quotaOutage = new outages.Outage(world, QUOTA_OUTAGE_RETRY_MS);
     const owners = new quotaSources.Sources(world, region, controls);
     this.quota = new quotaClient.QuotaClient(world, owners, this.lease.hear.bind(this.lease));
   }
@@ -72,36 +72,36 @@
     if (this.table.isEmpty || route.public === true) return null;
     const tenant = typeof key === "string" && key !== "" ? this.table.find(key) : null;
     if (tenant && this.lease.mayHonour()) {
-      this.unknowing.over();
+      this.keyOutage.over();
       return tenant;
     }
-    if (!tenant && this.lease.mayDeny()) return this.refuse(401, "the key is missing or not known; send a valid Api-Key", null);
-    return this.refuse(503, "this node cannot tell which keys are valid now; come back shortly", this.unknowing.met() / MS_PER_S);
+    if (!tenant && this.lease.mayDeny()) return this.reject(401, "the key is missing or not known; send a valid Api-Key", null);
+    return this.reject(503, "this node cannot tell which keys are valid now; come back shortly", this.keyOutage.met() / MS_PER_S);
   }
 
   /**
    * Asks for a unit of the tenant's quota. One of the two is called once, perhaps before this returns; the claim's
    * cancel() ends the wait.
    */
-  admit(tenant: tenant.Tenant | null, go: (admitted: Admitted) => void, refuse: (refusal: Refusal) => void): quotaClaim.Claim | null {
+  admit(tenant: tenant.Tenant | null, go: (admitted: Admitted) => void, reject: (rejection: Refusal) => void): quotaClaim.Claim | null {
     if (!tenant?.isLimited) {
       go(null);
       return null;
     }
-    return this.quota.take(tenant.name, (verdict) => {
-      if (verdict.kind !== "unreached") this.unreached.over();
-      if (verdict.kind === "granted") go(verdict.unit);
-      else refuse(this.refusalOf(verdict));
+    return this.quota.take(tenant.name, (decision) => {
+      if (decision.kind !== "unreached") this.quotaOutage.over();
+      if (decision.kind === "granted") go(decision.unit);
+      else reject(this.rejectionOf(decision));
     });
   }
 
-  private refusalOf(verdict: Exclude<quotaClaim.Verdict, { kind: "granted" }>): Refusal {
-    if (verdict.kind === "unreached")
-      return this.refuse(503, "no control node counts the tenant's requests now; come back shortly", this.unreached.met() / MS_PER_S);
-    return this.refuse(429, "the tenant is over its rate_per_s and burst", Math.max(MIN_RETRY_S, verdict.waitMs / MS_PER_S));
+  private rejectionOf(decision: Exclude<quotaClaim.Verdict, { kind: "granted" }>): Refusal {
+    if (decision.kind === "unreached")
+      return this.reject(503, "no control node counts the tenant's requests now; come back shortly", this.quotaOutage.met() / MS_PER_S);
+    return this.reject(429, "the tenant is over its rate_per_s and burst", Math.max(MIN_RETRY_S, decision.waitMs / MS_PER_S));
   }
 
-  private refuse(status: Refusal["status"], cause: string, retryAfterS: number | null): Refusal {
+  private reject(status: Refusal["status"], cause: string, retryAfterS: number | null): Refusal {
     log.count(`tenants.refused_${status}`);
     return { status, cause, retryAfterS };
   }
--- a/src/runners/connection-pool.ts
+++ b/src/runners/connection-pool.ts
@@ -2,7 +2,7 @@
 import * as http from "../wire/http.js";
 import * as idleTimeout from "./idle-timeout.js";
 
-const CONNECT_MS = 700;
+const CONNECT_TIMEOUT_MS = 700;
 /** An idle connection is closed after so long. */
 export const IDLE_MS = 4000;
 
@@ -37,9 +37,9 @@
   ) {}
 
   /** The connection used last, or a new one within the bound; null when all are busy. */
-  take(most: number, isRepeatable = true): Connection | null {
+  take(maxOpen: number, isRepeatable = true): Connection | null {
     const now = this.limit.world.now();
-    const mostMs = isRepeatable ? Infinity : this.limit.mostMs();
+    const maxIdleMs = isRepeatable ? Infinity : this.limit.maxIdleMs();
     for (let connection = this.idle.pop(); connection; connection = this.idle.pop()) {
       if (connection.isClosed) continue;
       const idleMs = now - connection.idleSince;
@@ -47,17 +47,17 @@
         this.lost(connection);
         continue;
       }
-      if (idleMs > mostMs) {
+      if (idleMs > maxIdleMs) {
         // The others were idle for longer. They stay for what is repeatable, unless the bound asks for the place.
         this.idle.push(connection);
-        if (this.open >= most) this.lost(this.idle[0]);
+        if (this.open >= maxOpen) this.lost(this.idle[0]);
         break;
       }
       connection.idleMs = idleMs;
       connection.takenAt = now;
       return connection;
     }
-    if (this.open >= most) return null;
+    if (this.open >= maxOpen) return null;
     return this.make();
   }
 
@@ -67,7 +67,7 @@
   }
 
   private make(): Connection {
-    const client = http.open(this.address, { connectMs: CONNECT_MS, idleMs: IDLE_MS, onSocketError: failed });
+    const client = http.open(this.address, { connectMs: CONNECT_TIMEOUT_MS, idleMs: IDLE_MS, onSocketError: failed });
     const connection = new Connection(client);
     function failed(): void {
       connection.hasFailed = true;
@@ -88,8 +88,8 @@
     if (connection.isClosed) return;
     connection.destroy();
     this.open -= 1;
-    const place = this.idle.indexOf(connection);
-    if (place >= 0) this.idle.splice(place, 1);
+    const position = this.idle.indexOf(connection);
+    if (position >= 0) this.idle.splice(position, 1);
   }
 
   /** Gives a connection back, with the Keep-Alive of its reply; one that is not clean is closed. */
--- a/src/runners/idle-timeout.ts
+++ b/src/runners/idle-timeout.ts
@@ -5,13 +5,13 @@
 
 /** Told in whole seconds, and counted from another moment than ours: so much sooner a connection is let go. */
 export const MARGIN_MS = 1000;
-const KEPT_SHARE = 0.8;
+const LEARNED_FRACTION = 0.8;
 /** Shorter idle times are no evidence: such a reset has other causes. */
-const MIN_MS = 250;
+const MIN_IDLE_MS = 250;
 /** A forgotten connection is reset within a trip there and back; later resets have other causes. */
-const SOON_MS = 600;
+const MAX_RESET_DELAY_MS = 600;
 const DECAY_MS = 60_000;
-const RESETS: ReadonlySet<string> = new Set(["ECONNRESET", "EPIPE", "UND_ERR_SOCKET"]);
+const RESET_CODES: ReadonlySet<string> = new Set(["ECONNRESET", "EPIPE", "UND_ERR_SOCKET"]);
 
 /** The bound in ms that a reply's Keep-Alive sets on idleness; Infinity when it tells none. */
 export function keepAliveMs(keepAlive: string | undefined): number {
@@ -21,7 +21,7 @@
 
 /** Whether an error is that of a connection, and not of what came over it. */
 export function isReset(cause: { code?: unknown } | undefined): boolean {
-  return typeof cause?.code === "string" && RESETS.has(cause.code);
+  return typeof cause?.code === "string" && RESET_CODES.has(cause.code);
 }
 
 /** What one service's runners taught. */
@@ -31,24 +31,24 @@
 
   constructor(
     readonly world: types.Clock,
-    private readonly usualMs: number,
+    private readonly defaultMs: number,
   ) {}
 
   /** A kept connection, idle for so long, was reset so soon after its next send, without a byte of reply. */
   learn(idleMs: number, resetAfterMs: number): void {
-    if (idleMs < MIN_MS || resetAfterMs > SOON_MS) return;
+    if (idleMs < MIN_IDLE_MS || resetAfterMs > MAX_RESET_DELAY_MS) return;
     log.count("runner.forgotten");
-    const limit = idleMs * KEPT_SHARE;
-    if (limit >= this.mostMs()) return;
-    this.learnedMs = limit;
+    const timeout = idleMs * LEARNED_FRACTION;
+    if (timeout >= this.mostMs()) return;
+    this.learnedMs = timeout;
     this.learnedAt = this.world.now();
   }
 
   /** For what may not run twice; it goes back up to the usual time over a minute, slowly first. Infinity: nothing is learned. */
   mostMs(): number {
     const passed = (this.world.now() - this.learnedAt) / DECAY_MS;
-    if (passed >= 1 || this.learnedMs >= this.usualMs) return Infinity;
-    return this.learnedMs + (this.usualMs - this.learnedMs) * passed * passed;
+    if (passed >= 1 || this.learnedMs >= this.defaultMs) return Infinity;
+    return this.learnedMs + (this.defaultMs - this.learnedMs) * passed * passed;
   }
 }
 
@@ -58,15 +58,15 @@
 
   constructor(
     private readonly world: types.Clock,
-    private readonly usualMs: number,
+    private readonly defaultMs: number,
   ) {}
 
   of(service: string): IdleTimeout {
-    let limit = this.byService.get(service);
-    if (!limit) {
-      limit = new IdleTimeout(this.world, this.usualMs);
-      this.byService.set(service, limit);
+    let timeout = this.byService.get(service);
+    if (!timeout) {
+      timeout = new IdleTimeout(this.world, this.defaultMs);
+      this.byService.set(service, timeout);
     }
-    return limit;
+    return timeout;
   }
 }
--- a/src/runners/outlier-detection.ts
+++ b/src/runners/outlier-detection.ts
@@ -11,33 +11,33 @@
 const CLEAR_SCORE = 0.25;
 const EJECT_SCORE = 1.9;
 /** Of the sends there by all routers. */
-const EJECT_SHARE = 0.15;
-const AGAIN_SCORE = 0.9;
-const OTHERS_TIMES = 3;
+const EJECT_SEND_FRACTION = 0.15;
+const PROBATION_EJECT_SCORE = 0.9;
+const PEER_SCORE_FACTOR = 3;
 const RATE_HALF_LIFE_MS = 4000;
-const MIN_BAD = 1.5;
-const BAD_RATE = 0.25;
-const FINE_RATE = 0.1;
-const FINE_SAMPLES = 3;
-const FIRST_EJECTION_MS = 1000;
+const MIN_FAILURES = 1.5;
+const MIN_FAILURE_RATE = 0.25;
+const HEALTHY_FAILURE_RATE = 0.1;
+const MIN_HEALTHY_SAMPLES = 3;
+const INITIAL_EJECTION_MS = 1000;
 const MAX_EJECTION_MS = 6000;
 const EJECTIONS_HALF_LIFE_MS = 20_000;
 const PROBATION_STEP_MS = 600;
 const PROBATION_PERCENTS = [10, 25, 50, 75];
 /** From this step on probation takes what may not be repeated, too, if a trial of this router came back well. */
-const ANY_PERCENT = 50;
-const DOUBT_MS = 700;
-const MAX_SUSPECT_MS = 4000;
-const REPORTS_WINDOW_MS = 900;
+const NON_IDEMPOTENT_PERCENT = 50;
+const FAILURE_BACKOFF_MS = 700;
+const MAX_FAILURE_BACKOFF_MS = 4000;
+const REPORT_WINDOW_MS = 900;
 /** A router tells one runner no more often: two tellings within the window are of two routers. */
 export const REPORT_INTERVAL_MS = 1000;
 const PENALTY_MS = 150;
 const MAX_PENALTY = 3;
-const ONCE_TIMES = 2;
-const SLOW_TIMES = 4;
-const SLOW_LEAST_MS = { reply: 250, start: 250, gap: 60 } as const;
-const OVERDUE_TIMES = 4;
-const OVERDUE_LEAST_MS = 700;
+const NON_IDEMPOTENT_FACTOR = 2;
+const SLOW_FACTOR = 4;
+const MIN_SLOW_EXCESS_MS = { reply: 250, start: 250, gap: 60 } as const;
+const OVERDUE_FACTOR = 4;
+const MIN_OVERDUE_MS = 700;
 
 /** The outcomes at one runner. */
 export class OutlierDetector {
@@ -51,25 +51,25 @@
   private readonly slow = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
   private readonly timed = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
   private readonly ejections = new decayingSum.DecayingSum(EJECTIONS_HALF_LIFE_MS);
-  private cohort = new peerGroup.PeerGroup();
-  private streak = 0;
-  private failedUntil = 0;
-  private signAt = -Infinity;
-  private witnesses = 0;
-  private windowAt = -Infinity;
-  private reportedAt = -Infinity;
-  private hasNews = false;
+  private peers = new peerGroup.PeerGroup();
+  private failureStreak = 0;
+  private failingUntil = 0;
+  private lastFailureAt = -Infinity;
+  private remoteReports = 0;
+  private remoteReportsSince = -Infinity;
+  private publishedAt = -Infinity;
+  private hasUnpublishedFailure = false;
   succeededAt = -Infinity;
 
   constructor(private readonly id: types.RunnerId) {
-    this.cohort.join(this.current);
+    this.peers.join(this.current);
   }
 
   /** Compared with these from now on. */
-  joinCohort(cohort: peerGroup.PeerGroup): void {
-    this.cohort.leave(this.current);
-    this.cohort = cohort;
-    cohort.join(this.current);
+  joinCohort(peers: peerGroup.PeerGroup): void {
+    this.peers.leave(this.current);
+    this.peers = peers;
+    peers.join(this.current);
   }
 
   leaveCohort(): void {
@@ -80,12 +80,12 @@
   private move(to: outlierState.OutlierState, now: number, why: string): void {
     const from = this.current;
     if (from === to || !outlierState.isTransitionAllowed(from, to)) return;
-    this.cohort.moved(from, to);
+    this.peers.moved(from, to);
     this.current = to;
     this.since = now;
     if (to === "ejected") {
       this.ejections.add(1, now);
-      this.until = now + Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** (this.ejections.read(now) - 1));
+      this.until = now + Math.min(MAX_EJECTION_MS, INITIAL_EJECTION_MS * 2 ** (this.ejections.read(now) - 1));
     }
     log.count(`runner.${to}`);
     if (to === "ejected" || (from === "probation" && to === "good")) log.state(`runner ${this.id}: ${from} -> ${to}, ${why}`);
@@ -97,7 +97,7 @@
     const score = this.score.read(now);
     if (this.current === "suspected" && score < CLEAR_SCORE) this.move("good", now, "calm");
     // What still goes wrong there with work sent before keeps it out a little longer.
-    if (this.current === "ejected" && now >= this.until && (score < AGAIN_SCORE || now >= this.until + MAX_EJECTION_MS))
+    if (this.current === "ejected" && now >= this.until && (score < PROBATION_EJECT_SCORE || now >= this.until + MAX_EJECTION_MS))
       this.move("probation", now, "time is up");
     if (this.current === "probation" && this.step(now) >= PROBATION_PERCENTS.length) this.move("good", now, "probation is over");
     return this.current;
@@ -108,14 +108,14 @@
   }
 
   sent(now: number): void {
-    this.cohort.countSend(now);
+    this.peers.countSend(now);
   }
 
   /** A request that came back whole and well. */
   succeed(now: number): void {
     this.all.add(1, now);
-    this.streak = 0;
-    this.failedUntil = 0;
+    this.failureStreak = 0;
+    this.failingUntil = 0;
     this.succeededAt = now;
   }
 
@@ -125,37 +125,37 @@
     const weight = failureKind.LOAD_RELATED_FAILURES.has(sign) && isLoaded ? 0 : failureKind.FAILURE_WEIGHTS.get(sign)!;
     if (weight === 0) return;
     // What breaks in one moment breaks of one cause.
-    if (now - this.signAt < 1) return;
-    this.signAt = now;
+    if (now - this.lastFailureAt < 1) return;
+    this.lastFailureAt = now;
     this.all.add(1, now);
     this.bad.add(Math.min(1, weight), now);
     this.own.add(weight, now);
     if (!failureKind.LOAD_RELATED_FAILURES.has(sign)) {
       // A silent way holds each request up for long: no trials there while the doubt is fresh.
-      this.streak += sign === "unreached" ? 2 : 1;
-      this.failedUntil = now + Math.min(MAX_SUSPECT_MS, DOUBT_MS * this.streak);
+      this.failureStreak += sign === "unreached" ? 2 : 1;
+      this.failingUntil = now + Math.min(MAX_FAILURE_BACKOFF_MS, FAILURE_BACKOFF_MS * this.failureStreak);
     }
-    if (!isLocal) this.hasNews = true;
-    this.weigh(weight, now, `${sign}, ${this.rateText(now)}`);
+    if (!isLocal) this.hasUnpublishedFailure = true;
+    this.addScore(weight, now, `${sign}, ${this.rateText(now)}`);
   }
 
   /** A sign of another router. */
   reportedByOther(now: number): void {
-    if (now - this.windowAt >= REPORTS_WINDOW_MS) {
-      this.windowAt = now;
-      this.witnesses = 0;
+    if (now - this.remoteReportsSince >= REPORT_WINDOW_MS) {
+      this.remoteReportsSince = now;
+      this.remoteReports = 0;
     }
-    this.witnesses += 1;
-    this.weigh(1, now, "told by others");
+    this.remoteReports += 1;
+    this.addScore(1, now, "told by others");
   }
 
-  private weigh(weight: number, now: number, why: string): void {
+  private addScore(weight: number, now: number, why: string): void {
     const state = this.state(now);
     this.score.add(weight, now);
-    this.cohort.addScore(weight, now);
+    this.peers.addScore(weight, now);
     if (state === "ejected") return;
     if (this.isOutlier(now, state)) {
-      if (this.cohort.mayEject()) {
+      if (this.peers.mayEject()) {
         this.move("ejected", now, why);
         return;
       }
@@ -167,33 +167,33 @@
   /** Never from one sign of one router alone, unless it stands on probation for earlier ones. */
   private isOutlier(now: number, state: outlierState.OutlierState): boolean {
     const score = this.score.read(now);
-    if (score < OTHERS_TIMES * this.cohort.othersScore(score, now)) return false;
-    if (state === "probation") return score >= AGAIN_SCORE;
+    if (score < PEER_SCORE_FACTOR * this.peers.othersScore(score, now)) return false;
+    if (state === "probation") return score >= PROBATION_EJECT_SCORE;
     const all = this.all.read(now);
     const bad = this.bad.read(now);
-    if (bad >= MIN_BAD && bad >= all * BAD_RATE) return true;
-    if (score < Math.max(EJECT_SCORE, EJECT_SHARE * this.cohort.meanSends(now))) return false;
-    if (all >= FINE_SAMPLES && bad < all * FINE_RATE) return false;
-    return this.own.read(now) >= SUSPECT_SCORE || this.witnesses >= 2;
+    if (bad >= MIN_FAILURES && bad >= all * MIN_FAILURE_RATE) return true;
+    if (score < Math.max(EJECT_SCORE, EJECT_SEND_FRACTION * this.peers.meanSends(now))) return false;
+    if (all >= MIN_HEALTHY_SAMPLES && bad < all * HEALTHY_FAILURE_RATE) return false;
+    return this.own.read(now) >= SUSPECT_SCORE || this.remoteReports >= 2;
   }
 
   /** Time to the first byte, or between events, against the median of the siblings at alike work. */
   took(work: peerGroup.WorkKind, tokens: number, ms: number, now: number, isLoaded: boolean): void {
-    const usual = this.cohort.take(work, tokens, ms);
-    if (usual === null) return;
+    const median = this.peers.take(work, tokens, ms);
+    if (median === null) return;
     this.timed.add(1, now);
-    if (ms < usual * SLOW_TIMES || ms - usual < SLOW_LEAST_MS[work]) return;
+    if (ms < median * SLOW_FACTOR || ms - median < MIN_SLOW_EXCESS_MS[work]) return;
     this.slow.add(1, now);
     this.sign("slow", now, isLoaded);
   }
 
   overdueMs(work: peerGroup.WorkKind, tokens: number): number {
-    return OVERDUE_LEAST_MS + OVERDUE_TIMES * (this.cohort.usualMs(work, tokens) ?? OVERDUE_LEAST_MS);
+    return MIN_OVERDUE_MS + OVERDUE_FACTOR * (this.peers.usualMs(work, tokens) ?? MIN_OVERDUE_MS);
   }
 
   /** A fresh failure of this router's own, not followed by a success. */
   isFailing(now: number): boolean {
-    return now < this.failedUntil;
+    return now < this.failingUntil;
   }
 
   /** May this request go there as though nothing were wrong? */
@@ -202,25 +202,25 @@
     if (state === "ejected") return false;
     if (state === "probation") {
       const percent = PROBATION_PERCENTS[this.step(now)] ?? 100;
-      const isProved = percent >= ANY_PERCENT && this.succeededAt > this.since;
+      const isProved = percent >= NON_IDEMPOTENT_PERCENT && this.succeededAt > this.since;
       return (isRepeatable || isProved) && zoneRotation.isWithin(percent, requestId);
     }
-    return !this.isFailing(now) || (isRepeatable && this.streak <= 1);
+    return !this.isFailing(now) || (isRepeatable && this.failureStreak <= 1);
   }
 
   /** What a choice pays for doubt; a request that may not be repeated pays more. */
   penaltyMs(now: number, isRepeatable: boolean): number {
     if (this.state(now) === "good") return 0;
-    return Math.min(MAX_PENALTY, this.score.read(now)) * PENALTY_MS * (isRepeatable ? 1 : ONCE_TIMES);
+    return Math.min(MAX_PENALTY, this.score.read(now)) * PENALTY_MS * (isRepeatable ? 1 : NON_IDEMPOTENT_FACTOR);
   }
 
   /** Whether others should hear of it now, of failures or of silence; asked a few times a second. */
   takeNews(now: number, isQuiet: boolean): boolean {
-    if ((!this.hasNews && !isQuiet) || now - this.reportedAt < REPORT_INTERVAL_MS) return false;
-    this.hasNews = false;
+    if ((!this.hasUnpublishedFailure && !isQuiet) || now - this.publishedAt < REPORT_INTERVAL_MS) return false;
+    this.hasUnpublishedFailure = false;
     // What most siblings show has its cause elsewhere, perhaps here.
-    if (this.cohort.isBroad()) return false;
-    this.reportedAt = now;
+    if (this.peers.isBroad()) return false;
+    this.publishedAt = now;
     return true;
   }
 
@@ -228,11 +228,11 @@
     const all = this.all.read(now);
     const timed = this.timed.read(now);
     return {
-      failing: rounded(all > 0 ? this.bad.read(now) / all : 0),
-      samples: rounded(all),
-      slow: rounded(timed > 0 ? this.slow.read(now) / timed : 0),
-      timed: rounded(timed),
-      score: rounded(this.score.read(now)),
+      failing: roundToHundredths(all > 0 ? this.bad.read(now) / all : 0),
+      samples: roundToHundredths(all),
+      slow: roundToHundredths(timed > 0 ? this.slow.read(now) / timed : 0),
+      timed: roundToHundredths(timed),
+      score: roundToHundredths(this.score.read(now)),
     };
   }
 
@@ -242,6 +242,6 @@
   }
 }
 
-function rounded(value: number): number {
+function roundToHundredths(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/src/runners/peer-group.ts
+++ b/src/runners/peer-group.ts
@@ -4,10 +4,10 @@
 import type * as outlierState from "./outlier-state.js";
 
 /** At most this part of a cohort is ejected by outcomes, and never the last one. */
-const MAX_EJECTED = 1 / 3;
+const MAX_EJECTED_FRACTION = 1 / 3;
 /** Above this part the cause is taken to be elsewhere. */
-const BROAD = 1 / 3;
-const FIRST_STEP = 0.5;
+const WIDESPREAD_FRACTION = 1 / 3;
+const INITIAL_STEP = 0.5;
 const MIN_STEP = 0.05;
 const MIN_SAMPLES = 8;
 /** What was seen counts half after so long. */
@@ -17,9 +17,9 @@
 export type WorkKind = "reply" | "start" | "gap";
 
 /** A running median in the log domain: each sample moves it by one step, however far away it lies. */
-class Median {
+class MedianEstimator {
   private log = 0;
-  private step = FIRST_STEP;
+  private step = INITIAL_STEP;
   private samples = 0;
 
   take(ms: number): void {
@@ -36,27 +36,27 @@
 }
 
 /** How many routers there are; as the shares were dealt. */
-export interface Scale {
+export interface RouterCount {
   routers: number;
 }
 
 /** The runners that one runner is compared with. */
 export class PeerGroup {
-  private readonly medians = new Map<string, Median>();
+  private readonly medians = new Map<string, MedianEstimator>();
   private readonly score = new decayingSum.DecayingSum(HALF_LIFE_MS);
-  private readonly sent = new decayingSum.DecayingSum(HALF_LIFE_MS);
+  private readonly sends = new decayingSum.DecayingSum(HALF_LIFE_MS);
   private size = 0;
   private ejected = 0;
   private suspected = 0;
 
-  constructor(private readonly scale: Scale = { routers: 1 }) {}
+  constructor(private readonly routerCount: RouterCount = { routers: 1 }) {}
 
   /** Alike work: its kind, and its size by powers of two. */
-  private medianOf(work: WorkKind, tokens: number): Median {
+  private medianOf(work: WorkKind, tokens: number): MedianEstimator {
     const key = `${work}${tokens > 0 ? Math.ceil(Math.log2(tokens)) : 0}`;
     let median = this.medians.get(key);
     if (!median) {
-      median = new Median();
+      median = new MedianEstimator();
       this.medians.set(key, median);
     }
     return median;
@@ -99,12 +99,12 @@
   }
 
   countSend(now: number): void {
-    this.sent.add(1, now);
+    this.sends.add(1, now);
   }
 
   /** Sends of all routers to one of the runners within a half-life or so, as this router's own sends tell. */
   meanSends(now: number): number {
-    return (this.sent.read(now) * this.scale.routers) / Math.max(1, this.size);
+    return (this.sends.read(now) * this.routerCount.routers) / Math.max(1, this.size);
   }
 
   /** The mean score of the others. */
@@ -114,27 +114,27 @@
 
   mayEject(): boolean {
     if (this.size < 2) return false;
-    return this.ejected + 1 <= Math.max(1, Math.floor(this.size * MAX_EJECTED));
+    return this.ejected + 1 <= Math.max(1, Math.floor(this.size * MAX_EJECTED_FRACTION));
   }
 
   /** So many look bad that the cause is not in them. */
   isBroad(): boolean {
-    return this.suspected + this.ejected > Math.max(1, this.size * BROAD);
+    return this.suspected + this.ejected > Math.max(1, this.size * WIDESPREAD_FRACTION);
   }
 }
 
 /** All cohorts of a router. */
-export class PeerGroups implements Scale {
+export class PeerGroups implements RouterCount {
   routers = 1;
-  private readonly cohorts = new Map<string, PeerGroup>();
+  private readonly groups = new Map<string, PeerGroup>();
 
   of(service: string, region: string): PeerGroup {
     const key = `${service}|${region}`;
-    let cohort = this.cohorts.get(key);
-    if (!cohort) {
-      cohort = new PeerGroup(this);
-      this.cohorts.set(key, cohort);
+    let group = this.groups.get(key);
+    if (!group) {
+      group = new PeerGroup(this);
+      this.groups.set(key, group);
     }
-    return cohort;
+    return group;
   }
 }
--- a/src/runners/prefill-tracker.ts
+++ b/src/runners/prefill-tracker.ts
@@ -3,53 +3,53 @@
 import type * as routePlan from "../routing/route-plan.js";
 import * as shares from "../limits/shares.js";
 
-const FIRST_RATE = 40;
-const FASTER = 0.3;
-const SLOWER = 0.02;
-const MAX_KEPT = 4000;
-const LONG_SAMPLE = 1500;
+const INITIAL_TOKENS_PER_MS = 40;
+const RISE_WEIGHT = 0.3;
+const FALL_WEIGHT = 0.02;
+const MAX_CACHED_KEYS = 4000;
+const MIN_SAMPLE_TOKENS = 1500;
 
-interface Reader {
+interface RunnerPrefill {
   busyUntil: number;
   kept: Set<number>;
 }
 
 /** Which prompts each runner keeps and reads, as far as it is known here. */
 export class PrefillTracker {
-  private readonly readers = new Map<string, Reader>();
+  private readonly byRunner = new Map<string, RunnerPrefill>();
   /** Tokens read a millisecond, learned from the replies. */
-  rate = FIRST_RATE;
+  rate = INITIAL_TOKENS_PER_MS;
 
-  private readerOf(runner: string): Reader {
-    let reader = this.readers.get(runner);
-    if (!reader) {
-      reader = { busyUntil: 0, kept: new Set() };
-      this.readers.set(runner, reader);
+  private getOrCreate(runner: string): RunnerPrefill {
+    let prefill = this.byRunner.get(runner);
+    if (!prefill) {
+      prefill = { busyUntil: 0, kept: new Set() };
+      this.byRunner.set(runner, prefill);
     }
-    return reader;
+    return prefill;
   }
 
   forgetAllBut(standing: { has(runner: string): boolean }): void {
-    for (const runner of this.readers.keys()) if (!standing.has(runner)) this.readers.delete(runner);
+    for (const runner of this.byRunner.keys()) if (!standing.has(runner)) this.byRunner.delete(runner);
   }
 
   /** A reading that was sent, here or by another router. */
   note(runner: string, unread: number, keys: readonly number[], now: number): void {
-    const reader = this.readerOf(runner);
-    reader.busyUntil = Math.max(now, reader.busyUntil) + unread / this.rate;
+    const prefill = this.getOrCreate(runner);
+    prefill.busyUntil = Math.max(now, prefill.busyUntil) + unread / this.rate;
     for (const key of keys) {
-      reader.kept.delete(key);
-      reader.kept.add(key);
+      prefill.kept.delete(key);
+      prefill.kept.add(key);
     }
-    for (const oldest of reader.kept) {
-      if (reader.kept.size <= MAX_KEPT) break;
-      reader.kept.delete(oldest);
+    for (const oldest of prefill.kept) {
+      if (prefill.kept.size <= MAX_CACHED_KEYS) break;
+      prefill.kept.delete(oldest);
     }
   }
 
   backlogMs(runner: string, now: number): number {
-    const reader = this.readers.get(runner);
-    return reader ? Math.max(0, reader.busyUntil - now) : 0;
+    const prefill = this.byRunner.get(runner);
+    return prefill ? Math.max(0, prefill.busyUntil - now) : 0;
   }
 
   /** Tokens that the runner would have to read: the key of a part is made of all before it, so these are kept with it. */
@@ -61,7 +61,7 @@
 
   /** How many parts of the prompt, from the first on, the runner keeps. */
   keptParts(runner: string, keys: readonly number[]): number {
-    const kept = this.readers.get(runner)?.kept;
+    const kept = this.byRunner.get(runner)?.kept;
     if (!kept) return 0;
     for (let count = keys.length; count > 0; count -= 1) if (kept.has(keys[count - 1])) return count;
     return 0;
@@ -69,9 +69,9 @@
 
   /** The upper side of what is seen: replies are held up by more than reading. */
   learn(tokens: number, tookMs: number): void {
-    if (tokens < LONG_SAMPLE || tookMs <= 0) return;
+    if (tokens < MIN_SAMPLE_TOKENS || tookMs <= 0) return;
     const sample = tokens / tookMs;
-    this.rate += (sample > this.rate ? FASTER : SLOWER) * (sample - this.rate);
+    this.rate += (sample > this.rate ? RISE_WEIGHT : FALL_WEIGHT) * (sample - this.rate);
   }
 }
 
--- a/src/runners/runner-endpoint.ts
+++ b/src/runners/runner-endpoint.ts
@@ -12,14 +12,14 @@
 /** As the platform lists it. */
 export type EndpointStatus = "ready" | "draining" | "gone";
 
-const SUSPECT_MS = 700;
-const FULL_MS = 150;
-const QUIET_STREAM_MS = 400;
-const QUIET_START_MS = 1500;
+const SILENCE_SUSPECT_MS = 700;
+const FULL_BACKOFF_MS = 150;
+const STREAM_SILENCE_MS = 400;
+const START_SILENCE_MS = 1500;
 /** With so much of its batch taken a runner may be slow or deny without a fault. */
-const LOADED_SHARE = 0.75;
+const LOADED_FRACTION = 0.75;
 /** Streams there come late for a while after a reading, too (*ours*). */
-const READING_SLACK_MS = 200;
+const PREFILL_SLACK_MS = 200;
 
 /** One life of a runner. */
 export class RunnerEndpoint extends runnerLoad.RunnerLoad {
@@ -30,10 +30,10 @@
   receivedAt = 0;
   sentAt = 0;
   fullUntil = 0;
-  private readingUntil = -Infinity;
+  private prefillUntil = -Infinity;
   /** Until when it is taken for silent; whatever is heard of it ends that. */
-  private silentUntil = 0;
-  private unreportedAt = Infinity;
+  private unresponsiveUntil = 0;
+  private reportsLostAt = Infinity;
   /** Sends without a first byte, and when each is overdue. */
   private readonly awaitingFirstByte = new Map<object, number>();
   readonly outcomes: outlierDetection.OutlierDetector;
@@ -68,18 +68,18 @@
 
   /** Readings that are known to be ahead there explain a pause; so does a batch that is nearly full. */
   isLoaded(now: number): boolean {
-    return this.requestCount() >= LOADED_SHARE * this.instance.capacity || now < this.readingUntil + READING_SLACK_MS;
+    return this.requestCount() >= LOADED_FRACTION * this.instance.capacity || now < this.prefillUntil + PREFILL_SLACK_MS;
   }
 
   /** A reading is sent there, from here or elsewhere, that takes so long. */
   reads(ms: number, now: number): void {
-    this.readingUntil = Math.max(now, this.readingUntil) + ms;
+    this.prefillUntil = Math.max(now, this.prefillUntil) + ms;
   }
 
   /** It fell silent with work from here. */
   suspect(now: number): void {
     this.sign("silent", now);
-    this.silentUntil = Math.max(this.silentUntil, now + SUSPECT_MS);
+    this.unresponsiveUntil = Math.max(this.unresponsiveUntil, now + SILENCE_SUSPECT_MS);
     log.count("runner.suspected");
   }
 
@@ -96,7 +96,7 @@
     this.awaitingFirstByte.delete(send);
   }
 
-  private signOverdue(now: number): void {
+  private recordOverdue(now: number): void {
     for (const [send, overdueAt] of this.awaitingFirstByte) {
       if (now < overdueAt) continue;
       this.awaitingFirstByte.delete(send);
@@ -107,12 +107,12 @@
   /** It handed a request back: full for now, or another life has its address. */
   denied(now: number, isOther: boolean): void {
     if (isOther) this.move("gone");
-    else this.fullUntil = now + FULL_MS;
+    else this.fullUntil = now + FULL_BACKOFF_MS;
   }
 
   received(now: number): void {
     this.receivedAt = now;
-    this.silentUntil = 0;
+    this.unresponsiveUntil = 0;
   }
 
   /** Nothing came from it for so long, although it has work from here. */
@@ -121,17 +121,17 @@
   }
 
   isQuiet(now: number): boolean {
-    return now < this.silentUntil || this.quietMs(now) > (this.streaming > 0 ? QUIET_STREAM_MS : QUIET_START_MS);
+    return now < this.unresponsiveUntil || this.quietMs(now) > (this.streaming > 0 ? STREAM_SILENCE_MS : START_SILENCE_MS);
   }
 
   reported(report: schema.Report, now: number): void {
-    if (this.isReporting && !report.isSpeaking) this.unreportedAt = now;
+    if (this.isReporting && !report.isSpeaking) this.reportsLostAt = now;
     this.applyReport(report);
   }
 
   /** A report that stays out is one sign: a reply that came well since then outweighs it. */
   isUnproved(now: number): boolean {
-    return !this.isReporting && this.outcomes.succeededAt <= this.unreportedAt && now - this.receivedAt > QUIET_STREAM_MS;
+    return !this.isReporting && this.outcomes.succeededAt <= this.reportsLostAt && now - this.receivedAt > STREAM_SILENCE_MS;
   }
 
   isSuspect(now: number): boolean {
@@ -140,14 +140,14 @@
 
   /** Own evidence that others should hear of, once a while. */
   isNewSuspect(now: number): boolean {
-    this.signOverdue(now);
+    this.recordOverdue(now);
     this.outcomes.state(now);
-    return this.outcomes.takeNews(now, this.streaming > 0 && !this.isLoaded(now) && this.quietMs(now) > QUIET_STREAM_MS);
+    return this.outcomes.takeNews(now, this.streaming > 0 && !this.isLoaded(now) && this.quietMs(now) > STREAM_SILENCE_MS);
   }
 
   /** What is out of reach from here counts as silent unless this router hears it. */
   outOfReach(now: number): void {
-    if (now - this.receivedAt > QUIET_STREAM_MS) this.silentUntil = Math.max(this.silentUntil, now + SUSPECT_MS);
+    if (now - this.receivedAt > STREAM_SILENCE_MS) this.unresponsiveUntil = Math.max(this.unresponsiveUntil, now + SILENCE_SUSPECT_MS);
   }
 
   isCold(now: number): boolean {
--- a/src/runners/runner-fleet.ts
+++ b/src/runners/runner-fleet.ts
@@ -17,14 +17,14 @@
   readonly summaries = new loadSummary.LoadSummaries();
   /** Grows with each runner that comes or goes. */
   listing = 0;
-  private readonly limits: idleTimeout.IdleTimeouts;
+  private readonly idleTimeouts: idleTimeout.IdleTimeouts;
   readonly cohorts = new peerGroup.PeerGroups();
 
   constructor(
     private readonly world: types.Clock,
     private readonly regionOf: ReadonlyMap<string, string>,
   ) {
-    this.limits = new idleTimeout.IdleTimeouts(world, connectionPool.IDLE_MS);
+    this.idleTimeouts = new idleTimeout.IdleTimeouts(world, connectionPool.IDLE_MS);
   }
 
   of(service: string): readonly runnerEndpoint.RunnerEndpoint[] {
@@ -57,21 +57,21 @@
   takeChanges(changed: Iterable<schema.Instance>, gone: Iterable<string>): void {
     const now = this.world.now();
     const services = new Set<string>();
-    for (const instance of changed) if (this.takeInstance(instance, now)) services.add(instance.service);
+    for (const instance of changed) if (this.applyInstance(instance, now)) services.add(instance.service);
     for (const id of gone) {
       const runner = this.remove(id, services);
       if (runner) this.gone.add(id, now);
       else this.gone.unlist(id);
       runner?.move("gone");
     }
-    this.arrange(services);
+    this.reindex(services);
   }
 
   /** Of a region that is followed no longer; its runners are not gone. */
   forget(ids: Iterable<string>): void {
     const services = new Set<string>();
     for (const id of ids) this.remove(id, services)?.connections.closeIdle();
-    this.arrange(services);
+    this.reindex(services);
   }
 
   /** Of runners that were gone: listed still after a while, they are taken again. */
@@ -89,7 +89,7 @@
     return runner;
   }
 
-  private arrange(services: ReadonlySet<string>): void {
+  private reindex(services: ReadonlySet<string>): void {
     if (services.size === 0) return;
     this.listing += 1;
     for (const service of services) this.byService.set(service, []);
@@ -99,7 +99,7 @@
   }
 
   /** True when a runner was added. */
-  private takeInstance(instance: schema.Instance, now: number): boolean {
+  private applyInstance(instance: schema.Instance, now: number): boolean {
     if (this.gone.holds(instance)) return false;
     let runner = this.runners.get(instance.id);
     const isNew = !runner;
@@ -107,7 +107,7 @@
       runner = new runnerEndpoint.RunnerEndpoint(
         instance,
         this.regionOf.get(instance.zone) ?? instance.zone,
-        this.limits.of(instance.service),
+        this.idleTimeouts.of(instance.service),
       );
       this.runners.set(instance.id, runner);
       const cell = this.byRegion.get(runner.region) ?? new Set();
--- a/src/runners/zone-rotation.ts
+++ b/src/runners/zone-rotation.ts
@@ -3,7 +3,7 @@
 import * as shares from "../limits/shares.js";
 import * as types from "../wire/types.js";
 
-const DRAIN_MS = 800;
+const DRAIN_DURATION_MS = 800;
 const DRAIN_STEPS = 4;
 const FAILBACK_STEPS = [10, 25, 50, 75];
 const FAILBACK_STEP_MS = 500;
@@ -45,7 +45,7 @@
     if (item.state === "out") return 0;
     const passed = this.world.now() - item.since;
     if (item.state === "draining") {
-      const step = Math.floor((passed / DRAIN_MS) * DRAIN_STEPS) + 1;
+      const step = Math.floor((passed / DRAIN_DURATION_MS) * DRAIN_STEPS) + 1;
       if (step >= DRAIN_STEPS) this.move(zone, "out");
       return Math.max(0, 100 - (100 / DRAIN_STEPS) * step);
     }
