--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -132,7 +132,7 @@
   demandOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): prediction.TokenDemand {
     const { prompt, maxOutput: mostOut } = plan.requestedTokens;
     return {
-      prefillTokens: plan.parts.length > 0 ? this.dependencies.known.unread(runner.id, plan.parts, plan.keys) : 0,
+      prefillTokens: plan.parts.length > 0 ? this.dependencies.known.unread(runner.id, plan.parts, plan.prefixKeys) : 0,
       outputTokens: mostOut,
       totalTokens: prompt + mostOut,
     };
@@ -156,7 +156,7 @@
     const pace = this.serviceTimeOf(plan.service);
     const { place, need, slow, waitFactor } = input;
     return prediction.predict(place, need, {
-      prefillTokensPerMs: this.dependencies.known.rate,
+      prefillTokensPerMs: this.dependencies.known.tokensPerMs,
       occupancyMs: pace.occupancyMs(plan.requestedTokens.maxOutput > 0),
       tokenMs: pace.tokenMs((place.used + 1) / Math.max(1, place.capacity)),
       waitFactor,
@@ -223,7 +223,7 @@
     return admissionStatus.statusOf({
       now: this.clock.now(),
       isOn: this.isOn,
-      rate: this.dependencies.known.rate,
+      rate: this.dependencies.known.tokensPerMs,
       lagMs: this.lagMs,
       returners: this.recentRejections.size,
       tally: this.stats.status(),
--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -98,8 +98,8 @@
     const regions: string[] = [];
     for (let region = 0; region < size.regions; region += 1) regions.push(`region-${region}`);
     for (const region of regions) for (let index = 0; index < size.runnersEach; index += 1) listed.push(instanceOf(region, index));
-    this.fleet.takeList(listed);
-    const admission = new admissions.Admission(world, { runners: this.fleet.in.bind(this.fleet), known: this.known, routers: one });
+    this.fleet.applySnapshot(listed);
+    const admission = new admissions.Admission(world, { runners: this.fleet.inRegion.bind(this.fleet), known: this.known, routers: one });
     this.policies = [
       new homesPolicy.HomesPolicy(this.fleet, new zoneRotation.ZoneRotation(world)),
       new cellPolicy.CellPolicy(regions[0], this.fleet.summaries),
@@ -124,7 +124,7 @@
         kvCapacity: KV_CAPACITY,
       });
       const shared = this.prompt().slice(0, -1);
-      this.known.note(runner.id, 0, prefillTracker.chainKeys(shared), this.world.now());
+      this.known.recordPrefill(runner.id, 0, prefillTracker.prefixKeys(shared), this.world.now());
     }
     this.fleet.applyReport({ region, reports });
     admission.applyReport({ region, reports });
@@ -151,9 +151,9 @@
       entry: ENTRY,
       service: SERVICE,
       parts,
-      shared,
+      sharedParts: shared,
       sharedTokens,
-      keys: prefillTracker.chainKeys(parts),
+      prefixKeys: prefillTracker.prefixKeys(parts),
       attemptedRunners: new Set(),
       now,
       deadline: now + DEADLINE_MS,
--- a/src/experiment/routers.ts
+++ b/src/experiment/routers.ts
@@ -76,7 +76,7 @@
       const parsed = settings.parse(options.settings);
       if (parsed.isErr) throw parsed.error;
       const program = new routerProgram.RouterProgram(this.world, parsed.value);
-      this.hollows.push({ program, regions: options.regions, lastStanding: program.standing() });
+      this.hollows.push({ program, regions: options.regions, lastStanding: program.position() });
       await program.root.start();
     }
     this.timers.push(
@@ -86,13 +86,13 @@
   }
 
   private recordUse(): void {
-    for (const { program, regions } of this.hollows) for (const region of regions) program.usage.recordSend(region);
+    for (const { program, regions } of this.hollows) for (const region of regions) program.load.recordSend(region);
   }
 
   private sample(): void {
     const atMs = clock.machineMs();
     for (const [index, hollow] of this.hollows.entries()) {
-      const now = hollow.program.standing();
+      const now = hollow.program.position();
       if (now.revision !== hollow.lastStanding.revision) this.revisions.push({ router: index, revision: now.revision, atMs });
       if (now.following !== hollow.lastStanding.following)
         this.followedChanges.push({ router: index, from: hollow.lastStanding.following, to: now.following, atMs });
@@ -110,7 +110,7 @@
     const following = new Map<string, number>();
     let leastRevision = Infinity;
     for (const { program } of this.hollows) {
-      const now = program.standing();
+      const now = program.position();
       following.set(now.following ?? "", (following.get(now.following ?? "") ?? 0) + 1);
       leastRevision = Math.min(leastRevision, now.revision);
     }
--- a/src/limits/shares.ts
+++ b/src/limits/shares.ts
@@ -109,7 +109,7 @@
   }
 
   /** A try that was taken and never left, as no connection came up, goes back to where it was taken from. */
-  giveBack(service: string): void {
+  returnRetry(service: string): void {
     const window = this.windowOf(service);
     const from = window.taken.pop();
     if (from) this.held.giveBack(from);
--- a/src/load/load-reader.ts
+++ b/src/load/load-reader.ts
@@ -22,9 +22,9 @@
 export interface ReportedFleet {
   readonly summaries: loadSummary.LoadSummaries;
   /** Grows with each runner that comes or goes. */
-  readonly listing: number;
+  readonly membershipVersion: number;
   all(): Iterable<ReportedRunner>;
-  in(region: string): Iterable<ReportedRunner>;
+  inRegion(region: string): Iterable<ReportedRunner>;
   applyReport(report: schema.CellReport): void;
 }
 
@@ -91,7 +91,7 @@
 
   /** What was told of runners before they were listed counts from now on. */
   private relist(mirror: mirrors.Mirror): void {
-    this.listVersion = this.fleet.listing;
+    this.listVersion = this.fleet.membershipVersion;
     this.isEstimateDue = true;
     const ids: types.RunnerId[] = [];
     for (const { id } of this.fleet.all()) ids.push(id);
@@ -106,7 +106,7 @@
   /** Each period moves the stamp of a cell; one that stands still is stale, and its usage fades (design/usage 3.4). */
   refresh(mirror: mirrors.Mirror): void {
     const now = this.world.now();
-    if (this.listVersion !== this.fleet.listing) this.relist(mirror);
+    if (this.listVersion !== this.fleet.membershipVersion) this.relist(mirror);
     const regions = new Set(this.interest.regions());
     for (const region of this.followed.keys()) if (!regions.has(region)) this.unfollow(region);
     for (const region of regions) {
@@ -117,11 +117,11 @@
         followed.stamp = mirror.stamp(topic);
         followed.movedAt = now;
         if (followed.isStale) this.takeItems(region, mirror.bodies(topic));
-        for (const runner of this.fleet.in(region)) runner.updateOthers();
+        for (const runner of this.fleet.inRegion(region)) runner.updateOthers();
         this.onPeriod(region);
       }
       this.setStale(region, followed, now - followed.movedAt > loadSummary.STALE_MS);
-      if (followed.isStale) for (const runner of this.fleet.in(region)) runner.fade(FADE_FACTOR);
+      if (followed.isStale) for (const runner of this.fleet.inRegion(region)) runner.fade(FADE_FACTOR);
     }
     this.fleet.summaries.setDetailedRegions(regions);
     if (this.isEstimateDue) for (const runner of this.fleet.all()) if (!regions.has(runner.region)) this.estimate(runner);
@@ -137,7 +137,7 @@
   private unfollow(region: string): void {
     this.followed.delete(region);
     this.isEstimateDue = true;
-    for (const runner of this.fleet.in(region)) runner.clearReport();
+    for (const runner of this.fleet.inRegion(region)) runner.clearReport();
   }
 
   /** A runner of a region known by its summary has the mean usage. */
--- a/src/router/client/client-response.ts
+++ b/src/router/client/client-response.ts
@@ -9,13 +9,13 @@
 /** One answer; begun at most once. */
 export class ClientResponse {
   /** The head of a runner's answer was sent on; no other answer can take its place. */
-  isHeadOut = false;
+  isHeadSent = false;
   private splitter: eventSplitter.EventSplitter | null = null;
 
   /** `isLeaving`: whether the answer is to be the last on its connection. */
   constructor(
     private readonly outgoing: nodeHttp.ServerResponse,
-    private readonly isLeaving: () => boolean,
+    private readonly isDraining: () => boolean,
   ) {}
 
   onClose(run: () => void): void {
@@ -23,12 +23,12 @@
   }
 
   /** Sends on the head of a runner's answer. A resumable body is passed on in whole events. */
-  begin(head: responseHead.ResponseHead, isResumable: boolean, onDrain: () => void): void {
-    const raw = headerRules.forClient(head.raw, head.headers.get("connection"));
-    if (this.isLeaving()) raw.push("Connection", "close");
+  sendHead(head: responseHead.ResponseHead, isResumable: boolean, onDrain: () => void): void {
+    const raw = headerRules.buildResponseHeaders(head.raw, head.headers.get("connection"));
+    if (this.isDraining()) raw.push("Connection", "close");
     if (isResumable) this.splitter = new eventSplitter.EventSplitter();
     this.outgoing.writeHead(head.status, raw);
-    this.isHeadOut = true;
+    this.isHeadSent = true;
     this.outgoing.on("drain", onDrain);
   }
 
@@ -44,27 +44,27 @@
 
   /** False when the client reads slower than the runner sends. */
   write(chunk: Buffer): boolean {
-    const bytes = this.splitter ? this.splitter.feed(chunk) : chunk;
+    const bytes = this.splitter ? this.splitter.push(chunk) : chunk;
     return bytes.length === 0 || this.outgoing.write(bytes);
   }
 
   /** The runner's answer ends early: a part of an event that it left behind is not passed on. */
-  dropPart(): void {
-    this.splitter?.drop();
+  discardPartialEvent(): void {
+    this.splitter?.discardPartial();
   }
 
   /** The runner's answer is whole. */
   end(): void {
-    const rest = this.splitter?.rest();
+    const rest = this.splitter?.takeRemainder();
     this.outgoing.end(rest?.length ? rest : undefined);
   }
 
   /** An answer of the router's own, in place of a runner's. */
-  answer(status: number, message: string, retryAfterS: number | null): void {
-    localResponse.sendLocalResponse(this.outgoing, status, message, retryAfterS, this.isLeaving());
+  sendLocal(status: number, message: string, retryAfterS: number | null): void {
+    localResponse.sendLocalResponse(this.outgoing, status, message, retryAfterS, this.isDraining());
   }
 
-  breakOff(): void {
+  abort(): void {
     this.outgoing.destroy();
   }
 }
--- a/src/router/client/event-splitter.ts
+++ b/src/router/client/event-splitter.ts
@@ -9,7 +9,7 @@
   count = 0;
 
   /** The whole events that the chunk completes; the rest is held back. */
-  feed(chunk: Buffer): Buffer {
+  push(chunk: Buffer): Buffer {
     const bytes = this.buffered.length > 0 ? Buffer.concat([this.buffered, chunk]) : chunk;
     let done = 0;
     let lineStart = 0;
@@ -32,11 +32,11 @@
   }
 
   /** Bytes that belong to no whole event: a run that is given up leaves them behind. */
-  drop(): void {
+  discardPartial(): void {
     this.buffered = Buffer.alloc(0);
   }
 
-  rest(): Buffer {
+  takeRemainder(): Buffer {
     const rest = this.buffered;
     this.buffered = Buffer.alloc(0);
     return rest;
--- a/src/router/client/pending-requests.ts
+++ b/src/router/client/pending-requests.ts
@@ -20,7 +20,7 @@
 
   /** `most`: how many may wait at once. */
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly maxPending: number,
   ) {}
 
@@ -31,12 +31,12 @@
   /** arrivedAt and mostHeldMs: of the request, in milliseconds; where there is no room or time it is late at once. */
   add(outgoing: nodeHttp.ServerResponse, arrivedAt: number, mostHeldMs: number, outcomes: PendingHandler): void {
     const { waiting } = this;
-    const leftMs = arrivedAt + Math.min(MAX_WAIT_MS, mostHeldMs) - this.world.now();
+    const leftMs = arrivedAt + Math.min(MAX_WAIT_MS, mostHeldMs) - this.clock.now();
     if (waiting.size >= this.maxPending || leftMs <= 0) {
       outcomes.onTimeout();
       return;
     }
-    const tick = this.world.schedule(leftMs, late);
+    const tick = this.clock.schedule(leftMs, late);
     waiting.add(go);
     outgoing.once("close", gone);
     function late(): void {
--- a/src/router/client/request-body.ts
+++ b/src/router/client/request-body.ts
@@ -4,11 +4,11 @@
 /** The bytes that all requests of this process hold, and the requests whose bodies are still on their way. */
 export class BufferedBytes {
   bytes = 0;
-  reading = 0;
+  pendingBodies = 0;
 
   constructor(private readonly maxBytes: number) {}
 
-  hasRoom(more: number): boolean {
+  hasCapacity(more: number): boolean {
     return this.bytes + more <= this.maxBytes;
   }
 }
@@ -26,7 +26,7 @@
   const parts: Buffer[] = [];
   let bytes = 0;
   let isOver = false;
-  buffered.reading += 1;
+  buffered.pendingBodies += 1;
   incoming.on("data", more);
   incoming.on("end", whole);
   incoming.on("error", lost);
@@ -51,7 +51,7 @@
   function lost(): void {
     if (isOver) return;
     isOver = true;
-    buffered.reading -= 1;
+    buffered.pendingBodies -= 1;
     buffered.bytes -= bytes;
   }
 }
--- a/src/router/client/router-server.ts
+++ b/src/router/client/router-server.ts
@@ -29,7 +29,7 @@
 const CONNECTION_CHECK_INTERVAL_MS = 1000;
 
 /** The machine's limits. */
-export interface Machine {
+export interface MachineLimits {
   memory_mb: number;
   max_open_files: number;
 }
@@ -41,34 +41,38 @@
   private readonly pending: pendingRequests.PendingRequests;
   private limits = DEFAULT_LIMITS;
   private readonly buffered: requestBody.BufferedBytes;
-  isLeaving = false;
+  isDraining = false;
 
   constructor(
-    private readonly world: types.Clock,
-    private readonly chooser: transactionContext.TransactionContext["chooser"],
+    private readonly clock: types.Clock,
+    private readonly picker: transactionContext.TransactionContext["picker"],
     private readonly isReady: () => boolean,
-    private readonly sending: transactionContext.TransactionContext["sending"],
-    machine: Machine,
+    private readonly recordSend: transactionContext.TransactionContext["recordSend"],
+    machine: MachineLimits,
     private readonly batches: routerBatches.RouterBatches,
-    private readonly tenancy: tenantGate.TenantGate,
+    private readonly tenantGate: tenantGate.TenantGate,
   ) {
     this.buffered = new requestBody.BufferedBytes(machine.memory_mb * 1024 * 1024 * BODY_MEMORY_FRACTION);
-    this.pending = new pendingRequests.PendingRequests(world, Math.floor(machine.memory_mb * PENDING_PER_MB));
+    this.pending = new pendingRequests.PendingRequests(clock, Math.floor(machine.memory_mb * PENDING_PER_MB));
     this.server = nodeHttp.createServer(
-      { connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS, maxHeaderSize: DEFAULT_LIMITS.max_header_bytes, requireHostHeader: false },
-      this.take.bind(this),
+      {
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
+        maxHeaderSize: DEFAULT_LIMITS.max_header_bytes,
+        requireHostHeader: false,
+      },
+      this.onRequest.bind(this),
     );
     this.server.on("clientError", clientError);
     this.server.on("connect", requestValidation.rejectConnect);
     this.server.maxConnections = Math.floor(machine.max_open_files * CLIENT_CONNECTION_FRACTION);
-    this.limit(undefined);
+    this.applyLimits(undefined);
   }
 
   get activeCount(): number {
-    return this.active.size + this.buffered.reading + this.pending.size;
+    return this.active.size + this.buffered.pendingBodies + this.pending.size;
   }
 
-  limit(limits: check.Limits | undefined): void {
+  applyLimits(limits: check.Limits | undefined): void {
     this.limits = { ...DEFAULT_LIMITS, ...limits };
     const server = this.server as nodeHttp.Server & { maxHeaderSize?: number };
     server.maxHeaderSize = this.limits.max_header_bytes;
@@ -92,39 +96,39 @@
   }
 
   /** Requests whose runner fell silent are looked at a few times a second. */
-  watch(): void {
-    const now = this.world.now();
-    for (const transaction of [...this.active]) transaction.watch(now);
+  checkSilence(): void {
+    const now = this.clock.now();
+    for (const transaction of [...this.active]) transaction.checkSilence(now);
   }
 
-  private deny(outgoing: nodeHttp.ServerResponse, status: number, message: string, retryAfterS: number | null, isLast: boolean): void {
+  private reject(outgoing: nodeHttp.ServerResponse, status: number, message: string, retryAfterS: number | null, isLast: boolean): void {
     log.count(`router.reply_${status}`);
-    localResponse.sendLocalResponse(outgoing, status, message, retryAfterS, isLast || this.isLeaving);
+    localResponse.sendLocalResponse(outgoing, status, message, retryAfterS, isLast || this.isDraining);
   }
 
-  private take(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
+  private onRequest(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
     if (requestValidation.isClosing(incoming.socket)) return;
     log.count("router.requests");
     const fault = requestValidation.validate(incoming);
-    if (fault) return this.deny(outgoing, fault.status, fault.message, null, true);
-    const arrivedAt = this.world.now();
+    if (fault) return this.reject(outgoing, fault.status, fault.message, null, true);
+    const arrivedAt = this.clock.now();
     const length = Number(incoming.headers["content-length"] ?? 0);
     if (length > this.limits.max_body_bytes) return this.rejectTooLarge(outgoing);
-    if (!this.buffered.hasRoom(length)) {
-      this.deny(outgoing, 503, "too many bodies are held; come back shortly", 0.5, true);
+    if (!this.buffered.hasCapacity(length)) {
+      this.reject(outgoing, 503, "too many bodies are held; come back shortly", 0.5, true);
       return;
     }
-    this.read(incoming, outgoing, arrivedAt);
+    this.receiveBody(incoming, outgoing, arrivedAt);
   }
 
-  private read(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number): void {
-    const entry = this.chooser.table?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    const timer = this.world.schedule(routeRequest.mostHeldMs(incoming, entry), this.rejectLateBody.bind(this, incoming, outgoing));
+  private receiveBody(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number): void {
+    const entry = this.picker.routeTable?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
+    const timer = this.clock.schedule(routeRequest.timeBudgetMs(incoming, entry), this.rejectLateBody.bind(this, incoming, outgoing));
     outgoing.once("close", () => timer.stop());
     requestBody.readBody(incoming, this.limits.max_body_bytes, this.buffered, {
       onComplete: (body) => {
         timer.stop();
-        if (!outgoing.headersSent) this.begin(incoming, outgoing, arrivedAt, body);
+        if (!outgoing.headersSent) this.routeRequest(incoming, outgoing, arrivedAt, body);
       },
       onTooLarge: () => {
         timer.stop();
@@ -136,89 +140,104 @@
   /** The body is not whole when the request's time is over: nothing was sent on, and its connection ends. */
   private rejectLateBody(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
     log.count("router.body_late");
-    this.deny(outgoing, 408, "the deadline has passed before the body was whole; send it faster", null, true);
+    this.reject(outgoing, 408, "the deadline has passed before the body was whole; send it faster", null, true);
     outgoing.once("finish", () => incoming.destroy());
   }
 
   private rejectTooLarge(outgoing: nodeHttp.ServerResponse): void {
-    this.deny(outgoing, 413, `the body is over max_body_bytes ${this.limits.max_body_bytes}; send a smaller one`, null, true);
+    this.reject(outgoing, 413, `the body is over max_body_bytes ${this.limits.max_body_bytes}; send a smaller one`, null, true);
   }
 
-  private begin(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number, body: Buffer | null): void {
-    const { table } = this.chooser;
+  private routeRequest(
+    incoming: nodeHttp.IncomingMessage,
+    outgoing: nodeHttp.ServerResponse,
+    arrivedAt: number,
+    body: Buffer | null,
+  ): void {
+    const { routeTable: table } = this.picker;
     if (!table || !this.isReady()) {
-      this.wait(incoming, outgoing, arrivedAt, body);
+      this.deferUntilReady(incoming, outgoing, arrivedAt, body);
       return;
     }
     const entry = table.find(incoming.headers.host ?? "", incoming.url ?? "/");
     if (!entry) {
-      this.deny(outgoing, 404, "no route has this host and path; see Config.Describe for the routes", null, false);
+      this.reject(outgoing, 404, "no route has this host and path; see Config.Describe for the routes", null, false);
       return;
     }
-    const requestId = routeRequest.idOf(incoming);
+    const requestId = routeRequest.requestIdOf(incoming);
     if (requestId === "") {
-      this.deny(outgoing, 400, "X-Cranewind-Request-Id is missing; send one id a try", null, false);
+      this.reject(outgoing, 400, "X-Cranewind-Request-Id is missing; send one id a try", null, false);
       return;
     }
-    const tenant = this.tenancy.identify(incoming.headers[names.HEADER.key], entry.route);
+    const tenant = this.tenantGate.authenticate(incoming.headers[names.HEADER.key], entry.route);
     if (tenant && "status" in tenant) {
-      this.deny(outgoing, tenant.status, tenant.cause, tenant.retryAfterS, false);
+      this.reject(outgoing, tenant.status, tenant.cause, tenant.retryAfterS, false);
       return;
     }
     const isBatch = this.batches.isItem(incoming.headers[names.HEADER.batchPass]);
     if (!isBatch) this.batches.countArrival(entry.route.name);
-    this.admit(routeRequest.requestOf(incoming, { requestId, entry, tenant, body, arrivedAt, isBatch }), incoming, outgoing);
+    this.acquireQuota(routeRequest.buildRouteRequest(incoming, { requestId, entry, tenant, body, arrivedAt, isBatch }), incoming, outgoing);
   }
 
-  private wait(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number, body: Buffer | null): void {
-    const entry = this.chooser.table?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    this.pending.add(outgoing, arrivedAt, routeRequest.mostHeldMs(incoming, entry), {
-      onReady: () => this.begin(incoming, outgoing, arrivedAt, body),
-      onTimeout: () => this.deny(outgoing, 503, "this node has no configuration yet; come back shortly", 0.3, true),
+  private deferUntilReady(
+    incoming: nodeHttp.IncomingMessage,
+    outgoing: nodeHttp.ServerResponse,
+    arrivedAt: number,
+    body: Buffer | null,
+  ): void {
+    const entry = this.picker.routeTable?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
+    this.pending.add(outgoing, arrivedAt, routeRequest.timeBudgetMs(incoming, entry), {
+      onReady: () => this.routeRequest(incoming, outgoing, arrivedAt, body),
+      onTimeout: () => this.reject(outgoing, 503, "this node has no configuration yet; come back shortly", 0.3, true),
     });
   }
 
   /** The first configuration and list are here. */
-  takePending(): void {
+  servePending(): void {
     this.pending.releaseAll();
   }
 
   /** Waits for a unit of the tenant's quota where there is a limit; a client that leaves meanwhile takes none. */
-  private admit(request: routeRequest.RouteRequest, incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
-    const { tenancy } = this;
-    const claim = tenancy.admit(
+  private acquireQuota(request: routeRequest.RouteRequest, incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
+    const { tenantGate: tenancy } = this;
+    const claim = tenancy.acquireQuota(
       request.tenant,
       (admitted) => {
-        if (outgoing.destroyed) tenancy.giveBack(request.tenant, admitted);
-        else this.run(request, incoming, outgoing, admitted);
+        if (outgoing.destroyed) tenancy.returnQuota(request.tenant, admitted);
+        else this.startTransaction(request, incoming, outgoing, admitted);
       },
-      (refusal) => this.deny(outgoing, refusal.status, refusal.cause, refusal.retryAfterS, false),
+      (refusal) => this.reject(outgoing, refusal.status, refusal.cause, refusal.retryAfterS, false),
     );
     if (claim?.isWaiting) outgoing.once("close", claim.cancel.bind(claim));
   }
 
-  private run(
+  private startTransaction(
     request: routeRequest.RouteRequest,
     incoming: nodeHttp.IncomingMessage,
     outgoing: nodeHttp.ServerResponse,
-    admitted: tenantGate.Admitted,
+    admitted: tenantGate.QuotaUnit,
   ): void {
-    const { world, chooser, active, buffered, sending, tenancy } = this;
+    const { clock: world, picker: chooser, active, buffered, recordSend: sending, tenantGate: tenancy } = this;
     const isLeaving = this.isGoing.bind(this);
     const bytes = request.body?.length ?? 0;
-    const transaction = new requestTransaction.Transaction({ world, chooser, finished, sending, isLeaving }, request, incoming, outgoing);
+    const transaction = new requestTransaction.Transaction(
+      { clock: world, picker: chooser, onFinished: finished, recordSend: sending, isDraining: isLeaving },
+      request,
+      incoming,
+      outgoing,
+    );
     buffered.bytes += bytes;
     active.add(transaction);
     transaction.start();
     function finished(): void {
       if (!active.delete(transaction)) return;
       buffered.bytes -= bytes;
-      if (transaction.isUnsent) tenancy.giveBack(request.tenant, admitted);
+      if (transaction.wasNeverSent) tenancy.returnQuota(request.tenant, admitted);
     }
   }
 
   private isGoing(): boolean {
-    return this.isLeaving;
+    return this.isDraining;
   }
 }
 
--- a/src/router/header-rules.ts
+++ b/src/router/header-rules.ts
@@ -47,7 +47,7 @@
 const LOWEST_PRIORITY = 9;
 
 /** What the router itself sets on a send. */
-export interface Sending {
+export interface RouterHeaders {
   target: string;
   budgetMs: number;
   /** The route's rank; below it the runner lets in, and puts back, in its order. */
@@ -58,7 +58,7 @@
 }
 
 /** Raw name and value pairs for the runner. */
-export function forRunner(raw: readonly string[], connection: string | undefined, sending: Sending): string[] {
+export function buildRequestHeaders(raw: readonly string[], connection: string | undefined, sending: RouterHeaders): string[] {
   const dropped = connectionOptions(connection);
   const result: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
@@ -82,7 +82,7 @@
 }
 
 /** Raw name and value pairs for the client. */
-export function forClient(raw: readonly Buffer[], connection: string | undefined): string[] {
+export function buildResponseHeaders(raw: readonly Buffer[], connection: string | undefined): string[] {
   const dropped = connectionOptions(connection);
   const result: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
--- a/src/router/limit-borrower.ts
+++ b/src/router/limit-borrower.ts
@@ -16,7 +16,7 @@
 }
 
 /** The part of a need that goes to one of the owners: hot tries are rounded up, all else goes to one in turn. */
-export function split(need: leaseSchema.Need, index: number, owners: number, turn: number): leaseSchema.Need | null {
+export function splitNeed(need: leaseSchema.Need, index: number, owners: number, turn: number): leaseSchema.Need | null {
   const base = Math.floor(need.wanted / owners);
   const rest = need.wanted % owners;
   const isNext = (index + turn) % owners < rest;
@@ -31,32 +31,32 @@
   private requestedAt = -Infinity;
 
   constructor(
-    private readonly world: types.Clock,
-    private readonly life: string,
+    private readonly clock: types.Clock,
+    private readonly incarnation: string,
     private readonly dial: dialer.Dialer,
-    private readonly share: shares.Shares,
+    private readonly limits: shares.Shares,
   ) {}
 
   /** Called often: asks at once when something was missing, else with each beat. */
-  turn(): void {
-    const now = this.world.now();
-    if (now - this.requestedAt < REQUEST_INTERVAL_MS && !this.share.held.isShort) return;
+  runPeriodically(): void {
+    const now = this.clock.now();
+    if (now - this.requestedAt < REQUEST_INTERVAL_MS && !this.limits.held.isShort) return;
     this.requestedAt = now;
     this.roundNumber += 1;
-    const needs = this.share.held.needs();
+    const needs = this.limits.held.needs();
     const controls = [...this.dial.controls.values()];
     const lives = new Set(controls.map(incarnationOf));
     for (const life of this.sources.keys()) if (!lives.has(life)) this.sources.delete(life);
-    this.share.held.forgetAllBut(lives);
+    this.limits.held.forgetAllBut(lives);
     const owners = controls.filter(this.isOwner.bind(this)).sort(byAddress);
     for (const control of controls) {
       const index = owners.indexOf(control);
       const own: leaseSchema.Need[] = [];
       for (const need of needs) {
-        const part = index < 0 ? null : split(need, index, owners.length, this.roundNumber);
+        const part = index < 0 ? null : splitNeed(need, index, owners.length, this.roundNumber);
         if (part) own.push(part);
       }
-      this.ask(control, own, now);
+      this.requestFrom(control, own, now);
     }
   }
 
@@ -65,15 +65,15 @@
     return this.sources.get(control.node.life)?.isGranting ?? true;
   }
 
-  private ask(control: dialer.Control, needs: leaseSchema.Need[], now: number): void {
+  private requestFrom(control: dialer.Control, needs: leaseSchema.Need[], now: number): void {
     const { life } = control.node;
-    const done = this.share.held.done(life);
+    const done = this.limits.held.done(life);
     const source = this.sources.get(life) ?? { isGranting: true, requestedAt: -Infinity };
     if (needs.length === 0 && done.length === 0 && now - source.requestedAt < IDLE_REQUEST_INTERVAL_MS) return;
     source.requestedAt = now;
     this.sources.set(life, source);
-    const { share } = this;
-    void control.link.call(calls.lease, { router: this.life, life, needs, done }, REPLY_TIMEOUT_MS).then(take);
+    const { limits: share } = this;
+    void control.link.call(calls.lease, { router: this.incarnation, life, needs, done }, REPLY_TIMEOUT_MS).then(take);
     function take(reply: leaseSchema.LeaseReply | null): void {
       source.isGranting = reply?.isGranting ?? false;
       if (reply) share.grant(reply, now);
--- a/src/router/policies/cell-policy.ts
+++ b/src/router/policies/cell-policy.ts
@@ -39,7 +39,7 @@
 }
 
 /** A short doubt is no absence: only who was away for longer comes back by steps. */
-function moved(state: CellState, isIn: boolean, now: number): CellState {
+function transition(state: CellState, isIn: boolean, now: number): CellState {
   if (isIn && now - state.since < SHORT_ABSENCE_MS) return { isIn, since: -Infinity };
   return { isIn, since: now };
 }
@@ -69,13 +69,13 @@
   private readonly states = new Map<string, CellState>();
   constructor(
     private readonly ownRegion: string,
-    private readonly known = new loadSummary.LoadSummaries(),
+    private readonly summaries = new loadSummary.LoadSummaries(),
   ) {}
 
   apply(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const counts = countCells(plan.candidates, plan.now);
     for (const [region, cell] of counts) {
-      const summary = this.known.summaryOf(region, plan.service);
+      const summary = this.summaries.summaryOf(region, plan.service);
       if (summary) cell.good = Math.min(cell.good, Math.round((cell.all * summary.good) / Math.max(1, summary.total)));
     }
     const order = plan.sharedTokens >= DETERMINISTIC_TOKENS ? this.byKey(plan, counts) : this.byPriority(counts);
@@ -86,7 +86,7 @@
     }
     plan.cells = [...available, ...rest];
     if (plan.sharedTokens >= DETERMINISTIC_TOKENS)
-      for (const region of plan.cells.slice(0, RANKED_CELLS)) this.known.requestDetails(region);
+      for (const region of plan.cells.slice(0, RANKED_CELLS)) this.summaries.requestDetails(region);
     return null;
   }
 
@@ -96,15 +96,15 @@
     const isGood = cell.good >= cell.all * MIN_GOOD_FRACTION && cell.good > 0;
     const key = `${plan.service}|${region}`;
     const state = this.states.get(key) ?? { isIn: true, since: -Infinity };
-    if (state.isIn !== isGood) this.states.set(key, moved(state, isGood, plan.now));
+    if (state.isIn !== isGood) this.states.set(key, transition(state, isGood, plan.now));
     const { since } = this.states.get(key) ?? state;
-    return isGood && zoneRotation.isWithin(zoneRotation.failbackPercent(plan.now - since), plan.requestId);
+    return isGood && zoneRotation.isWithinPercent(zoneRotation.failbackPercent(plan.now - since), plan.requestId);
   }
 
   private byKey(plan: routePlan.RoutePlan, counts: ReadonlyMap<string, CellCount>): string[] {
     const weights = new Map<string, number>();
     for (const [region, cell] of counts) weights.set(region, cell.all);
-    return rankByKey(routePlan.promptKey(plan.shared), weights);
+    return rankByKey(routePlan.promptKey(plan.sharedParts), weights);
   }
 
   private byPriority(counts: ReadonlyMap<string, CellCount>): string[] {
--- a/src/router/policies/homes-policy.ts
+++ b/src/router/policies/homes-policy.ts
@@ -22,11 +22,11 @@
     const { homes } = plan.entry;
     const tenantHomes = plan.tenant?.homes ?? [];
     const regions = new Set<string>();
-    for (const runner of this.fleet.of(plan.service)) {
+    for (const runner of this.fleet.ofService(plan.service)) {
       if (!allows(homes, runner.region) || !allows(tenantHomes, runner.region)) continue;
       if (runner.status !== "ready" || plan.attemptedRunners.has(runner.id)) continue;
-      if (plan.now > runner.leavesAt - LEAVING_SLACK_MS) continue;
-      if (!this.rotation.isIn(runner.instance.zone, plan.requestId)) continue;
+      if (plan.now > runner.shutdownAt - LEAVING_SLACK_MS) continue;
+      if (!this.rotation.admits(runner.instance.zone, plan.requestId)) continue;
       plan.candidates.push(runner);
       regions.add(runner.region);
     }
--- a/src/router/policies/runner-policy.ts
+++ b/src/router/policies/runner-policy.ts
@@ -27,7 +27,7 @@
 /** Orders the candidates by what they would cost the request. */
 export class RunnerPolicy implements routePlan.Policy {
   readonly name = "runner";
-  constructor(private readonly known: prefillTracker.PrefillTracker) {}
+  constructor(private readonly prefills: prefillTracker.PrefillTracker) {}
 
   apply(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const good: ScoredRunner[] = [];
@@ -54,9 +54,9 @@
   }
 
   private scoreCell(plan: routePlan.RoutePlan, cell: runnerEndpoint.RunnerEndpoint[], cellIndex: number): ScoredRunner[] {
-    const { known } = this;
+    const { prefills: known } = this;
     const hasPrompt = plan.parts.length > 0;
-    const ranks = hasPrompt ? affinityRanks(routePlan.promptKey(plan.shared), cell) : null;
+    const ranks = hasPrompt ? affinityRanks(routePlan.promptKey(plan.sharedParts), cell) : null;
     return cell.map(scored);
     function scored(runner: runnerEndpoint.RunnerEndpoint): ScoredRunner {
       let ms =
@@ -64,8 +64,11 @@
         cellIndex * NEXT_CELL_MS +
         (LOAD_WEIGHT_MS * runner.requestCount()) / runner.instance.capacity;
       if (hasPrompt) {
-        const unread = known.unread(runner.id, plan.parts, plan.keys);
-        ms += known.backlogMs(runner.id, plan.now) + (PREFILL_WEIGHT * unread) / known.rate + AFFINITY_RANK_MS * (ranks?.get(runner) ?? AFFINITY_RANKS);
+        const unread = known.unread(runner.id, plan.parts, plan.prefixKeys);
+        ms +=
+          known.backlogMs(runner.id, plan.now) +
+          (PREFILL_WEIGHT * unread) / known.tokensPerMs +
+          AFFINITY_RANK_MS * (ranks?.get(runner) ?? AFFINITY_RANKS);
       }
       return { runner, ms };
     }
--- a/src/router/prefill-sharing.ts
+++ b/src/router/prefill-sharing.ts
@@ -16,34 +16,34 @@
 
   /** `send`: brings signs to the other routers, by way of a control node. */
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly fleet: runnerFleet.RunnerFleet,
-    private readonly known: prefillTracker.PrefillTracker,
-    private readonly usage: loadReader.LoadReader,
+    private readonly prefills: prefillTracker.PrefillTracker,
+    private readonly load: loadReader.LoadReader,
     send: (signs: schema.Signs) => void,
   ) {
-    this.signSender = new hintExchange.HintExchange(world, usage.runnerHashes, this, send);
+    this.signSender = new hintExchange.HintExchange(clock, load.runnerHashes, this, send);
   }
 
   /** A request goes to a runner: the tokens of its prompt that the runner has to read. */
-  sending(request: routeRequest.RouteRequest, runner: types.RunnerId): number {
-    this.usage.recordSend(this.fleet.regionFor(runner));
+  recordSend(request: routeRequest.RouteRequest, runner: types.RunnerId): number {
+    this.load.recordSend(this.fleet.regionFor(runner));
     if (request.parts.length === 0) return 0;
-    const unread = Math.round(this.known.unread(runner, request.parts, request.keys));
-    const news = request.keys.slice(this.known.keptParts(runner, request.keys));
-    this.onPrefill(runner, unread, request.keys);
+    const unread = Math.round(this.prefills.unread(runner, request.parts, request.prefixKeys));
+    const news = request.prefixKeys.slice(this.prefills.cachedParts(runner, request.prefixKeys));
+    this.onPrefill(runner, unread, request.prefixKeys);
     if (unread >= MIN_SHARED_TOKENS) this.signSender.publishPrefill(runner, unread, news);
     return unread;
   }
 
   /** A reading that was sent from here, or from another router. */
   onPrefill(runner: types.RunnerId, unread: number, keys: readonly number[]): void {
-    this.known.note(runner, unread, keys, this.world.now());
-    this.fleet.reads(runner, unread / this.known.rate);
+    this.prefills.recordPrefill(runner, unread, keys, this.clock.now());
+    this.fleet.recordPrefill(runner, unread / this.prefills.tokensPerMs);
   }
 
   /** Another router found these runners silent or failing. */
   onUnresponsive(ids: types.RunnerId[]): void {
-    this.fleet.takeSuspects(ids);
+    this.fleet.recordRemoteSuspects(ids);
   }
 }
--- a/src/router/request-transaction.ts
+++ b/src/router/request-transaction.ts
@@ -17,17 +17,17 @@
 const SILENCE_CHECK_INTERVAL_MS = 250;
 
 /** One request of a client, from its body to the end of its answer. */
-export class Transaction implements runnerAttempt.Owner {
+export class Transaction implements runnerAttempt.AttemptListener {
   state: transactionState.TransactionState = "reading";
-  private readonly tried = new Set<string>();
+  private readonly attemptedRunners = new Set<string>();
   private sendCount = 0;
   private unsentCount = 0;
   private attempt: runnerAttempt.Attempt | null = null;
   private deadlineTimer: types.Timer | null = null;
-  private reading: { tokens: number; since: number } | null = null;
+  private prefill: { tokens: number; since: number } | null = null;
   private mayHaveRun = false;
   private nextSilenceCheckAt = 0;
-  private readonly reply: clientResponse.ClientResponse;
+  private readonly response: clientResponse.ClientResponse;
 
   constructor(
     private readonly context: transactionContext.TransactionContext,
@@ -35,185 +35,186 @@
     private readonly incoming: nodeHttp.IncomingMessage,
     outgoing: nodeHttp.ServerResponse,
   ) {
-    this.reply = new clientResponse.ClientResponse(outgoing, context.isLeaving);
-    this.reply.onClose(this.clientGone.bind(this));
+    this.response = new clientResponse.ClientResponse(outgoing, context.isDraining);
+    this.response.onClose(this.onClientClosed.bind(this));
   }
 
   /** `end`: what it came to, with the last change. */
-  private move(to: transactionState.TransactionState, end?: admissionStats.RequestOutcome): void {
+  private transition(to: transactionState.TransactionState, end?: admissionStats.RequestOutcome): void {
     this.state = transactionState.transition(this.state, to);
     if (!end) return;
-    this.context.chooser.admission.stats.recordOutcome(end, this.request.rank);
+    this.context.picker.admission.stats.recordOutcome(end, this.request.rank);
     this.deadlineTimer?.stop();
-    this.context.finished();
+    this.context.onFinished();
   }
 
   start(): void {
-    this.deadlineTimer = this.context.world.schedule(
-      Math.max(0, this.request.deadline - this.context.world.now()),
-      this.expired.bind(this),
+    this.deadlineTimer = this.context.clock.schedule(
+      Math.max(0, this.request.deadline - this.context.clock.now()),
+      this.onDeadline.bind(this),
     );
-    this.context.chooser.countRequest(this.request);
-    this.move("choosing");
-    this.choose();
+    this.context.picker.countRequest(this.request);
+    this.transition("choosing");
+    this.pickRunner();
   }
 
   /** Runs the chain and sends on; a rejection is told at once. */
-  private choose(): void {
-    const left = this.request.deadline - this.context.world.now();
+  private pickRunner(): void {
+    const left = this.request.deadline - this.context.clock.now();
     if (left < MIN_REMAINING_MS) {
-      this.deny({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
+      this.reject({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
       return;
     }
-    const choice = this.context.chooser.pick(this.request, this.tried, this.sendCount);
-    if ("status" in choice) this.deny(choice);
+    const choice = this.context.picker.pick(this.request, this.attemptedRunners, this.sendCount);
+    if ("status" in choice) this.reject(choice);
     else this.sendTo(choice);
   }
 
   private sendTo(choice: runnerPicker.Pick): void {
-    const left = this.request.deadline - this.context.world.now();
-    this.tried.add(choice.runner.id);
+    const left = this.request.deadline - this.context.clock.now();
+    this.attemptedRunners.add(choice.runner.id);
     this.sendCount += 1;
-    const sending = { target: choice.runner.id, budgetMs: Math.max(1, Math.floor(left)), lastEventId: this.reply.lastEventId };
+    const sending = { target: choice.runner.id, budgetMs: Math.max(1, Math.floor(left)), lastEventId: this.response.lastEventId };
     this.attempt = new runnerAttempt.Attempt(
-      this.context.world,
+      this.context.clock,
       choice.runner,
       choice.connection,
       this,
-      routeRequest.sendable(this.request, this.incoming, sending, choice.ticket),
+      routeRequest.buildOutgoingRequest(this.request, this.incoming, sending, choice.observer),
     );
-    this.move("sent");
-    this.reading = { tokens: this.context.sending(this.request, choice.runner.id), since: this.context.world.now() };
-    this.attempt.start(this.reading.tokens);
+    this.transition("sent");
+    this.prefill = { tokens: this.context.recordSend(this.request, choice.runner.id), since: this.context.clock.now() };
+    this.attempt.start(this.prefill.tokens);
   }
 
   /** Whether no runner was ever chosen for it. */
-  get isUnsent(): boolean {
-    return this.tried.size === 0;
+  get wasNeverSent(): boolean {
+    return this.attemptedRunners.size === 0;
   }
 
   /** Nothing has run, and nothing will: only then may a promise be given. */
-  private deny(rejection: routePlan.Rejection): void {
+  private reject(rejection: routePlan.Rejection): void {
     log.count("router.denied");
-    if (this.reply.isHeadOut || this.mayHaveRun) this.lost();
-    else this.finish(rejection.status, rejection.cause, rejection.retryAfterS, "denied");
+    if (this.response.isHeadSent || this.mayHaveRun) this.fail();
+    else this.respond(rejection.status, rejection.cause, rejection.retryAfterS, "denied");
   }
 
-  private lost(): void {
-    if (this.reply.isHeadOut) this.breakOff("lost");
-    else this.finish(502, "the runner broke off and the request may have run", null, "lost");
+  private fail(): void {
+    if (this.response.isHeadSent) this.abort("lost");
+    else this.respond(502, "the runner broke off and the request may have run", null, "lost");
   }
 
-  private finish(status: number, message: string, retryAfterS: number | null, end: admissionStats.RequestOutcome): void {
-    const { world, chooser } = this.context;
-    if (end === "denied") chooser.admission.stats.recordRejection(world.now() - this.request.arrivedAt, message, this.tried.size > 0);
-    this.reply.answer(status, message, retryAfterS);
-    this.move("done", end);
+  private respond(status: number, message: string, retryAfterS: number | null, end: admissionStats.RequestOutcome): void {
+    const { clock: world, picker: chooser } = this.context;
+    if (end === "denied")
+      chooser.admission.stats.recordRejection(world.now() - this.request.arrivedAt, message, this.attemptedRunners.size > 0);
+    this.response.sendLocal(status, message, retryAfterS);
+    this.transition("done", end);
   }
 
-  private breakOff(end: admissionStats.RequestOutcome): void {
+  private abort(end: admissionStats.RequestOutcome): void {
     log.count("router.broken_off");
-    this.reply.breakOff();
-    this.move("done", end);
+    this.response.abort();
+    this.transition("done", end);
   }
 
   onHead(_attempt: runnerAttempt.Attempt, head: responseHead.ResponseHead): boolean {
     const { entry } = this.request;
     const isSuccess = responseHead.isSuccess(head);
     if (isSuccess && !responseHead.isSealed(head)) return false;
-    if (this.reply.isHeadOut) return this.isSameStream(head);
+    if (this.response.isHeadSent) return this.isSameStream(head);
     // What doesn't say that the request has not run must not reach the client as a promise that it has not.
-    if (responseHead.isPromise(head)) return false;
-    if (head.status >= 500 && entry.isRepeatable && this.mayRepeat()) return false;
+    if (responseHead.promisesNotExecuted(head)) return false;
+    if (head.status >= 500 && entry.isRepeatable && this.hasAttemptsLeft()) return false;
     const isResumable = entry.route.route_type === "streaming" && isSuccess && entry.isRepeatable && !head.headers.has("content-length");
-    this.reply.begin(head, isResumable, () => this.attempt?.resume());
-    this.move("passing");
+    this.response.sendHead(head, isResumable, () => this.attempt?.resume());
+    this.transition("passing");
     return true;
   }
 
   private isSameStream(head: responseHead.ResponseHead): boolean {
-    const isSame = head.status === 200 && this.reply.isResumable;
-    if (isSame) this.move("passing");
+    const isSame = head.status === 200 && this.response.isResumable;
+    if (isSame) this.transition("passing");
     return isSame;
   }
 
-  onPiece(_attempt: runnerAttempt.Attempt, chunk: Buffer): boolean {
+  onChunk(_attempt: runnerAttempt.Attempt, chunk: Buffer): boolean {
     if (this.state !== "passing") return true;
-    if (this.reading) this.context.chooser.known.learn(this.reading.tokens, this.context.world.now() - this.reading.since);
-    this.reading = null;
-    return this.reply.write(chunk);
+    if (this.prefill) this.context.picker.prefills.learnRate(this.prefill.tokens, this.context.clock.now() - this.prefill.since);
+    this.prefill = null;
+    return this.response.write(chunk);
   }
 
-  private mayRepeat(): boolean {
-    return this.sendCount < this.context.chooser.mostSends(this.request);
+  private hasAttemptsLeft(): boolean {
+    return this.sendCount < this.context.picker.maxAttempts(this.request);
   }
 
-  onEnd(attempt: runnerAttempt.Attempt, ending: runnerAttempt.Ending, head: responseHead.ResponseHead | null): void {
+  onEnd(attempt: runnerAttempt.Attempt, ending: runnerAttempt.AttemptEnding, head: responseHead.ResponseHead | null): void {
     if (this.state === "done" || attempt !== this.attempt) return;
-    if (ending === "complete") this.complete();
-    else if (ending === "not_sent") this.notSent();
-    else if (ending === "handed_back") this.handedBack(attempt, head!);
-    else this.broken();
+    if (ending === "complete") this.onComplete();
+    else if (ending === "not_sent") this.onNotSent();
+    else if (ending === "handed_back") this.onNotExecuted(attempt, head!);
+    else this.onInterrupted();
   }
 
-  private complete(): void {
+  private onComplete(): void {
     if (this.state !== "passing") {
-      this.broken();
+      this.onInterrupted();
       return;
     }
-    this.reply.end();
-    this.move("done", "whole");
+    this.response.end();
+    this.transition("done", "whole");
   }
 
-  private notSent(): void {
-    if ((this.sendCount -= 1) > 0) this.context.chooser.giveBack(this.request.service);
+  private onNotSent(): void {
+    if ((this.sendCount -= 1) > 0) this.context.picker.giveBack(this.request.service);
     this.unsentCount += 1;
-    if (this.unsentCount > MAX_UNSENT_ATTEMPTS) this.deny({ status: 503, cause: "no runner takes a connection", retryAfterS: 0.4 });
-    else this.again();
+    if (this.unsentCount > MAX_UNSENT_ATTEMPTS) this.reject({ status: 503, cause: "no runner takes a connection", retryAfterS: 0.4 });
+    else this.retry();
   }
 
-  private handedBack(attempt: runnerAttempt.Attempt, head: responseHead.ResponseHead): void {
+  private onNotExecuted(attempt: runnerAttempt.Attempt, head: responseHead.ResponseHead): void {
     log.count("router.handed_back");
-    attempt.runner.denied(this.context.world.now(), head.status === 421);
+    attempt.runner.recordRejection(this.context.clock.now(), head.status === 421);
     if (head.status === 400) {
-      this.finish(400, "the runner finds the request malformed; send X-Cranewind-Request-Id", null, "denied");
+      this.respond(400, "the runner finds the request malformed; send X-Cranewind-Request-Id", null, "denied");
       return;
     }
-    if (this.mayRepeat()) this.again();
-    else this.deny({ status: 503, cause: "the runner handed the request back", retryAfterS: 0.3 });
+    if (this.hasAttemptsLeft()) this.retry();
+    else this.reject({ status: 503, cause: "the runner handed the request back", retryAfterS: 0.3 });
   }
 
   /** Sent, and no whole reply: only what is repeatable goes on, a stream from its last whole event. */
-  private broken(): void {
+  private onInterrupted(): void {
     this.mayHaveRun = true;
-    this.reply.dropPart();
-    if (this.canGoOn()) this.again();
-    else this.lost();
+    this.response.discardPartialEvent();
+    if (this.canRetry()) this.retry();
+    else this.fail();
   }
 
-  private again(): void {
-    this.move("choosing");
+  private retry(): void {
+    this.transition("choosing");
     log.count("router.again");
-    this.choose();
+    this.pickRunner();
   }
 
   /** Whether another runner may take it up: repeatable, a try left, and no answer begun that cannot be resumed. */
-  private canGoOn(): boolean {
-    return this.request.entry.isRepeatable && this.mayRepeat() && (!this.reply.isHeadOut || this.reply.isResumable);
+  private canRetry(): boolean {
+    return this.request.entry.isRepeatable && this.hasAttemptsLeft() && (!this.response.isHeadSent || this.response.isResumable);
   }
 
   /**
    * A repeatable request leaves a runner that fell silent (design 7.9), but only for a further try that is granted,
    * with a runner and a connection: without one it waits, since its runner may still be at work.
    */
-  watch(now: number): void {
+  checkSilence(now: number): void {
     const { attempt, context } = this;
-    if (!attempt?.isSent || attempt.isOver || now < this.nextSilenceCheckAt || !this.canGoOn()) return;
+    if (!attempt?.isSent || attempt.isOver || now < this.nextSilenceCheckAt || !this.canRetry()) return;
     const quiet = now - attempt.receivedAt;
-    if (quiet < context.chooser.patienceMs(this.request.entry, this.state === "passing", attempt.runner, now)) return;
-    if (this.nextSilenceCheckAt === 0) attempt.runner.suspect(now);
+    if (quiet < context.picker.silenceTimeoutMs(this.request.entry, this.state === "passing", attempt.runner, now)) return;
+    if (this.nextSilenceCheckAt === 0) attempt.runner.recordSilence(now);
     this.nextSilenceCheckAt = now + SILENCE_CHECK_INTERVAL_MS;
-    const choice = context.chooser.pick(this.request, this.tried, this.sendCount);
+    const choice = context.picker.pick(this.request, this.attemptedRunners, this.sendCount);
     if ("status" in choice) {
       log.count("router.stayed");
       return;
@@ -223,28 +224,28 @@
     this.attempt = null;
     attempt.cancel();
     this.mayHaveRun = true;
-    this.reply.dropPart();
-    this.move("choosing");
+    this.response.discardPartialEvent();
+    this.transition("choosing");
     this.sendTo(choice);
   }
 
-  private expired(): void {
+  private onDeadline(): void {
     if (this.state === "done") return;
     const attempt = this.attempt;
     const isOut = attempt !== null && attempt.isSent && !attempt.isOver;
     this.attempt = null;
     attempt?.cancel();
-    if (this.reply.isHeadOut) this.breakOff("late");
-    else if (isOut || this.mayHaveRun) this.finish(504, "the deadline passed while the request ran", null, "late");
-    else this.deny({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
+    if (this.response.isHeadSent) this.abort("late");
+    else if (isOut || this.mayHaveRun) this.respond(504, "the deadline passed while the request ran", null, "late");
+    else this.reject({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
   }
 
-  private clientGone(): void {
+  private onClientClosed(): void {
     if (this.state === "done") return;
     log.count("router.client_gone");
     const attempt = this.attempt;
     this.attempt = null;
     attempt?.cancel();
-    this.move("done", "left");
+    this.transition("done", "left");
   }
 }
--- a/src/router/response-head.ts
+++ b/src/router/response-head.ts
@@ -23,7 +23,7 @@
  * Whether the answer bears this request's id, once or more often, and no other. Runners echo the id, so an answer
  * without one proves nothing about the request that waits for it.
  */
-export function isOf(head: ResponseHead, requestId: types.RequestId): boolean {
+export function isForRequest(head: ResponseHead, requestId: types.RequestId): boolean {
   let hasId = false;
   const { raw } = head;
   for (let index = 0; index + 1 < raw.length; index += 2) {
@@ -51,12 +51,12 @@
 }
 
 /** Whether a client would read the status as a promise that the request has not run. */
-export function isPromise(head: ResponseHead): boolean {
+export function promisesNotExecuted(head: ResponseHead): boolean {
   return NOT_EXECUTED_STATUSES.has(head.status);
 }
 
 /** Whether only the end of the connection tells the end of the body (RFC 9112, 6.3): neither a length nor chunks do. */
-export function endsWithConnection(head: ResponseHead, method: string): boolean {
+export function isDelimitedByClose(head: ResponseHead, method: string): boolean {
   if (method === "HEAD" || BODILESS_STATUSES.has(head.status)) return false;
   return !head.headers.has("content-length") && head.headers.get("transfer-encoding")?.toLowerCase().includes("chunked") !== true;
 }
--- a/src/router/route-request.ts
+++ b/src/router/route-request.ts
@@ -27,7 +27,7 @@
   /** An item of a batch, sent by a control node. */
   isBatch: boolean;
   parts: routePlan.PromptPart[];
-  keys: number[];
+  prefixKeys: number[];
   /** Both in ms of the steady clock. */
   arrivedAt: number;
   deadline: number;
@@ -40,18 +40,18 @@
 }
 
 /** Empty when the client sent none. */
-export function idOf(incoming: nodeHttp.IncomingMessage): types.RequestId {
+export function requestIdOf(incoming: nodeHttp.IncomingMessage): types.RequestId {
   return types.small(singleValue(incoming.headers[names.HEADER.requestId]));
 }
 
 /** How long a request may be held from its arrival: the least of the client's time and its route's, where the route is known. */
-export function mostHeldMs(incoming: nodeHttp.IncomingMessage, entry: routes.RouteEntry | null): number {
+export function timeBudgetMs(incoming: nodeHttp.IncomingMessage, entry: routes.RouteEntry | null): number {
   const asked = Number(singleValue(incoming.headers[names.HEADER.budgetMs]));
   return Math.min(asked > 0 ? asked : DEFAULT_BUDGET_MS, entry?.route.deadline_ms ?? Infinity);
 }
 
 /** What is known of a request once it was read whole. */
-export interface Received {
+export interface ReceivedRequest {
   requestId: types.RequestId;
   entry: routes.RouteEntry;
   tenant: tenant.Tenant | null;
@@ -61,7 +61,7 @@
 }
 
 /** The request of what was read. */
-export function requestOf(incoming: nodeHttp.IncomingMessage, received: Received): RouteRequest {
+export function buildRouteRequest(incoming: nodeHttp.IncomingMessage, received: ReceivedRequest): RouteRequest {
   const { requestId, entry, tenant, arrivedAt, isBatch } = received;
   const parts = routePlan.parsePromptParts(singleValue(incoming.headers[names.HEADER.prefix]));
   return {
@@ -69,27 +69,31 @@
     rank: isBatch ? routes.BATCH_RANK : routes.rankOf(entry.route, tenant?.priority),
     service: routes.chooseService(entry, shares.hash(`${requestId}/split`) / HASH_RANGE),
     parts,
-    keys: prefillTracker.chainKeys(parts),
-    deadline: arrivedAt + mostHeldMs(incoming, entry),
+    prefixKeys: prefillTracker.prefixKeys(parts),
+    deadline: arrivedAt + timeBudgetMs(incoming, entry),
     requestedTokens: routePlan.parseRequestedTokens(singleValue(incoming.headers[names.HEADER.tokens]), parts),
   };
 }
 
 /** The request as a runner gets it: method, path and body unchanged, headers by the rules (design 7.7). */
-export function sendable(
+export function buildOutgoingRequest(
   request: RouteRequest,
   incoming: nodeHttp.IncomingMessage,
-  sending: Pick<headerRules.Sending, "target" | "budgetMs" | "lastEventId">,
+  sending: Pick<headerRules.RouterHeaders, "target" | "budgetMs" | "lastEventId">,
   ticket: attemptObserver.AttemptObserver,
-): runnerAttempt.Sendable {
+): runnerAttempt.OutgoingRequest {
   const { method, url, rawHeaders, headers: parsed } = incoming;
   return {
     method: method ?? "GET",
     path: url ?? "/",
-    headers: headerRules.forRunner(rawHeaders, parsed.connection, { ...sending, rank: request.rank, tenant: request.tenant?.name ?? null }),
+    headers: headerRules.buildRequestHeaders(rawHeaders, parsed.connection, {
+      ...sending,
+      rank: request.rank,
+      tenant: request.tenant?.name ?? null,
+    }),
     body: request.body,
     requestId: request.requestId,
     isStream: request.entry.route.route_type === "streaming",
-    ticket,
+    observer: ticket,
   };
 }
--- a/src/router/router-batches.ts
+++ b/src/router/router-batches.ts
@@ -20,8 +20,8 @@
   private readonly arrivals = new Map<string, number>();
 
   constructor(
-    private readonly life: string,
-    private readonly known: prefillTracker.PrefillTracker,
+    private readonly incarnation: string,
+    private readonly prefills: prefillTracker.PrefillTracker,
     private readonly admission: admissions.Admission,
   ) {}
 
@@ -59,6 +59,6 @@
       const { heldMs, unread } = this.admission.typicalRequestOf(route).status();
       routes.push({ route, arrivals, heldMs, unread });
     }
-    return { life: this.life, readRate: this.known.rate, routes };
+    return { life: this.incarnation, readRate: this.prefills.tokensPerMs, routes };
   }
 }
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -38,23 +38,23 @@
 
 /** One router; started and stopped by its root. */
 export class RouterProgram implements followers.Taker {
-  private readonly life = crypto.randomBytes(6).toString("hex");
+  private readonly incarnation = crypto.randomBytes(6).toString("hex");
   private readonly handlers = new link.Handlers();
   private readonly dial: dialer.Dialer;
   private readonly gate: serveGate.ServeGate;
   private readonly follower: followers.Follower;
   private readonly fleet: runnerFleet.RunnerFleet;
   private readonly rotation: zoneRotation.ZoneRotation;
-  private readonly share: shares.Shares;
+  private readonly limits: shares.Shares;
   private readonly config = new parts.ConfigParts();
   private readonly borrower: limitBorrower.LimitBorrower;
-  private readonly known = new prefillTracker.PrefillTracker();
-  readonly usage: loadReader.LoadReader;
-  private readonly prompts: prefillSharing.PrefillSharing;
-  private readonly chooser: runnerPicker.RunnerPicker;
+  private readonly prefills = new prefillTracker.PrefillTracker();
+  readonly load: loadReader.LoadReader;
+  private readonly prefillSharing: prefillSharing.PrefillSharing;
+  private readonly picker: runnerPicker.RunnerPicker;
   private readonly server: routerServer.RouterServer;
   private readonly batches: routerBatches.RouterBatches;
-  private readonly tenancy: tenantGate.TenantGate;
+  private readonly tenantGate: tenantGate.TenantGate;
   private epoch = types.NO_EPOCH;
   readonly root: tree.Supervisor;
 
@@ -64,50 +64,50 @@
   ) {
     this.fleet = new runnerFleet.RunnerFleet(clock, new Map(Object.entries(startup.zones)));
     this.rotation = new zoneRotation.ZoneRotation(clock);
-    this.share = new shares.Shares(clock, startup.bounds);
-    this.chooser = new runnerPicker.RunnerPicker(clock, this.fleet, this.rotation, this.share, startup.region, this.known);
-    this.usage = new loadReader.LoadReader(clock, this.fleet, startup.region, this.reported.bind(this));
-    this.prompts = new prefillSharing.PrefillSharing(clock, this.fleet, this.known, this.usage, this.tellSigns.bind(this));
-    const sending = this.prompts.sending.bind(this.prompts);
+    this.limits = new shares.Shares(clock, startup.bounds);
+    this.picker = new runnerPicker.RunnerPicker(clock, this.fleet, this.rotation, this.limits, startup.region, this.prefills);
+    this.load = new loadReader.LoadReader(clock, this.fleet, startup.region, this.onRegionReports.bind(this));
+    this.prefillSharing = new prefillSharing.PrefillSharing(clock, this.fleet, this.prefills, this.load, this.sendHints.bind(this));
+    const sending = this.prefillSharing.recordSend.bind(this.prefillSharing);
     const selector = new sessionSelector.SessionSelector(clock, { name: startup.node_name, region: startup.region });
-    this.dial = new dialer.Dialer(clock, "", this.handlers, this.describe.bind(this), link.SILENT_MS, selector);
-    this.gate = new serveGate.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, this.opened.bind(this));
-    this.dial.on("beat", this.judgeStart.bind(this));
-    this.batches = new routerBatches.RouterBatches(this.life, this.known, this.chooser.admission);
+    this.dial = new dialer.Dialer(clock, "", this.handlers, this.nodeInfo.bind(this), link.SILENT_MS, selector);
+    this.gate = new serveGate.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, this.onServing.bind(this));
+    this.dial.on("beat", this.updateServeGate.bind(this));
+    this.batches = new routerBatches.RouterBatches(this.incarnation, this.prefills, this.picker.admission);
     this.batches.register(this.handlers);
-    this.tenancy = new tenantGate.TenantGate(clock, startup.region, this.dial.controls, startup.bounds);
-    const { chooser, gate, tenancy } = this;
+    this.tenantGate = new tenantGate.TenantGate(clock, startup.region, this.dial.controls, startup.bounds);
+    const { picker: chooser, gate, tenantGate: tenancy } = this;
     this.server = new routerServer.RouterServer(clock, chooser, gate.allows.bind(gate), sending, startup.limits, this.batches, tenancy);
     this.follower = new followers.Follower(clock, startup.region, this.dial, this.handlers, this.topics.bind(this), this);
-    this.borrower = new limitBorrower.LimitBorrower(clock, this.life, this.dial, this.share);
+    this.borrower = new limitBorrower.LimitBorrower(clock, this.incarnation, this.dial, this.limits);
     this.dial.know(settings.innerSeeds(startup));
     this.dial.register(this.handlers);
-    this.prompts.signSender.register(this.handlers);
-    this.chooser.admission.isOn = startup.admission === "on";
+    this.prefillSharing.signSender.register(this.handlers);
+    this.picker.admission.isOn = startup.admission === "on";
     this.root = new tree.Supervisor("router", clock, []);
-    this.plan();
+    this.addSupervisedParts();
   }
 
   private isReady(): boolean {
-    return this.gate.allows() && !this.server.isLeaving;
+    return this.gate.allows() && !this.server.isDraining;
   }
 
   /** The first lists of all regions count together; later a region may come in while this router serves. */
-  private judgeStart(): void {
-    const hasAll = this.chooser.table !== null && this.follower.hasAll(feeds.isListTopic) && this.tenancy.isReady;
-    this.gate.judge(this.epoch, hasAll);
+  private updateServeGate(): void {
+    const hasAll = this.picker.routeTable !== null && this.follower.hasAll(feeds.isListTopic) && this.tenantGate.isReady;
+    this.gate.update(this.epoch, hasAll);
   }
 
-  private opened(): void {
-    this.server.takePending();
-    this.beat();
+  private onServing(): void {
+    this.server.servePending();
+    this.sendHeartbeat();
   }
 
-  private describe(): schema.NodeInfo {
+  private nodeInfo(): schema.NodeInfo {
     return {
       name: this.startup.node_name,
       role: "router",
-      life: this.life,
+      life: this.incarnation,
       zone: this.startup.zone,
       region: this.startup.region,
       address: "",
@@ -119,124 +119,124 @@
     };
   }
 
-  private plan(): void {
+  private addSupervisedParts(): void {
     const { root, startup, server } = this;
     const { frontend, readiness: checked } = startup.bind_addresses;
     if (checked) root.add(readinessServer.readinessChild(checked, this.isReady.bind(this), this.status.bind(this)));
     if (frontend) root.add({ name: "frontend", start: server.listen.bind(server, frontend), stop: server.close.bind(server) });
-    root.add(root.turns("beats", link.BEAT_MS, this.beat.bind(this)));
-    root.add(root.turns("watch", WATCH_INTERVAL_MS, this.watch.bind(this)));
+    root.add(root.turns("beats", link.BEAT_MS, this.sendHeartbeat.bind(this)));
+    root.add(root.turns("watch", WATCH_INTERVAL_MS, this.runPeriodically.bind(this)));
   }
 
-  private beat(): void {
+  private sendHeartbeat(): void {
     this.dial.tellAll({ isReady: this.isReady(), epoch: this.epoch, isSettled: true, index: 0, members: 1, silentRegions: [] });
   }
 
-  private watch(): void {
-    this.judgeStart();
-    this.chooser.admission.runPeriodically(WATCH_INTERVAL_MS);
+  private runPeriodically(): void {
+    this.updateServeGate();
+    this.picker.admission.runPeriodically(WATCH_INTERVAL_MS);
     this.dial.turn();
     this.follower.elect();
     this.follower.narrow();
-    this.usage.refresh(this.follower.mirror);
+    this.load.refresh(this.follower.mirror);
     const dealer = this.follower.main;
-    if (dealer?.beat && this.clock.now() - dealer.beatAt < link.BEAT_MS * 3) this.share.deal(dealer.beat.members);
-    this.borrower.turn();
-    this.tenancy.turn();
-    this.fleet.cohorts.routers = this.share.routers;
-    this.server.watch();
-    this.fleet.sweep();
-    this.prompts.signSender.publishUnresponsive(this.fleet.newSuspects());
-    this.cutRegions();
+    if (dealer?.beat && this.clock.now() - dealer.beatAt < link.BEAT_MS * 3) this.limits.deal(dealer.beat.members);
+    this.borrower.runPeriodically();
+    this.tenantGate.runPeriodically();
+    this.fleet.peerGroups.routers = this.limits.routers;
+    this.server.checkSilence();
+    this.fleet.restoreExpired();
+    this.prefillSharing.signSender.publishUnresponsive(this.fleet.takeNewSuspects());
+    this.suspectUnreachableRegions();
   }
 
-  private tellSigns(told: schema.Signs): void {
+  private sendHints(told: schema.Signs): void {
     this.follower.main?.link.tell(calls.signs, told);
   }
 
   /** The runners of a region that is cut off from here are doubted. */
-  private cutRegions(): void {
-    for (const region of cuts.cutRegions(this.dial, this.startup.region, this.clock.now())) this.fleet.suspectRegion(region);
+  private suspectUnreachableRegions(): void {
+    for (const region of cuts.cutRegions(this.dial, this.startup.region, this.clock.now())) this.fleet.recordUnreachableRegion(region);
   }
 
   private topics(): string[] {
-    return [...followedTopics.topicsOf(followedTopics.neededRegions(this.startup.zones)), ...this.usage.topics()];
+    return [...followedTopics.topicsOf(followedTopics.neededRegions(this.startup.zones)), ...this.load.topics()];
   }
 
   take(applied: mirrors.Applied): void {
-    if (applied.topic === feeds.REGISTER_TOPIC) this.takeRegister(applied);
-    else if (feeds.isListTopic(applied.topic)) this.takeList(applied);
-    else this.usage.applyUpdate(applied);
+    if (applied.topic === feeds.REGISTER_TOPIC) this.applyConfiguration(applied);
+    else if (feeds.isListTopic(applied.topic)) this.applyMembership(applied);
+    else this.load.applyUpdate(applied);
   }
 
   leave(topic: string, keys: readonly string[]): void {
-    if (feeds.isListTopic(topic)) this.fleet.forget(keys);
+    if (feeds.isListTopic(topic)) this.fleet.unfollow(keys);
   }
 
   /** An epoch is taken whole, between two requests (design/parts 4). */
-  private takeRegister(applied: mirrors.Applied): void {
+  private applyConfiguration(applied: mirrors.Applied): void {
     const { config } = this;
     const isFirst = this.epoch < 0;
     config.take(applied);
     this.epoch = types.small(applied.stamp);
-    this.chooser.table = config.table;
-    if (config.table) this.server.limit(config.limits);
-    this.tenancy.take(this.epoch, config.tenants);
-    for (const zone of this.rotation.take(config.evacuations, isFirst)) this.fleet.chill(zone, FAILBACK_WARM_UP_MS);
+    this.picker.routeTable = config.table;
+    if (config.table) this.server.applyLimits(config.limits);
+    this.tenantGate.applyConfiguration(this.epoch, config.tenants);
+    for (const zone of this.rotation.applyEvacuations(config.evacuations, isFirst)) this.fleet.startWarmUp(zone, FAILBACK_WARM_UP_MS);
     log.state(`config: epoch ${this.epoch}, revision ${config.revision} in force`);
-    this.beat();
-    this.judgeStart();
+    this.sendHeartbeat();
+    this.updateServeGate();
   }
 
-  private takeList(applied: mirrors.Applied): void {
+  private applyMembership(applied: mirrors.Applied): void {
     const changed: schema.Instance[] = [];
     for (const body of applied.changed.values()) changed.push(schema.listed.fromBuffer(body).instance);
-    this.fleet.takeChanges(changed, applied.gone);
+    this.fleet.applyChanges(changed, applied.gone);
     if (applied.gone.length > 0) {
-      this.known.forgetAllBut(this.fleet);
-      this.chooser.admission.retainOnly(this.fleet);
+      this.prefills.retainOnly(this.fleet);
+      this.picker.admission.retainOnly(this.fleet);
     }
-    this.judgeStart();
+    this.updateServeGate();
   }
 
   /** A period of a region's reports is whole. */
-  private reported(region: string): void {
-    this.chooser.admission.applyReport({ region, reports: this.fleet.reportsOf(region) });
+  private onRegionReports(region: string): void {
+    this.picker.admission.applyReport({ region, reports: this.fleet.reportsOf(region) });
   }
 
   /** Settings read again: seeds and bounds take effect; addresses of its own do not. */
   resettle(startup: settings.Settings): void {
     this.startup = startup;
     this.dial.know(settings.innerSeeds(startup));
-    this.share.resettle(startup.bounds);
-    this.tenancy.resettle(startup.bounds);
-    this.chooser.admission.isOn = startup.admission === "on";
+    this.limits.resettle(startup.bounds);
+    this.tenantGate.applySettings(startup.bounds);
+    this.picker.admission.isOn = startup.admission === "on";
     log.state("settings: read again");
   }
 
   private status(): unknown {
     return routerStatus.routerStatus({
-      node: this.describe(),
-      following: this.standing().following,
+      node: this.nodeInfo(),
+      following: this.position().following,
       configuration: this.gate.status(),
-      share: this.share,
-      chooser: this.chooser,
+      share: this.limits,
+      chooser: this.picker,
       fleet: this.fleet,
       now: this.clock.now(),
     });
   }
 
   /** What it goes by now, for watchers in the same process (docs/experiment.md). */
-  standing(): routerStatus.RouterPosition {
+  position(): routerStatus.RouterPosition {
     return { epoch: this.epoch, revision: this.config.revision, following: this.follower.main?.node.name ?? null };
   }
 
   /** Finishes what is at work, then ends. */
   async stop(): Promise<void> {
-    this.server.isLeaving = true;
-    this.beat();
+    this.server.isDraining = true;
+    this.sendHeartbeat();
     await gracefulShutdown.drainRequests(this.clock, this.server, this.startup.bounds.grace_s * 1000);
-    log.state(this.chooser.admission.stats.logLine());
+    log.state(this.picker.admission.stats.logLine());
     await this.root.stop();
     this.dial.end();
     this.fleet.closeIdle();
--- a/src/router/router-status.ts
+++ b/src/router/router-status.ts
@@ -30,7 +30,7 @@
 /** The status of a router as JSON; its names are read by `cranewind status`. */
 export function routerStatus(of: StatusSources): unknown {
   const runners: unknown[] = [];
-  for (const runner of of.fleet.all()) runners.push(runner.account(of.now));
+  for (const runner of of.fleet.all()) runners.push(runner.describe(of.now));
   return {
     node: of.node,
     following: of.following,
--- a/src/router/runner-picker.ts
+++ b/src/router/runner-picker.ts
@@ -22,7 +22,7 @@
 export interface Pick {
   runner: runnerEndpoint.RunnerEndpoint;
   connection: connectionPool.Connection;
-  ticket: attemptObserver.AttemptObserver;
+  observer: attemptObserver.AttemptObserver;
 }
 
 const MIN_CONNECTIONS = 2;
@@ -39,45 +39,45 @@
 /** The chain of policies of one router. */
 export class RunnerPicker {
   private readonly policies: routePlan.Policy[];
-  table: routes.RouteTable | null = null;
+  routeTable: routes.RouteTable | null = null;
   readonly admission: admissions.Admission;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     fleet: runnerFleet.RunnerFleet,
     rotation: zoneRotation.ZoneRotation,
-    private readonly share: shares.Shares,
+    private readonly limits: shares.Shares,
     ownRegion: string,
-    readonly known: prefillTracker.PrefillTracker,
+    readonly prefills: prefillTracker.PrefillTracker,
   ) {
-    this.admission = new admissions.Admission(world, { runners: fleet.in.bind(fleet), known, routers });
+    this.admission = new admissions.Admission(clock, { runners: fleet.inRegion.bind(fleet), known: prefills, routers });
     this.policies = [
       new homesPolicy.HomesPolicy(fleet, rotation),
       new cellPolicy.CellPolicy(ownRegion, fleet.summaries),
-      new runnerPolicy.RunnerPolicy(known),
+      new runnerPolicy.RunnerPolicy(prefills),
       new admissionPolicy.AdmissionPolicy(this.admission),
     ];
     function routers(): number {
-      return share.routers;
+      return limits.routers;
     }
   }
 
   /** Requests of clients earn further tries of their service; items of batches take and earn none. */
   countRequest(request: routeRequest.RouteRequest): void {
-    if (!request.isBatch) this.share.countRequest(request.service);
+    if (!request.isBatch) this.limits.countRequest(request.service);
   }
 
   /** Runners that one try may be sent to. */
-  mostSends(request: routeRequest.RouteRequest): number {
+  maxAttempts(request: routeRequest.RouteRequest): number {
     return request.isBatch ? 1 : Math.max(1, request.entry.route.max_attempts ?? 1);
   }
 
   /** How long a runner may be silent before a repeatable request leaves it. */
-  patienceMs(entry: routes.RouteEntry, isPassing: boolean, runner: runnerEndpoint.RunnerEndpoint, now: number): number {
+  silenceTimeoutMs(entry: routes.RouteEntry, isPassing: boolean, runner: runnerEndpoint.RunnerEndpoint, now: number): number {
     const { target_gap_ms: gap, target_latency_ms: aim } = entry.route;
     const usual = isPassing ? (gap ?? 1000) * SILENCE_TIMEOUT_GAPS : (aim ?? 1000) * SILENCE_TIMEOUT_LATENCY_TARGETS;
     // A runner that speaks to others is at work; one that is silent to all is not worth the wait.
-    if (runner.quietMs(now) < usual && runner.isReporting) return Math.max(2 * usual, 1500);
+    if (runner.silentMs(now) < usual && runner.isReporting) return Math.max(2 * usual, 1500);
     return Math.max(MIN_SILENCE_TIMEOUT_MS, usual);
   }
 
@@ -93,54 +93,54 @@
       tenant: request.tenant,
       service: request.service,
       parts: request.parts,
-      keys: request.keys,
-      shared,
+      prefixKeys: request.prefixKeys,
+      sharedParts: shared,
       sharedTokens,
       attemptedRunners: tried,
-      now: this.world.now(),
+      now: this.clock.now(),
       deadline: request.deadline,
       requestedTokens: request.requestedTokens,
-      retryKey: recentRejections.requestKey(request.entry.route.name, request.keys, request.body),
+      retryKey: recentRejections.requestKey(request.entry.route.name, request.prefixKeys, request.body),
       cells: [],
       candidates: [],
     };
     const rejection = routePlan.runPolicies(this.policies, plan);
     if (rejection) return rejection;
-    if (sends > 0 && !this.share.takeRepeat(request.service)) {
+    if (sends > 0 && !this.limits.takeRepeat(request.service)) {
       log.count("router.budget_spent");
       return { status: 503, cause: "the budget of further tries is spent", retryAfterS: 0.5 };
     }
     const choice = this.pickConnected(plan);
-    if (sends > 0 && "status" in choice) this.share.giveBack(request.service);
+    if (sends > 0 && "status" in choice) this.limits.returnRetry(request.service);
     return choice;
   }
 
   /** A further try that was granted and never left is given back. */
   giveBack(service: string): void {
-    this.share.giveBack(service);
+    this.limits.returnRetry(service);
   }
 
   /** When it is worth to come back: once the least pending of the candidates has read what it has ahead. */
   private retryAfterS(plan: routePlan.RoutePlan): number {
     let least = Infinity;
-    for (const runner of plan.candidates) least = Math.min(least, this.known.backlogMs(runner.id, plan.now));
+    for (const runner of plan.candidates) least = Math.min(least, this.prefills.backlogMs(runner.id, plan.now));
     return boundedRetryS(Number.isFinite(least) ? MIN_RETRY_S + least / 1000 : MIN_RETRY_S);
   }
 
   private pickConnected(plan: routePlan.RoutePlan): Pick | routePlan.Rejection {
-    const service = this.table?.services.get(plan.service);
-    const most = Math.max(MIN_CONNECTIONS, Math.floor((service?.max_connections ?? 1000) / this.share.routers));
+    const service = this.routeTable?.services.get(plan.service);
+    const most = Math.max(MIN_CONNECTIONS, Math.floor((service?.max_connections ?? 1000) / this.limits.routers));
     const perS = service?.warmup_per_s ?? 0;
     let hasCold = false;
     for (const runner of plan.candidates) {
-      const isCold = perS > 0 && runner.isCold(plan.now);
+      const isCold = perS > 0 && runner.isWarmingUp(plan.now);
       hasCold ||= isCold;
-      if (isCold && !this.share.takeCold(runner.id, perS)) continue;
-      const connection = runner.connections.take(most, plan.entry.isRepeatable);
-      if (connection) return { runner, connection, ticket: this.admission.recordSend(plan, runner) };
+      if (isCold && !this.limits.takeCold(runner.id, perS)) continue;
+      const connection = runner.connections.acquire(most, plan.entry.isRepeatable);
+      if (connection) return { runner, connection, observer: this.admission.recordSend(plan, runner) };
     }
     log.count(hasCold ? "router.all_cold" : "router.all_busy");
-    if (hasCold) return { status: 503, cause: "the runners are warming up", retryAfterS: boundedRetryS(this.share.coldWaitS(perS)) };
+    if (hasCold) return { status: 503, cause: "the runners are warming up", retryAfterS: boundedRetryS(this.limits.coldWaitS(perS)) };
     return { status: 503, cause: "all runners are taken", retryAfterS: this.retryAfterS(plan) };
   }
 }
--- a/src/router/serve-gate.ts
+++ b/src/router/serve-gate.ts
@@ -31,7 +31,7 @@
    * onOpen: called whenever it begins to allow requests.
    */
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly controls: ReadonlyMap<string, dialer.Control>,
     private readonly unconfirmedMs: number,
     private readonly onOpen: () => void,
@@ -44,24 +44,24 @@
 
   private isTooOld(): boolean {
     const since = this.confirmedAt ?? this.configuredSince;
-    return this.unconfirmedMs > 0 && since !== null && this.world.now() - since >= this.unconfirmedMs;
+    return this.unconfirmedMs > 0 && since !== null && this.clock.now() - since >= this.unconfirmedMs;
   }
 
   /**
    * Called at each turn, and whenever what is held, or a control node's word, may have changed. epoch: of the
    * configuration that this router holds; hasAll: whether it has all else that it needs.
    */
-  judge(epoch: types.Epoch, hasAll: boolean): void {
+  update(epoch: types.Epoch, hasAll: boolean): void {
     if (epoch < 0) return;
-    this.configuredSince ??= this.world.now();
+    this.configuredSince ??= this.clock.now();
     const isConfirmed = this.isConfirmed(epoch);
-    if (isConfirmed) this.confirmedAt = this.world.now();
+    if (isConfirmed) this.confirmedAt = this.clock.now();
     if (this.isOpen) this.updateExpiry();
     else if (hasAll) this.openIfConfirmed(epoch, isConfirmed);
   }
 
   private openIfConfirmed(epoch: types.Epoch, isConfirmed: boolean): void {
-    const isLate = this.world.now() - this.configuredSince! >= UNCONFIRMED_WAIT_MS;
+    const isLate = this.clock.now() - this.configuredSince! >= UNCONFIRMED_WAIT_MS;
     if (!isConfirmed && !isLate) return;
     this.isOpen = true;
     if (!isConfirmed) {
@@ -86,7 +86,7 @@
 
   status(): GateStatus {
     const { confirmedAt, isOpen } = this;
-    const confirmedMsAgo = confirmedAt === null ? null : Math.round(this.world.now() - confirmedAt);
+    const confirmedMsAgo = confirmedAt === null ? null : Math.round(this.clock.now() - confirmedAt);
     return { isOpen, confirmedMsAgo, isExpired: isOpen && this.isTooOld() };
   }
 
@@ -100,6 +100,6 @@
 
   private isConfirmedBy(control: dialer.Control, epoch: types.Epoch): boolean {
     const known = control.beat?.epoch ?? control.node.epoch;
-    return dialer.isFresh(control, this.world.now()) && dialer.isConfirmed(control) && known <= epoch;
+    return dialer.isFresh(control, this.clock.now()) && dialer.isConfirmed(control) && known <= epoch;
   }
 }
--- a/src/router/tenant-gate.ts
+++ b/src/router/tenant-gate.ts
@@ -20,14 +20,14 @@
 const MS_PER_S = 1000;
 
 /** An answer of the router in place of a runner's; retryAfterS: seconds, null where coming back is no use. */
-export interface Refusal {
+export interface TenantRejection {
   status: 401 | 429 | 503;
   cause: string;
   retryAfterS: number | null;
 }
 
 /** What a request that was admitted holds; handed back when it was never sent. */
-export type Admitted = quotaClaim.Unit | null;
+export type QuotaUnit = quotaClaim.Unit | null;
 
 /** One for each router. */
 export class TenantGate {
@@ -46,19 +46,19 @@
   }
 
   /** The settings were read again. */
-  resettle(bounds: keyLease.RevocationBounds): void {
+  applySettings(bounds: keyLease.RevocationBounds): void {
     this.lease.resettle(bounds);
   }
 
   /** A configuration is in force, with these tenants. */
-  take(epoch: types.Epoch, table: tenant.TenantTable): void {
+  applyConfiguration(epoch: types.Epoch, table: tenant.TenantTable): void {
     this.table = table;
     this.lease.take(epoch);
-    this.turn();
+    this.runPeriodically();
   }
 
   /** Called often. Without tenants nothing is asked of anybody. */
-  turn(): void {
+  runPeriodically(): void {
     if (!this.table.isEmpty) this.quota.turn();
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** The tenant that holds the key, null where the route needs none, or why the request is refused. */
-  identify(key: string | string[] | undefined, route: check.Route): tenant.Tenant | null | Refusal {
+  authenticate(key: string | string[] | undefined, route: check.Route): tenant.Tenant | null | TenantRejection {
     if (this.table.isEmpty || route.public === true) return null;
     const tenant = typeof key === "string" && key !== "" ? this.table.find(key) : null;
     if (tenant && this.lease.mayHonour()) {
@@ -83,7 +83,11 @@
    * Asks for a unit of the tenant's quota. One of the two is called once, perhaps before this returns; the claim's
    * cancel() ends the wait.
    */
-  admit(tenant: tenant.Tenant | null, go: (admitted: Admitted) => void, reject: (rejection: Refusal) => void): quotaClaim.Claim | null {
+  acquireQuota(
+    tenant: tenant.Tenant | null,
+    go: (admitted: QuotaUnit) => void,
+    reject: (rejection: TenantRejection) => void,
+  ): quotaClaim.Claim | null {
     if (!tenant?.isLimited) {
       go(null);
       return null;
@@ -95,19 +99,19 @@
     });
   }
 
-  private rejectionOf(decision: Exclude<quotaClaim.Verdict, { kind: "granted" }>): Refusal {
+  private rejectionOf(decision: Exclude<quotaClaim.Verdict, { kind: "granted" }>): TenantRejection {
     if (decision.kind === "unreached")
       return this.reject(503, "no control node counts the tenant's requests now; come back shortly", this.quotaOutage.met() / MS_PER_S);
     return this.reject(429, "the tenant is over its rate_per_s and burst", Math.max(MIN_RETRY_S, decision.waitMs / MS_PER_S));
   }
 
-  private reject(status: Refusal["status"], cause: string, retryAfterS: number | null): Refusal {
+  private reject(status: TenantRejection["status"], cause: string, retryAfterS: number | null): TenantRejection {
     log.count(`tenants.refused_${status}`);
     return { status, cause, retryAfterS };
   }
 
   /** The request was never sent: its unit serves another. */
-  giveBack(tenant: tenant.Tenant | null, admitted: Admitted): void {
+  returnQuota(tenant: tenant.Tenant | null, admitted: QuotaUnit): void {
     if (tenant && admitted) this.quota.hold(tenant.name, admitted);
   }
 }
--- a/src/router/transaction-context.ts
+++ b/src/router/transaction-context.ts
@@ -5,12 +5,12 @@
 
 /** Made once for each transaction. */
 export interface TransactionContext {
-  world: types.Clock;
-  chooser: runnerPicker.RunnerPicker;
+  clock: types.Clock;
+  picker: runnerPicker.RunnerPicker;
   /** Called once, when the transaction is done. */
-  finished(): void;
+  onFinished(): void;
   /** A prompt is about to be read by this runner: the tokens that it has to read. The other routers learn of it. */
-  sending(request: routeRequest.RouteRequest, runner: types.RunnerId): number;
+  recordSend(request: routeRequest.RouteRequest, runner: types.RunnerId): number;
   /** Whether each answer is the last on its connection. */
-  readonly isLeaving: () => boolean;
+  readonly isDraining: () => boolean;
 }
--- a/src/routing/route-plan.ts
+++ b/src/routing/route-plan.ts
@@ -28,11 +28,11 @@
   readonly tenant: tenant.Tenant | null;
   readonly service: string;
   /** The parts of the prompt that others share: all but the last. */
-  readonly shared: readonly PromptPart[];
+  readonly sharedParts: readonly PromptPart[];
   readonly sharedTokens: number;
   /** All parts of the prompt, and one chained key each. */
   readonly parts: readonly PromptPart[];
-  readonly keys: readonly number[];
+  readonly prefixKeys: readonly number[];
   readonly attemptedRunners: ReadonlySet<string>;
   readonly now: number;
   readonly deadline: number;
--- a/src/runners/connection-pool.ts
+++ b/src/runners/connection-pool.ts
@@ -4,7 +4,7 @@
 
 const CONNECT_TIMEOUT_MS = 700;
 /** An idle connection is closed after so long. */
-export const IDLE_MS = 4000;
+export const IDLE_TIMEOUT_MS = 4000;
 
 /** One connection, used by one request at a time. */
 export class Connection {
@@ -16,7 +16,7 @@
   idleSince = 0;
   keepAliveMs = Infinity;
   idleMs = -1;
-  takenAt = 0;
+  acquiredAt = 0;
   constructor(readonly client: http.Client) {}
 
   destroy(): void {
@@ -28,53 +28,53 @@
 /** The connections to one runner. */
 export class ConnectionPool {
   private readonly idle: Connection[] = [];
-  private open = 0;
+  private openCount = 0;
 
   constructor(
     private readonly address: string,
     private readonly onOpen: () => void,
-    private readonly limit: idleTimeout.IdleTimeout,
+    private readonly idleTimeout: idleTimeout.IdleTimeout,
   ) {}
 
   /** The connection used last, or a new one within the bound; null when all are busy. */
-  take(maxOpen: number, isRepeatable = true): Connection | null {
-    const now = this.limit.world.now();
-    const maxIdleMs = isRepeatable ? Infinity : this.limit.maxIdleMs();
+  acquire(maxOpen: number, isRepeatable = true): Connection | null {
+    const now = this.idleTimeout.clock.now();
+    const maxIdleMs = isRepeatable ? Infinity : this.idleTimeout.maxIdleMs();
     for (let connection = this.idle.pop(); connection; connection = this.idle.pop()) {
       if (connection.isClosed) continue;
       const idleMs = now - connection.idleSince;
       if (idleMs > connection.keepAliveMs) {
-        this.lost(connection);
+        this.discard(connection);
         continue;
       }
       if (idleMs > maxIdleMs) {
         // The others were idle for longer. They stay for what is repeatable, unless the bound asks for the place.
         this.idle.push(connection);
-        if (this.open >= maxOpen) this.lost(this.idle[0]);
+        if (this.openCount >= maxOpen) this.discard(this.idle[0]);
         break;
       }
       connection.idleMs = idleMs;
-      connection.takenAt = now;
+      connection.acquiredAt = now;
       return connection;
     }
-    if (this.open >= maxOpen) return null;
-    return this.make();
+    if (this.openCount >= maxOpen) return null;
+    return this.connect();
   }
 
   /** It was reset without a byte of reply: perhaps the runner had forgotten it. */
-  broke(connection: Connection): void {
-    if (connection.idleMs >= 0) this.limit.learn(connection.idleMs, this.limit.world.now() - connection.takenAt);
+  recordReset(connection: Connection): void {
+    if (connection.idleMs >= 0) this.idleTimeout.recordReset(connection.idleMs, this.idleTimeout.clock.now() - connection.acquiredAt);
   }
 
-  private make(): Connection {
-    const client = http.open(this.address, { connectMs: CONNECT_TIMEOUT_MS, idleMs: IDLE_MS, onSocketError: failed });
+  private connect(): Connection {
+    const client = http.open(this.address, { connectMs: CONNECT_TIMEOUT_MS, idleMs: IDLE_TIMEOUT_MS, onSocketError: failed });
     const connection = new Connection(client);
     function failed(): void {
       connection.hasFailed = true;
     }
-    const lost = this.lost.bind(this, connection);
+    const lost = this.discard.bind(this, connection);
     const opened = this.onOpen;
-    this.open += 1;
+    this.openCount += 1;
     connection.client.on("connect", function up() {
       connection.isFresh = false;
       opened();
@@ -84,24 +84,24 @@
     return connection;
   }
 
-  private lost(connection: Connection): void {
+  private discard(connection: Connection): void {
     if (connection.isClosed) return;
     connection.destroy();
-    this.open -= 1;
+    this.openCount -= 1;
     const position = this.idle.indexOf(connection);
     if (position >= 0) this.idle.splice(position, 1);
   }
 
   /** Gives a connection back, with the Keep-Alive of its reply; one that is not clean is closed. */
-  give(connection: Connection, isClean: boolean, keepAlive?: string): void {
+  release(connection: Connection, isClean: boolean, keepAlive?: string): void {
     if (connection.isClosed) return;
-    connection.idleSince = this.limit.world.now();
-    connection.keepAliveMs = idleTimeout.keepAliveMs(keepAlive);
+    connection.idleSince = this.idleTimeout.clock.now();
+    connection.keepAliveMs = idleTimeout.parseKeepAliveMs(keepAlive);
     if (isClean) this.idle.push(connection);
-    else this.lost(connection);
+    else this.discard(connection);
   }
 
   closeIdle(): void {
-    for (const connection of this.idle.splice(0)) this.lost(connection);
+    for (const connection of this.idle.splice(0)) this.discard(connection);
   }
 }
--- a/src/runners/idle-timeout.ts
+++ b/src/runners/idle-timeout.ts
@@ -14,13 +14,13 @@
 const RESET_CODES: ReadonlySet<string> = new Set(["ECONNRESET", "EPIPE", "UND_ERR_SOCKET"]);
 
 /** The bound in ms that a reply's Keep-Alive sets on idleness; Infinity when it tells none. */
-export function keepAliveMs(keepAlive: string | undefined): number {
+export function parseKeepAliveMs(keepAlive: string | undefined): number {
   const seconds = keepAlive === undefined ? null : /timeout=(\d+)/i.exec(keepAlive);
   return seconds ? Math.max(0, Number(seconds[1]) * 1000 - MARGIN_MS) : Infinity;
 }
 
 /** Whether an error is that of a connection, and not of what came over it. */
-export function isReset(cause: { code?: unknown } | undefined): boolean {
+export function isConnectionReset(cause: { code?: unknown } | undefined): boolean {
   return typeof cause?.code === "string" && RESET_CODES.has(cause.code);
 }
 
@@ -30,23 +30,23 @@
   private learnedAt = 0;
 
   constructor(
-    readonly world: types.Clock,
+    readonly clock: types.Clock,
     private readonly defaultMs: number,
   ) {}
 
   /** A kept connection, idle for so long, was reset so soon after its next send, without a byte of reply. */
-  learn(idleMs: number, resetAfterMs: number): void {
+  recordReset(idleMs: number, resetAfterMs: number): void {
     if (idleMs < MIN_IDLE_MS || resetAfterMs > MAX_RESET_DELAY_MS) return;
     log.count("runner.forgotten");
     const timeout = idleMs * LEARNED_FRACTION;
-    if (timeout >= this.mostMs()) return;
+    if (timeout >= this.maxIdleMs()) return;
     this.learnedMs = timeout;
-    this.learnedAt = this.world.now();
+    this.learnedAt = this.clock.now();
   }
 
   /** For what may not run twice; it goes back up to the usual time over a minute, slowly first. Infinity: nothing is learned. */
-  mostMs(): number {
-    const passed = (this.world.now() - this.learnedAt) / DECAY_MS;
+  maxIdleMs(): number {
+    const passed = (this.clock.now() - this.learnedAt) / DECAY_MS;
     if (passed >= 1 || this.learnedMs >= this.defaultMs) return Infinity;
     return this.learnedMs + (this.defaultMs - this.learnedMs) * passed * passed;
   }
@@ -57,14 +57,14 @@
   private readonly byService = new Map<string, IdleTimeout>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly defaultMs: number,
   ) {}
 
-  of(service: string): IdleTimeout {
+  ofService(service: string): IdleTimeout {
     let timeout = this.byService.get(service);
     if (!timeout) {
-      timeout = new IdleTimeout(this.world, this.defaultMs);
+      timeout = new IdleTimeout(this.clock, this.defaultMs);
       this.byService.set(service, timeout);
     }
     return timeout;
--- a/src/runners/outlier-detection.ts
+++ b/src/runners/outlier-detection.ts
@@ -41,15 +41,15 @@
 
 /** The outcomes at one runner. */
 export class OutlierDetector {
-  private current: outlierState.OutlierState = "good";
-  private since = 0;
-  private until = 0;
-  private readonly score = new decayingSum.DecayingSum(peerGroup.HALF_LIFE_MS);
-  private readonly own = new decayingSum.DecayingSum(peerGroup.HALF_LIFE_MS);
-  private readonly bad = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
-  private readonly all = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
-  private readonly slow = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
-  private readonly timed = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
+  private state: outlierState.OutlierState = "good";
+  private stateSince = 0;
+  private ejectedUntil = 0;
+  private readonly score = new decayingSum.DecayingSum(peerGroup.SCORE_HALF_LIFE_MS);
+  private readonly ownScore = new decayingSum.DecayingSum(peerGroup.SCORE_HALF_LIFE_MS);
+  private readonly failures = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
+  private readonly samples = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
+  private readonly slowResponses = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
+  private readonly timedResponses = new decayingSum.DecayingSum(RATE_HALF_LIFE_MS);
   private readonly ejections = new decayingSum.DecayingSum(EJECTIONS_HALF_LIFE_MS);
   private peers = new peerGroup.PeerGroup();
   private failureStreak = 0;
@@ -62,74 +62,79 @@
   succeededAt = -Infinity;
 
   constructor(private readonly id: types.RunnerId) {
-    this.peers.join(this.current);
+    this.peers.join(this.state);
   }
 
   /** Compared with these from now on. */
-  joinCohort(peers: peerGroup.PeerGroup): void {
-    this.peers.leave(this.current);
+  joinPeerGroup(peers: peerGroup.PeerGroup): void {
+    this.peers.leave(this.state);
     this.peers = peers;
-    peers.join(this.current);
+    peers.join(this.state);
   }
 
-  leaveCohort(): void {
-    this.joinCohort(new peerGroup.PeerGroup());
+  leavePeerGroup(): void {
+    this.joinPeerGroup(new peerGroup.PeerGroup());
   }
 
   /** The one place where the status changes. */
-  private move(to: outlierState.OutlierState, now: number, why: string): void {
-    const from = this.current;
+  private transition(to: outlierState.OutlierState, now: number, why: string): void {
+    const from = this.state;
     if (from === to || !outlierState.isTransitionAllowed(from, to)) return;
-    this.peers.moved(from, to);
-    this.current = to;
-    this.since = now;
+    this.peers.recordTransition(from, to);
+    this.state = to;
+    this.stateSince = now;
     if (to === "ejected") {
       this.ejections.add(1, now);
-      this.until = now + Math.min(MAX_EJECTION_MS, INITIAL_EJECTION_MS * 2 ** (this.ejections.read(now) - 1));
+      this.ejectedUntil = now + Math.min(MAX_EJECTION_MS, INITIAL_EJECTION_MS * 2 ** (this.ejections.read(now) - 1));
     }
     log.count(`runner.${to}`);
     if (to === "ejected" || (from === "probation" && to === "good")) log.state(`runner ${this.id}: ${from} -> ${to}, ${why}`);
   }
 
-  /** Moves that time alone makes. */
-  state(now: number): outlierState.OutlierState {
-    if (this.current === "good") return "good";
+  /** Makes the transitions that are due by time alone, and returns the state. */
+  update(now: number): outlierState.OutlierState {
+    if (this.state === "good") return "good";
     const score = this.score.read(now);
-    if (this.current === "suspected" && score < CLEAR_SCORE) this.move("good", now, "calm");
+    if (this.state === "suspected" && score < CLEAR_SCORE) this.transition("good", now, "calm");
     // What still goes wrong there with work sent before keeps it out a little longer.
-    if (this.current === "ejected" && now >= this.until && (score < PROBATION_EJECT_SCORE || now >= this.until + MAX_EJECTION_MS))
-      this.move("probation", now, "time is up");
-    if (this.current === "probation" && this.step(now) >= PROBATION_PERCENTS.length) this.move("good", now, "probation is over");
-    return this.current;
+    if (
+      this.state === "ejected" &&
+      now >= this.ejectedUntil &&
+      (score < PROBATION_EJECT_SCORE || now >= this.ejectedUntil + MAX_EJECTION_MS)
+    )
+      this.transition("probation", now, "time is up");
+    if (this.state === "probation" && this.probationStep(now) >= PROBATION_PERCENTS.length)
+      this.transition("good", now, "probation is over");
+    return this.state;
   }
 
-  private step(now: number): number {
-    return Math.floor((now - this.since) / PROBATION_STEP_MS);
+  private probationStep(now: number): number {
+    return Math.floor((now - this.stateSince) / PROBATION_STEP_MS);
   }
 
-  sent(now: number): void {
+  recordSend(now: number): void {
     this.peers.countSend(now);
   }
 
   /** A request that came back whole and well. */
-  succeed(now: number): void {
-    this.all.add(1, now);
+  recordSuccess(now: number): void {
+    this.samples.add(1, now);
     this.failureStreak = 0;
     this.failingUntil = 0;
     this.succeededAt = now;
   }
 
   /** One sign of this router's own. Local ones are not told: the way may be at fault, and the way is ours alone. */
-  sign(sign: failureKind.FailureKind, now: number, isLoaded: boolean, isLocal = false): void {
+  recordFailure(sign: failureKind.FailureKind, now: number, isLoaded: boolean, isLocal = false): void {
     log.count(`runner.sign_${sign}`);
     const weight = failureKind.LOAD_RELATED_FAILURES.has(sign) && isLoaded ? 0 : failureKind.FAILURE_WEIGHTS.get(sign)!;
     if (weight === 0) return;
     // What breaks in one moment breaks of one cause.
     if (now - this.lastFailureAt < 1) return;
     this.lastFailureAt = now;
-    this.all.add(1, now);
-    this.bad.add(Math.min(1, weight), now);
-    this.own.add(weight, now);
+    this.samples.add(1, now);
+    this.failures.add(Math.min(1, weight), now);
+    this.ownScore.add(weight, now);
     if (!failureKind.LOAD_RELATED_FAILURES.has(sign)) {
       // A silent way holds each request up for long: no trials there while the doubt is fresh.
       this.failureStreak += sign === "unreached" ? 2 : 1;
@@ -140,7 +145,7 @@
   }
 
   /** A sign of another router. */
-  reportedByOther(now: number): void {
+  recordRemoteReport(now: number): void {
     if (now - this.remoteReportsSince >= REPORT_WINDOW_MS) {
       this.remoteReportsSince = now;
       this.remoteReports = 0;
@@ -150,45 +155,45 @@
   }
 
   private addScore(weight: number, now: number, why: string): void {
-    const state = this.state(now);
+    const state = this.update(now);
     this.score.add(weight, now);
     this.peers.addScore(weight, now);
     if (state === "ejected") return;
     if (this.isOutlier(now, state)) {
-      if (this.peers.mayEject()) {
-        this.move("ejected", now, why);
+      if (this.peers.canEject()) {
+        this.transition("ejected", now, why);
         return;
       }
       log.count("runner.ejection_withheld");
     }
-    if (state === "good" && this.score.read(now) >= SUSPECT_SCORE) this.move("suspected", now, why);
+    if (state === "good" && this.score.read(now) >= SUSPECT_SCORE) this.transition("suspected", now, why);
   }
 
   /** Never from one sign of one router alone, unless it stands on probation for earlier ones. */
   private isOutlier(now: number, state: outlierState.OutlierState): boolean {
     const score = this.score.read(now);
-    if (score < PEER_SCORE_FACTOR * this.peers.othersScore(score, now)) return false;
+    if (score < PEER_SCORE_FACTOR * this.peers.meanPeerScore(score, now)) return false;
     if (state === "probation") return score >= PROBATION_EJECT_SCORE;
-    const all = this.all.read(now);
-    const bad = this.bad.read(now);
+    const all = this.samples.read(now);
+    const bad = this.failures.read(now);
     if (bad >= MIN_FAILURES && bad >= all * MIN_FAILURE_RATE) return true;
     if (score < Math.max(EJECT_SCORE, EJECT_SEND_FRACTION * this.peers.meanSends(now))) return false;
     if (all >= MIN_HEALTHY_SAMPLES && bad < all * HEALTHY_FAILURE_RATE) return false;
-    return this.own.read(now) >= SUSPECT_SCORE || this.remoteReports >= 2;
+    return this.ownScore.read(now) >= SUSPECT_SCORE || this.remoteReports >= 2;
   }
 
   /** Time to the first byte, or between events, against the median of the siblings at alike work. */
-  took(work: peerGroup.WorkKind, tokens: number, ms: number, now: number, isLoaded: boolean): void {
-    const median = this.peers.take(work, tokens, ms);
+  recordDuration(work: peerGroup.WorkKind, tokens: number, ms: number, now: number, isLoaded: boolean): void {
+    const median = this.peers.recordDuration(work, tokens, ms);
     if (median === null) return;
-    this.timed.add(1, now);
+    this.timedResponses.add(1, now);
     if (ms < median * SLOW_FACTOR || ms - median < MIN_SLOW_EXCESS_MS[work]) return;
-    this.slow.add(1, now);
-    this.sign("slow", now, isLoaded);
+    this.slowResponses.add(1, now);
+    this.recordFailure("slow", now, isLoaded);
   }
 
   overdueMs(work: peerGroup.WorkKind, tokens: number): number {
-    return MIN_OVERDUE_MS + OVERDUE_FACTOR * (this.peers.usualMs(work, tokens) ?? MIN_OVERDUE_MS);
+    return MIN_OVERDUE_MS + OVERDUE_FACTOR * (this.peers.medianMs(work, tokens) ?? MIN_OVERDUE_MS);
   }
 
   /** A fresh failure of this router's own, not followed by a success. */
@@ -198,39 +203,39 @@
 
   /** May this request go there as though nothing were wrong? */
   admits(now: number, isRepeatable: boolean, requestId: types.RequestId): boolean {
-    const state = this.state(now);
+    const state = this.update(now);
     if (state === "ejected") return false;
     if (state === "probation") {
-      const percent = PROBATION_PERCENTS[this.step(now)] ?? 100;
-      const isProved = percent >= NON_IDEMPOTENT_PERCENT && this.succeededAt > this.since;
-      return (isRepeatable || isProved) && zoneRotation.isWithin(percent, requestId);
+      const percent = PROBATION_PERCENTS[this.probationStep(now)] ?? 100;
+      const isProved = percent >= NON_IDEMPOTENT_PERCENT && this.succeededAt > this.stateSince;
+      return (isRepeatable || isProved) && zoneRotation.isWithinPercent(percent, requestId);
     }
     return !this.isFailing(now) || (isRepeatable && this.failureStreak <= 1);
   }
 
   /** What a choice pays for doubt; a request that may not be repeated pays more. */
   penaltyMs(now: number, isRepeatable: boolean): number {
-    if (this.state(now) === "good") return 0;
+    if (this.update(now) === "good") return 0;
     return Math.min(MAX_PENALTY, this.score.read(now)) * PENALTY_MS * (isRepeatable ? 1 : NON_IDEMPOTENT_FACTOR);
   }
 
   /** Whether others should hear of it now, of failures or of silence; asked a few times a second. */
-  takeNews(now: number, isQuiet: boolean): boolean {
+  takeReport(now: number, isQuiet: boolean): boolean {
     if ((!this.hasUnpublishedFailure && !isQuiet) || now - this.publishedAt < REPORT_INTERVAL_MS) return false;
     this.hasUnpublishedFailure = false;
     // What most siblings show has its cause elsewhere, perhaps here.
-    if (this.peers.isBroad()) return false;
+    if (this.peers.isWidespread()) return false;
     this.publishedAt = now;
     return true;
   }
 
   rates(now: number): { failing: number; samples: number; slow: number; timed: number; score: number } {
-    const all = this.all.read(now);
-    const timed = this.timed.read(now);
+    const all = this.samples.read(now);
+    const timed = this.timedResponses.read(now);
     return {
-      failing: roundToHundredths(all > 0 ? this.bad.read(now) / all : 0),
+      failing: roundToHundredths(all > 0 ? this.failures.read(now) / all : 0),
       samples: roundToHundredths(all),
-      slow: roundToHundredths(timed > 0 ? this.slow.read(now) / timed : 0),
+      slow: roundToHundredths(timed > 0 ? this.slowResponses.read(now) / timed : 0),
       timed: roundToHundredths(timed),
       score: roundToHundredths(this.score.read(now)),
     };
--- a/src/runners/peer-group.ts
+++ b/src/runners/peer-group.ts
@@ -11,7 +11,7 @@
 const MIN_STEP = 0.05;
 const MIN_SAMPLES = 8;
 /** What was seen counts half after so long. */
-export const HALF_LIFE_MS = 1500;
+export const SCORE_HALF_LIFE_MS = 1500;
 
 /** What is timed: a whole reply, the begin of a stream, a pause in it. */
 export type WorkKind = "reply" | "start" | "gap";
@@ -22,7 +22,7 @@
   private step = INITIAL_STEP;
   private samples = 0;
 
-  take(ms: number): void {
+  add(ms: number): void {
     const log = Math.log(Math.max(0.1, ms));
     if (this.samples === 0) this.log = log;
     else this.log += Math.sign(log - this.log) * this.step;
@@ -43,8 +43,8 @@
 /** The runners that one runner is compared with. */
 export class PeerGroup {
   private readonly medians = new Map<string, MedianEstimator>();
-  private readonly score = new decayingSum.DecayingSum(HALF_LIFE_MS);
-  private readonly sends = new decayingSum.DecayingSum(HALF_LIFE_MS);
+  private readonly score = new decayingSum.DecayingSum(SCORE_HALF_LIFE_MS);
+  private readonly sends = new decayingSum.DecayingSum(SCORE_HALF_LIFE_MS);
   private size = 0;
   private ejected = 0;
   private suspected = 0;
@@ -63,14 +63,14 @@
   }
 
   /** The median of alike work before this sample; null while little is known. */
-  take(work: WorkKind, tokens: number, ms: number): number | null {
+  recordDuration(work: WorkKind, tokens: number, ms: number): number | null {
     const median = this.medianOf(work, tokens);
     const before = median.ms;
-    median.take(ms);
+    median.add(ms);
     return before;
   }
 
-  usualMs(work: WorkKind, tokens: number): number | null {
+  medianMs(work: WorkKind, tokens: number): number | null {
     return this.medianOf(work, tokens).ms;
   }
 
@@ -84,7 +84,7 @@
     this.count(state, -1);
   }
 
-  moved(from: outlierState.OutlierState, to: outlierState.OutlierState): void {
+  recordTransition(from: outlierState.OutlierState, to: outlierState.OutlierState): void {
     this.count(from, -1);
     this.count(to, 1);
   }
@@ -108,17 +108,17 @@
   }
 
   /** The mean score of the others. */
-  othersScore(own: number, now: number): number {
+  meanPeerScore(own: number, now: number): number {
     return this.size < 2 ? 0 : Math.max(0, this.score.read(now) - own) / (this.size - 1);
   }
 
-  mayEject(): boolean {
+  canEject(): boolean {
     if (this.size < 2) return false;
     return this.ejected + 1 <= Math.max(1, Math.floor(this.size * MAX_EJECTED_FRACTION));
   }
 
   /** So many look bad that the cause is not in them. */
-  isBroad(): boolean {
+  isWidespread(): boolean {
     return this.suspected + this.ejected > Math.max(1, this.size * WIDESPREAD_FRACTION);
   }
 }
@@ -128,7 +128,7 @@
   routers = 1;
   private readonly groups = new Map<string, PeerGroup>();
 
-  of(service: string, region: string): PeerGroup {
+  groupOf(service: string, region: string): PeerGroup {
     const key = `${service}|${region}`;
     let group = this.groups.get(key);
     if (!group) {
--- a/src/runners/prefill-tracker.ts
+++ b/src/runners/prefill-tracker.ts
@@ -11,39 +11,39 @@
 
 interface RunnerPrefill {
   busyUntil: number;
-  kept: Set<number>;
+  cachedKeys: Set<number>;
 }
 
 /** Which prompts each runner keeps and reads, as far as it is known here. */
 export class PrefillTracker {
   private readonly byRunner = new Map<string, RunnerPrefill>();
   /** Tokens read a millisecond, learned from the replies. */
-  rate = INITIAL_TOKENS_PER_MS;
+  tokensPerMs = INITIAL_TOKENS_PER_MS;
 
   private getOrCreate(runner: string): RunnerPrefill {
     let prefill = this.byRunner.get(runner);
     if (!prefill) {
-      prefill = { busyUntil: 0, kept: new Set() };
+      prefill = { busyUntil: 0, cachedKeys: new Set() };
       this.byRunner.set(runner, prefill);
     }
     return prefill;
   }
 
-  forgetAllBut(standing: { has(runner: string): boolean }): void {
+  retainOnly(standing: { has(runner: string): boolean }): void {
     for (const runner of this.byRunner.keys()) if (!standing.has(runner)) this.byRunner.delete(runner);
   }
 
   /** A reading that was sent, here or by another router. */
-  note(runner: string, unread: number, keys: readonly number[], now: number): void {
+  recordPrefill(runner: string, uncachedTokens: number, keys: readonly number[], now: number): void {
     const prefill = this.getOrCreate(runner);
-    prefill.busyUntil = Math.max(now, prefill.busyUntil) + unread / this.rate;
+    prefill.busyUntil = Math.max(now, prefill.busyUntil) + uncachedTokens / this.tokensPerMs;
     for (const key of keys) {
-      prefill.kept.delete(key);
-      prefill.kept.add(key);
+      prefill.cachedKeys.delete(key);
+      prefill.cachedKeys.add(key);
     }
-    for (const oldest of prefill.kept) {
-      if (prefill.kept.size <= MAX_CACHED_KEYS) break;
-      prefill.kept.delete(oldest);
+    for (const oldest of prefill.cachedKeys) {
+      if (prefill.cachedKeys.size <= MAX_CACHED_KEYS) break;
+      prefill.cachedKeys.delete(oldest);
     }
   }
 
@@ -55,28 +55,28 @@
   /** Tokens that the runner would have to read: the key of a part is made of all before it, so these are kept with it. */
   unread(runner: string, parts: readonly routePlan.PromptPart[], keys: readonly number[]): number {
     let unread = 0;
-    for (const part of parts.slice(this.keptParts(runner, keys))) unread += part.tokens;
+    for (const part of parts.slice(this.cachedParts(runner, keys))) unread += part.tokens;
     return unread;
   }
 
   /** How many parts of the prompt, from the first on, the runner keeps. */
-  keptParts(runner: string, keys: readonly number[]): number {
-    const kept = this.byRunner.get(runner)?.kept;
+  cachedParts(runner: string, keys: readonly number[]): number {
+    const kept = this.byRunner.get(runner)?.cachedKeys;
     if (!kept) return 0;
     for (let count = keys.length; count > 0; count -= 1) if (kept.has(keys[count - 1])) return count;
     return 0;
   }
 
   /** The upper side of what is seen: replies are held up by more than reading. */
-  learn(tokens: number, tookMs: number): void {
+  learnRate(tokens: number, tookMs: number): void {
     if (tokens < MIN_SAMPLE_TOKENS || tookMs <= 0) return;
     const sample = tokens / tookMs;
-    this.rate += (sample > this.rate ? RISE_WEIGHT : FALL_WEIGHT) * (sample - this.rate);
+    this.tokensPerMs += (sample > this.tokensPerMs ? RISE_WEIGHT : FALL_WEIGHT) * (sample - this.tokensPerMs);
   }
 }
 
 /** One key a part, made of it and all before it. */
-export function chainKeys(parts: readonly routePlan.PromptPart[]): number[] {
+export function prefixKeys(parts: readonly routePlan.PromptPart[]): number[] {
   const keys: number[] = [];
   let chain = "";
   for (const part of parts) {
--- a/src/runners/runner-endpoint.ts
+++ b/src/runners/runner-endpoint.ts
@@ -24,11 +24,11 @@
 /** One life of a runner. */
 export class RunnerEndpoint extends runnerLoad.RunnerLoad {
   status: EndpointStatus = "ready";
-  coldUntil = 0;
-  leavesAt = Infinity;
-  streaming = 0;
+  warmUpUntil = 0;
+  shutdownAt = Infinity;
+  streamingCount = 0;
   receivedAt = 0;
-  sentAt = 0;
+  busySince = 0;
   fullUntil = 0;
   private prefillUntil = -Infinity;
   /** Until when it is taken for silent; whatever is heard of it ends that. */
@@ -36,10 +36,10 @@
   private reportsLostAt = Infinity;
   /** Sends without a first byte, and when each is overdue. */
   private readonly awaitingFirstByte = new Map<object, number>();
-  readonly outcomes: outlierDetection.OutlierDetector;
+  readonly outliers: outlierDetection.OutlierDetector;
   readonly connections: connectionPool.ConnectionPool;
   /** A fixed place in the order of runners, the same at every router. */
-  readonly mark: number;
+  readonly runnerHash: number;
 
   constructor(
     readonly instance: schema.Instance,
@@ -47,9 +47,9 @@
     limit: idleTimeout.IdleTimeout,
   ) {
     super();
-    this.outcomes = new outlierDetection.OutlierDetector(instance.id);
+    this.outliers = new outlierDetection.OutlierDetector(instance.id);
     this.connections = new connectionPool.ConnectionPool(instance.address, opened, limit);
-    this.mark = shares.hash(instance.id);
+    this.runnerHash = shares.hash(instance.id);
   }
 
   get id(): types.RunnerId {
@@ -57,13 +57,13 @@
   }
 
   /** The one place where a runner changes its state. */
-  move(to: EndpointStatus): void {
+  transition(to: EndpointStatus): void {
     if (this.status === to || this.status === "gone") return;
     if (this.status === "draining" && to === "ready") return;
     this.status = to;
     if (to === "ready") return;
     this.connections.closeIdle();
-    this.outcomes.leaveCohort();
+    this.outliers.leavePeerGroup();
   }
 
   /** Readings that are known to be ahead there explain a pause; so does a batch that is nearly full. */
@@ -72,20 +72,20 @@
   }
 
   /** A reading is sent there, from here or elsewhere, that takes so long. */
-  reads(ms: number, now: number): void {
+  recordPrefill(ms: number, now: number): void {
     this.prefillUntil = Math.max(now, this.prefillUntil) + ms;
   }
 
   /** It fell silent with work from here. */
-  suspect(now: number): void {
-    this.sign("silent", now);
+  recordSilence(now: number): void {
+    this.recordFailure("silent", now);
     this.unresponsiveUntil = Math.max(this.unresponsiveUntil, now + SILENCE_SUSPECT_MS);
     log.count("runner.suspected");
   }
 
   /** Packets may pass one way only: where reports are good, a silent way is a matter of this router alone. */
-  sign(sign: failureKind.FailureKind, now: number): void {
-    this.outcomes.sign(sign, now, this.isLoaded(now), sign === "unreached" && this.isReporting);
+  recordFailure(sign: failureKind.FailureKind, now: number): void {
+    this.outliers.recordFailure(sign, now, this.isLoaded(now), sign === "unreached" && this.isReporting);
   }
 
   awaitFirstByte(send: object, overdueAt: number): void {
@@ -100,62 +100,62 @@
     for (const [send, overdueAt] of this.awaitingFirstByte) {
       if (now < overdueAt) continue;
       this.awaitingFirstByte.delete(send);
-      this.sign("overdue", now);
+      this.recordFailure("overdue", now);
     }
   }
 
   /** It handed a request back: full for now, or another life has its address. */
-  denied(now: number, isOther: boolean): void {
-    if (isOther) this.move("gone");
+  recordRejection(now: number, isOther: boolean): void {
+    if (isOther) this.transition("gone");
     else this.fullUntil = now + FULL_BACKOFF_MS;
   }
 
-  received(now: number): void {
+  recordReceived(now: number): void {
     this.receivedAt = now;
     this.unresponsiveUntil = 0;
   }
 
   /** Nothing came from it for so long, although it has work from here. */
-  quietMs(now: number): number {
-    return this.inflight === 0 ? 0 : now - Math.max(this.receivedAt, this.sentAt);
+  silentMs(now: number): number {
+    return this.inflight === 0 ? 0 : now - Math.max(this.receivedAt, this.busySince);
   }
 
-  isQuiet(now: number): boolean {
-    return now < this.unresponsiveUntil || this.quietMs(now) > (this.streaming > 0 ? STREAM_SILENCE_MS : START_SILENCE_MS);
+  isSilent(now: number): boolean {
+    return now < this.unresponsiveUntil || this.silentMs(now) > (this.streamingCount > 0 ? STREAM_SILENCE_MS : START_SILENCE_MS);
   }
 
-  reported(report: schema.Report, now: number): void {
+  applyReport(report: schema.Report, now: number): void {
     if (this.isReporting && !report.isSpeaking) this.reportsLostAt = now;
     this.applyReport(report);
   }
 
   /** A report that stays out is one sign: a reply that came well since then outweighs it. */
-  isUnproved(now: number): boolean {
-    return !this.isReporting && this.outcomes.succeededAt <= this.reportsLostAt && now - this.receivedAt > STREAM_SILENCE_MS;
+  isUnconfirmed(now: number): boolean {
+    return !this.isReporting && this.outliers.succeededAt <= this.reportsLostAt && now - this.receivedAt > STREAM_SILENCE_MS;
   }
 
   isSuspect(now: number): boolean {
-    return this.outcomes.state(now) === "ejected" || this.outcomes.isFailing(now) || this.isQuiet(now) || this.isUnproved(now);
+    return this.outliers.update(now) === "ejected" || this.outliers.isFailing(now) || this.isSilent(now) || this.isUnconfirmed(now);
   }
 
   /** Own evidence that others should hear of, once a while. */
-  isNewSuspect(now: number): boolean {
+  takeSuspicion(now: number): boolean {
     this.recordOverdue(now);
-    this.outcomes.state(now);
-    return this.outcomes.takeNews(now, this.streaming > 0 && !this.isLoaded(now) && this.quietMs(now) > STREAM_SILENCE_MS);
+    this.outliers.update(now);
+    return this.outliers.takeReport(now, this.streamingCount > 0 && !this.isLoaded(now) && this.silentMs(now) > STREAM_SILENCE_MS);
   }
 
   /** What is out of reach from here counts as silent unless this router hears it. */
-  outOfReach(now: number): void {
+  recordUnreachable(now: number): void {
     if (now - this.receivedAt > STREAM_SILENCE_MS) this.unresponsiveUntil = Math.max(this.unresponsiveUntil, now + SILENCE_SUSPECT_MS);
   }
 
-  isCold(now: number): boolean {
-    return now < this.coldUntil;
+  isWarmingUp(now: number): boolean {
+    return now < this.warmUpUntil;
   }
 
   /** For `status`: usage in requests, rates as parts of one. */
-  account(now: number): unknown {
+  describe(now: number): unknown {
     const { id, status, inflight } = this;
     const { service, zone } = this.instance;
     return {
@@ -165,8 +165,8 @@
       status,
       inflight,
       usage: this.requestCount(),
-      state: this.outcomes.state(now),
-      rates: this.outcomes.rates(now),
+      state: this.outliers.update(now),
+      rates: this.outliers.rates(now),
     };
   }
 }
--- a/src/runners/runner-health.ts
+++ b/src/runners/runner-health.ts
@@ -17,13 +17,13 @@
   isRepeatable: boolean,
   requestId: types.RequestId,
 ): RunnerHealth {
-  if (runner.outcomes.state(now) === "ejected") return "ejected";
-  if (runner.isQuiet(now) || !runner.outcomes.admits(now, isRepeatable, requestId)) return "suspect";
-  if (!runner.isUnproved(now)) return "good";
-  return isRepeatable && zoneRotation.isWithin(TRIAL_PERCENT, requestId) ? "good" : "suspect";
+  if (runner.outliers.update(now) === "ejected") return "ejected";
+  if (runner.isSilent(now) || !runner.outliers.admits(now, isRepeatable, requestId)) return "suspect";
+  if (!runner.isUnconfirmed(now)) return "good";
+  return isRepeatable && zoneRotation.isWithinPercent(TRIAL_PERCENT, requestId) ? "good" : "suspect";
 }
 
 /** Milliseconds that a choice pays for doubt. */
 export function penaltyMs(runner: runnerEndpoint.RunnerEndpoint, now: number, isRepeatable: boolean): number {
-  return runner.outcomes.penaltyMs(now, isRepeatable) + (runner.isReporting ? 0 : UNREPORTED_MS);
+  return runner.outliers.penaltyMs(now, isRepeatable) + (runner.isReporting ? 0 : UNREPORTED_MS);
 }
--- a/src/runners/runner-tombstones.ts
+++ b/src/runners/runner-tombstones.ts
@@ -17,20 +17,20 @@
   }
 
   /** Still gone, and no longer listed either. */
-  unlist(id: string): void {
+  markUnlisted(id: string): void {
     const tombstones = this.tombstones.get(id);
     if (tombstones) tombstones.listed = null;
   }
 
   /** True when it is gone; it is kept in mind in case it is still listed after a while. */
-  holds(instance: schema.Instance): boolean {
+  suppresses(instance: schema.Instance): boolean {
     const tombstones = this.tombstones.get(instance.id);
     if (tombstones) tombstones.listed = instance;
     return tombstones !== undefined;
   }
 
   /** What is listed still, or again, after that while is believed. */
-  sweep(now: number): schema.Instance[] {
+  expire(now: number): schema.Instance[] {
     const back: schema.Instance[] = [];
     for (const [id, { at, listed }] of this.tombstones) {
       if (now - at <= TOMBSTONE_MS) continue;
--- a/src/runners/zone-rotation.ts
+++ b/src/runners/zone-rotation.ts
@@ -18,46 +18,46 @@
 /** Zones out of use, and those that come back. */
 export class ZoneRotation {
   private readonly zones = new Map<string, ZoneState>();
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   /** The zones under evacuation as the register has them; the ones just taken back are returned. */
-  take(evacuated: readonly string[], isFirst: boolean): string[] {
+  applyEvacuations(evacuated: readonly string[], isFirst: boolean): string[] {
     const back: string[] = [];
     for (const zone of evacuated) {
       const state = this.zones.get(zone)?.state;
-      if (state !== "out" && state !== "draining") this.move(zone, isFirst ? "out" : "draining");
+      if (state !== "out" && state !== "draining") this.transition(zone, isFirst ? "out" : "draining");
     }
     for (const [zone, item] of this.zones) {
       if (evacuated.includes(zone) || item.state === "in" || item.state === "failback") continue;
-      this.move(zone, "failback");
+      this.transition(zone, "failback");
       back.push(zone);
     }
     return back;
   }
 
-  private move(zone: string, state: State): void {
-    this.zones.set(zone, { state, since: this.world.now() });
+  private transition(zone: string, state: State): void {
+    this.zones.set(zone, { state, since: this.clock.now() });
   }
 
   percentOf(zone: string): number {
     const item = this.zones.get(zone);
     if (!item || item.state === "in") return 100;
     if (item.state === "out") return 0;
-    const passed = this.world.now() - item.since;
+    const passed = this.clock.now() - item.since;
     if (item.state === "draining") {
       const step = Math.floor((passed / DRAIN_DURATION_MS) * DRAIN_STEPS) + 1;
-      if (step >= DRAIN_STEPS) this.move(zone, "out");
+      if (step >= DRAIN_STEPS) this.transition(zone, "out");
       return Math.max(0, 100 - (100 / DRAIN_STEPS) * step);
     }
     const percent = failbackPercent(passed);
-    if (percent >= 100) this.move(zone, "in");
+    if (percent >= 100) this.transition(zone, "in");
     return percent;
   }
 
   /** One request keeps its side of the step whatever router and try it comes by. */
-  isIn(zone: string, requestId: types.RequestId): boolean {
+  admits(zone: string, requestId: types.RequestId): boolean {
     const percent = this.percentOf(zone);
-    return isWithin(percent, requestId);
+    return isWithinPercent(percent, requestId);
   }
 }
 
@@ -67,6 +67,6 @@
 }
 
 /** Whether the request is among the first so many in a hundred, by its id. */
-export function isWithin(percent: number, requestId: types.RequestId): boolean {
+export function isWithinPercent(percent: number, requestId: types.RequestId): boolean {
   return percent >= 100 || (percent > 0 && shares.hash(requestId) % 100 < percent);
 }
--- a/src/whatif/batch.ts
+++ b/src/whatif/batch.ts
@@ -84,9 +84,9 @@
 
   private run(job: Job): void {
     const now = this.world.now();
-    const keys = prefillTracker.chainKeys(job.parts);
+    const keys = prefillTracker.prefixKeys(job.parts);
     const unread = this.cachedPrompts.unread(this.id, job.parts, keys);
-    this.cachedPrompts.note(this.id, unread, keys, now);
+    this.cachedPrompts.recordPrefill(this.id, unread, keys, now);
     this.active += 1;
     const tokens = this.tokensOf(job);
     this.kvUsed += tokens;
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -95,7 +95,7 @@
   }
 
   private send(router: system.ModelRouter, tried: Set<string>): void {
-    const entry = router.chooser.table!.find("whatif", `/${this.kind.name}/`)!;
+    const entry = router.chooser.routeTable!.find("whatif", `/${this.kind.name}/`)!;
     this.ids += 1;
     const request = system.requestOf(entry, `r-${this.record.at}-${this.ids}`, this.parts, this.deadline, this.events);
     router.chooser.countRequest(request);
@@ -104,11 +104,11 @@
       this.onRefusal(choice.retryAfterS);
       return;
     }
-    choice.runner.connections.give(choice.connection, true);
+    choice.runner.connections.release(choice.connection, true);
     const model = this.fleet.runners.get(choice.runner.id)!;
     choice.runner.inflight += 1;
     const tripMs = router.region === model.region ? SAME_REGION_TRIP_MS : this.scenario.trip_ms;
-    const send: Send = { router, runner: choice.runner, model, ticket: choice.ticket, request, tried, tripMs };
+    const send: Send = { router, runner: choice.runner, model, ticket: choice.observer, request, tried, tripMs };
     this.fleet.world.schedule(tripMs, this.submit.bind(this, send));
   }
 
@@ -127,8 +127,8 @@
       deadline: this.deadline,
       first(): void {
         hasFirst = true;
-        router.known.learn(tokens, fleet.world.now() - sentAt);
-        runner.received(fleet.world.now());
+        router.known.learnRate(tokens, fleet.world.now() - sentAt);
+        runner.recordReceived(fleet.world.now());
         ticket.recordFirstEvent();
         recordFirstEvent();
       },
@@ -144,7 +144,7 @@
     }
     runner.inflight -= 1;
     ticket.recordEnd("not_run");
-    runner.denied(fleet.world.now(), false);
+    runner.recordRejection(fleet.world.now(), false);
     send.tried.add(model.id);
     if (send.tried.size < MAX_SENDS) this.send(router, send.tried);
     else this.onRefusal(HANDED_BACK_RETRY_S);
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -56,7 +56,7 @@
   /** Plays the day to the end of its last request. */
   play(): client.RequestRecord[] {
     const list = system.instancesOf([...this.runners.values()].map(standing), this.scenario.runner.capacity, new Map());
-    for (const router of this.routers) router.fleet.takeList(list);
+    for (const router of this.routers) router.fleet.applySnapshot(list);
     this.deal();
     this.report();
     this.onTimer();
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -83,7 +83,7 @@
 
   private pushList(): void {
     const list = system.instancesOf(this.runners.values(), this.scenario.runner.capacity, this.coldMs);
-    for (const router of this.routers) router.fleet.takeList(list);
+    for (const router of this.routers) router.fleet.applySnapshot(list);
     this.coldMs.clear();
   }
 
@@ -119,7 +119,7 @@
   }
 
   private pushRotation(): void {
-    for (const router of this.routers) router.rotation.take([...this.evacuated], false);
+    for (const router of this.routers) router.rotation.applyEvacuations([...this.evacuated], false);
   }
 
   private replaceRunner(gone: models.ModelRunner): void {
@@ -148,7 +148,7 @@
 
   private send(turn: Turn): void {
     const { kind, router, tried } = turn;
-    const entry = router.chooser.table!.find("whatif", `/${kind.name}/`)!;
+    const entry = router.chooser.routeTable!.find("whatif", `/${kind.name}/`)!;
     const request = system.requestOf(entry, `r-${this.requests}`, turn.parts, turn.startedAt + DEADLINE_MS);
     router.chooser.countRequest(request);
     const choice = router.chooser.pick(request, tried, tried.size);
@@ -156,11 +156,11 @@
       this.count(turn, null, 0, "");
       return;
     }
-    choice.runner.connections.give(choice.connection, true);
+    choice.runner.connections.release(choice.connection, true);
     const model = this.runners.get(choice.runner.id)!;
     if (!model.isUp || model.isFull()) {
       tried.add(model.id);
-      choice.runner.suspect(this.world.now());
+      choice.runner.recordSilence(this.world.now());
       this.world.schedule(2 * this.tripMs(router, model), this.send.bind(this, turn));
       return;
     }
@@ -178,7 +178,7 @@
     const { firstMs, endMs, unread } = model.run(turn.parts, turn.kind.events, now);
     model.active += 1;
     runner.inflight += 1;
-    runner.received(now);
+    runner.recordReceived(now);
     this.count(turn, now - turn.startedAt + 2 * tripMs + firstMs, unread, model.id);
     this.world.schedule(endMs, ended);
     function ended(): void {
--- a/src/whatif/runner.ts
+++ b/src/whatif/runner.ts
@@ -33,9 +33,9 @@
 
   /** When the first and the last event leave, from now on. */
   run(parts: readonly routePlan.PromptPart[], events: number, nowMs: number): Run {
-    const keys = prefillTracker.chainKeys(parts);
+    const keys = prefillTracker.prefixKeys(parts);
     const unread = this.cachedPrompts.unread(this.id, parts, keys);
-    this.cachedPrompts.note(this.id, unread, keys, nowMs);
+    this.cachedPrompts.recordPrefill(this.id, unread, keys, nowMs);
     this.readingUntil = Math.max(nowMs, this.readingUntil) + unread / this.figures.tokens_per_ms;
     const eventMs = this.figures.event_ms * (1 + this.active / this.figures.capacity);
     const firstMs = this.readingUntil - nowMs + eventMs;
@@ -45,7 +45,7 @@
   /** The runner is lost with all it had cached. */
   lose(): void {
     this.isUp = false;
-    this.cachedPrompts.forgetAllBut(new Set());
+    this.cachedPrompts.retainOnly(new Set());
     this.readingUntil = 0;
   }
 }
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -35,13 +35,13 @@
     this.rotation = new zoneRotation.ZoneRotation(world);
     this.share = new shares.Shares(world, BOUNDS);
     this.chooser = new runnerPicker.RunnerPicker(world, this.fleet, this.rotation, this.share, region, this.known);
-    this.chooser.table = table;
+    this.chooser.routeTable = table;
   }
 
   /** As the router's program does: a reading is known to the weighing and to the status of its runner. */
   read(runner: string, unread: number, keys: readonly number[], now: number): void {
-    this.known.note(runner, unread, keys, now);
-    this.fleet.reads(types.small(runner), unread / this.known.rate);
+    this.known.recordPrefill(runner, unread, keys, now);
+    this.fleet.recordPrefill(types.small(runner), unread / this.known.tokensPerMs);
   }
 }
 
@@ -121,7 +121,7 @@
     isBatch: false,
     tenant: null,
     parts,
-    keys: prefillTracker.chainKeys(parts),
+    prefixKeys: prefillTracker.prefixKeys(parts),
     arrivedAt: 0,
     deadline,
     requestedTokens: asked,
@@ -137,11 +137,11 @@
   runner: string,
   request: routeRequest.RouteRequest,
 ): number {
-  const unread = Math.round(from.known.unread(runner, request.parts, request.keys));
-  from.read(runner, unread, request.keys, world.now());
+  const unread = Math.round(from.known.unread(runner, request.parts, request.prefixKeys));
+  from.read(runner, unread, request.prefixKeys, world.now());
   world.schedule(SIGN_MS, deliver);
   return unread;
   function deliver(): void {
-    for (const router of routers) if (router !== from) router.read(runner, unread, request.keys, world.now());
+    for (const router of routers) if (router !== from) router.read(runner, unread, request.prefixKeys, world.now());
   }
 }
--- a/tests/admission-judge.test.ts
+++ b/tests/admission-judge.test.ts
@@ -45,7 +45,7 @@
 
   constructor(runners: number) {
     const ids = Array.from({ length: runners }, (_, index) => `i-${index + 1}`);
-    this.fleet.takeList(
+    this.fleet.applySnapshot(
       ids.map((id) => ({
         id: types.small(id),
         service: "s",
@@ -69,10 +69,10 @@
       requestId: types.small("q"),
       entry: TABLE.find("h", `/${rank}/`)!,
       service: "s",
-      shared: [],
+      sharedParts: [],
       sharedTokens: 0,
       parts,
-      keys: prefillTracker.chainKeys(parts),
+      prefixKeys: prefillTracker.prefixKeys(parts),
       attemptedRunners: new Set(),
       now: this.clock.now(),
       deadline: this.clock.now() + 4000,
@@ -81,7 +81,7 @@
       ...NOBODYS,
       retryKey: key,
       cells: ["r"],
-      candidates: [...this.fleet.of("s")],
+      candidates: [...this.fleet.ofService("s")],
     };
   }
 
@@ -100,7 +100,7 @@
 
   /** So many milliseconds of prompts are to be read first. */
   fill(id: string, ms: number): void {
-    this.known.note(id, ms * this.known.rate, [], this.clock.now());
+    this.known.recordPrefill(id, ms * this.known.tokensPerMs, [], this.clock.now());
   }
 
   pause(id: string, share: number): void {
@@ -196,7 +196,7 @@
 
 test("the large ones of a kind do not starve: once they do, pauses hold them back no further", () => {
   const door = new Door(1);
-  for (let count = 0; count < 60; count += 1) door.admission.recordSend(door.plan(1, 0, 300), [...door.fleet.of("s")][0]);
+  for (let count = 0; count < 60; count += 1) door.admission.recordSend(door.plan(1, 0, 300), [...door.fleet.ofService("s")][0]);
   door.report([8]);
   door.pause("i-1", 0.9);
   const isIn = Array.from({ length: 6 }, () => door.admission.decide(door.plan(1, 0, 2500)) === null);
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -39,7 +39,7 @@
 function door(seed = 1): Door {
   const clock = new sim.SimWorld(seed);
   const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
-  fleet.takeList(
+  fleet.applySnapshot(
     ["i-1", "i-2"].map((id) => ({
       id: types.small(id),
       service: "s",
@@ -69,10 +69,10 @@
       requestId: types.small("q"),
       entry: table.find("h", `/${rank}/`)!,
       service: "s",
-      shared: [],
+      sharedParts: [],
       sharedTokens: 0,
       parts: [],
-      keys: [],
+      prefixKeys: [],
       attemptedRunners: new Set(),
       now: clock.now(),
       deadline: clock.now() + 3000,
@@ -81,7 +81,7 @@
       ...NOBODYS,
       retryKey: key,
       cells: ["r"],
-      candidates: [...fleet.of("s")],
+      candidates: [...fleet.ofService("s")],
     }),
     report(active, waiting = 0) {
       const report = {
--- a/tests/callers.test.ts
+++ b/tests/callers.test.ts
@@ -197,7 +197,7 @@
 
   test("is taken up again after resting for four fifths of idle_timeout_ms", async () => {
     await start([]);
-    edge!.server.limit({ idle_timeout_ms: 500 });
+    edge!.server.applyLimits({ idle_timeout_ms: 500 });
     const socket = net.connect(edge!.server.port, "127.0.0.1");
     let text = "";
     socket.on("data", (chunk: Buffer) => (text += chunk.toString("latin1")));
--- a/tests/choice.test.ts
+++ b/tests/choice.test.ts
@@ -26,14 +26,14 @@
   place: number,
   known: prefillTracker.PrefillTracker,
 ): Map<runnerEndpoint.RunnerEndpoint, number> {
-  const key = routePlan.promptKey(plan.shared);
+  const key = routePlan.promptKey(plan.sharedParts);
   const ranked = [...cell].sort((left, right) => shares.hash(`${key}|${right.id}`) - shares.hash(`${key}|${left.id}`));
   const found = new Map<runnerEndpoint.RunnerEndpoint, number>();
   for (const [rank, runner] of ranked.entries()) {
     let ms = place * 100 + (400 * runner.requestCount()) / runner.instance.capacity;
     if (plan.parts.length > 0) {
-      const unread = known.unread(runner.id, plan.parts, plan.keys);
-      ms += known.backlogMs(runner.id, plan.now) + (2 * unread) / known.rate + 70 * Math.min(rank, 3);
+      const unread = known.unread(runner.id, plan.parts, plan.prefixKeys);
+      ms += known.backlogMs(runner.id, plan.now) + (2 * unread) / known.tokensPerMs + 70 * Math.min(rank, 3);
     }
     found.set(runner, ms);
   }
@@ -55,9 +55,9 @@
     entry: chains.ENTRY,
     service: "s",
     parts,
-    shared: parts.slice(0, -1),
+    sharedParts: parts.slice(0, -1),
     sharedTokens: 0,
-    keys: prefillTracker.chainKeys(parts),
+    prefixKeys: prefillTracker.prefixKeys(parts),
     attemptedRunners: new Set(),
     now: 1000,
     deadline: 9000,
@@ -88,15 +88,15 @@
       leavesMs: -1,
     });
   }
-  fleet.takeList(listed);
+  fleet.applySnapshot(listed);
   for (const runner of fleet.all()) {
     // Well under the bound on usage, so that all are in the first group.
     runner.others = Math.floor(world.random() * 4);
     if (world.random() < 0.4)
-      known.note(
+      known.recordPrefill(
         runner.id,
         world.random() * 9000,
-        prefillTracker.chainKeys([{ id: `b-${Math.floor(world.random() * 3)}`, tokens: 0 }]),
+        prefillTracker.prefixKeys([{ id: `b-${Math.floor(world.random() * 3)}`, tokens: 0 }]),
         1000,
       );
   }
--- a/tests/early-answer.test.ts
+++ b/tests/early-answer.test.ts
@@ -60,7 +60,7 @@
 test("the rest of a body that was answered early stands before the next request, whole and unchanged", async () => {
   const runner = new EarlyRunner();
   const edge = await edges.Edge.over(new timers.SystemClock(), [runner]);
-  edge.server.limit({ max_body_bytes: 2 * BODY_BYTES });
+  edge.server.applyLimits({ max_body_bytes: 2 * BODY_BYTES });
   try {
     const body = Array.from({ length: BODY_BYTES / 8 }, (_, index) => index.toString(16).padStart(8, "0")).join("");
     expect(rawRunner.readAnswer(await edge.send(post("q1", body)))).toMatchObject({ status: 200, looksWhole: true });
--- a/tests/gone.test.ts
+++ b/tests/gone.test.ts
@@ -29,7 +29,7 @@
     else client.end();
     await until(() => edge.server.activeCount === 0);
     edge.isReady = true;
-    edge.server.takePending();
+    edge.server.servePending();
     await sims.settle();
     expect(edge.seen()).toEqual([]);
   },
@@ -40,7 +40,7 @@
   const told = edge.send(REQUEST.replace("Host: h", "Host: h\r\nConnection: close"));
   await until(() => edge.server.activeCount === 1);
   edge.isReady = true;
-  edge.server.takePending();
+  edge.server.servePending();
   expect(await told).toMatch(/^HTTP\/1\.1 200/);
   expect(edge.seen()).toHaveLength(1);
 });
--- a/tests/headers.test.ts
+++ b/tests/headers.test.ts
@@ -28,7 +28,7 @@
 
 test.each(HEADERS)("header %s: %s is passed on: %s", function header(name, value, isKept) {
   const raw = ["Connection", CONNECTION, name, value];
-  const made = headerRules.forRunner(raw, CONNECTION, { target: "i-1", budgetMs: 12, rank: 1, lastEventId: null, tenant: null });
+  const made = headerRules.buildRequestHeaders(raw, CONNECTION, { target: "i-1", budgetMs: 12, rank: 1, lastEventId: null, tenant: null });
   expect(made.includes(value) && made.includes(name)).toBe(isKept);
   expect(made[made.indexOf("X-Cranewind-Target-Instance") + 1]).toBe("i-1");
 });
@@ -39,7 +39,7 @@
   [3, "7"],
   [40, "9"],
 ])("a route of rank %s asks for priority %s, whatever the client asked", (rank, priority) => {
-  const made = headerRules.forRunner(["X-Cranewind-Request-Priority", "0"], undefined, {
+  const made = headerRules.buildRequestHeaders(["X-Cranewind-Request-Priority", "0"], undefined, {
     target: "i-1",
     budgetMs: 12,
     rank,
@@ -51,7 +51,7 @@
 
 test("the tenant is the key's, set once, whatever the client sent", () => {
   const raw = ["X-Cranewind-Tenant", "other", "x-cranewind-tenant", "third", "Api-Key", "k"];
-  const made = headerRules.forRunner(raw, undefined, { target: "i-1", budgetMs: 12, rank: 1, lastEventId: null, tenant: "own" });
+  const made = headerRules.buildRequestHeaders(raw, undefined, { target: "i-1", budgetMs: 12, rank: 1, lastEventId: null, tenant: "own" });
   const values = made.filter((_item, index) => index % 2 === 1 && made[index - 1].toLowerCase() === "x-cranewind-tenant");
   expect(values).toEqual(["own"]);
   expect(made).not.toContain("k");
--- a/tests/idle.test.ts
+++ b/tests/idle.test.ts
@@ -4,41 +4,41 @@
 import * as edges from "./sim/edge.js";
 import * as sim from "./sim/world.js";
 
-const USUAL = connectionPool.IDLE_MS;
+const USUAL = connectionPool.IDLE_TIMEOUT_MS;
 let clock: sim.SimWorld;
 beforeEach(() => (clock = new sim.SimWorld()));
 
 describe("the limit of a service", () => {
   test("nothing is learned at first, and nothing from short idle times or late resets", () => {
     const limit = new idleTimeout.IdleTimeout(clock, USUAL);
-    expect(limit.mostMs()).toBe(Infinity);
-    limit.learn(249, 5);
-    limit.learn(2000, 601);
-    expect(limit.mostMs()).toBe(Infinity);
+    expect(limit.maxIdleMs()).toBe(Infinity);
+    limit.recordReset(249, 5);
+    limit.recordReset(2000, 601);
+    expect(limit.maxIdleMs()).toBe(Infinity);
   });
 
   test("four fifths of the least time count, and go back up over a minute", () => {
     const limit = new idleTimeout.IdleTimeout(clock, USUAL);
-    limit.learn(2000, 50);
-    expect(limit.mostMs()).toBe(1600);
-    limit.learn(3000, 50);
-    expect(limit.mostMs()).toBe(1600);
-    limit.learn(1000, 50);
-    expect(limit.mostMs()).toBe(800);
+    limit.recordReset(2000, 50);
+    expect(limit.maxIdleMs()).toBe(1600);
+    limit.recordReset(3000, 50);
+    expect(limit.maxIdleMs()).toBe(1600);
+    limit.recordReset(1000, 50);
+    expect(limit.maxIdleMs()).toBe(800);
     clock.skip(30_000);
-    expect(limit.mostMs()).toBe(1600);
-    limit.learn(1500, 50);
-    expect(limit.mostMs()).toBe(1200);
+    expect(limit.maxIdleMs()).toBe(1600);
+    limit.recordReset(1500, 50);
+    expect(limit.maxIdleMs()).toBe(1200);
     clock.skip(59_999);
-    expect(limit.mostMs()).toBeLessThan(USUAL);
+    expect(limit.maxIdleMs()).toBeLessThan(USUAL);
     clock.skip(1);
-    expect(limit.mostMs()).toBe(Infinity);
+    expect(limit.maxIdleMs()).toBe(Infinity);
   });
 
   test("services learn for themselves", () => {
     const limits = new idleTimeout.IdleTimeouts(clock, USUAL);
-    limits.of("a").learn(1000, 1);
-    expect([limits.of("a").mostMs(), limits.of("b").mostMs()]).toEqual([800, Infinity]);
+    limits.ofService("a").recordReset(1000, 1);
+    expect([limits.ofService("a").maxIdleMs(), limits.ofService("b").maxIdleMs()]).toEqual([800, Infinity]);
   });
 
   test.each([
@@ -49,7 +49,7 @@
     ["max=9", Infinity],
     [undefined, Infinity],
   ])("Keep-Alive %s allows %d ms", (told, ms) => {
-    expect(idleTimeout.keepAliveMs(told)).toBe(ms);
+    expect(idleTimeout.parseKeepAliveMs(told)).toBe(ms);
   });
 
   test.each([
@@ -59,7 +59,7 @@
     ["HPE_INVALID_CONSTANT", false],
     [undefined, false],
   ])("an error %s is a reset: %s", (code, isReset) => {
-    expect(idleTimeout.isReset({ code })).toBe(isReset);
+    expect(idleTimeout.isConnectionReset({ code })).toBe(isReset);
   });
 });
 
@@ -79,10 +79,10 @@
 
 /** Two kept connections, given back in this order with so much time between and after. */
 function two(betweenMs: number, afterMs: number): [connectionPool.Connection, connectionPool.Connection] {
-  const [first, second] = [kept.take(4)!, kept.take(4)!];
-  kept.give(first, true);
+  const [first, second] = [kept.acquire(4)!, kept.acquire(4)!];
+  kept.release(first, true);
   clock.skip(betweenMs);
-  kept.give(second, true);
+  kept.release(second, true);
   clock.skip(afterMs);
   return [first, second];
 }
@@ -92,30 +92,30 @@
 
   test("by default the freshest is reused, whatever the request", () => {
     const [first, second] = two(500, 3000);
-    expect(kept.take(4, false)).toBe(second);
-    expect(kept.take(4, true)).toBe(first);
+    expect(kept.acquire(4, false)).toBe(second);
+    expect(kept.acquire(4, true)).toBe(first);
     expect([second.idleMs, first.idleMs]).toEqual([3000, 3500]);
   });
 
   test("with a learned limit, what may not run twice leaves older ones to the rest", () => {
     const [first, second] = two(500, 1000);
-    limit.learn(1000, 10);
-    const fresh = kept.take(4, false)!;
+    limit.recordReset(1000, 10);
+    const fresh = kept.acquire(4, false)!;
     expect([first, second]).not.toContain(fresh);
     expect(fresh.isFresh).toBe(true);
-    expect([kept.take(4, true), kept.take(4, true)]).toEqual([second, first]);
-    kept.give(fresh, true);
+    expect([kept.acquire(4, true), kept.acquire(4, true)]).toEqual([second, first]);
+    kept.release(fresh, true);
     clock.skip(800);
-    expect(kept.take(4, false)).toBe(fresh);
+    expect(kept.acquire(4, false)).toBe(fresh);
   });
 
   test("at the bound, the one idle for longest gives its place to a new one", () => {
     const [first, second] = two(500, 1000);
-    limit.learn(1000, 10);
-    const fresh = kept.take(2, false)!;
+    limit.recordReset(1000, 10);
+    const fresh = kept.acquire(2, false)!;
     expect([fresh === first, fresh === second, first.isClosed, second.isClosed]).toEqual([false, false, true, false]);
-    expect(kept.take(2, true)).toBe(second);
-    expect(kept.take(2, false)).toBeNull();
+    expect(kept.acquire(2, true)).toBe(second);
+    expect(kept.acquire(2, false)).toBeNull();
   });
 });
 
@@ -123,27 +123,27 @@
   useConnections();
 
   test("what the runner told bounds the reuse for all", () => {
-    const made = kept.take(4)!;
-    kept.give(made, true, "timeout=3");
+    const made = kept.acquire(4)!;
+    kept.release(made, true, "timeout=3");
     clock.skip(2000);
-    expect(kept.take(4, true)).toBe(made);
-    kept.give(made, true, "timeout=3");
+    expect(kept.acquire(4, true)).toBe(made);
+    kept.release(made, true, "timeout=3");
     clock.skip(2001);
-    expect(kept.take(4, true)).not.toBe(made);
+    expect(kept.acquire(4, true)).not.toBe(made);
     expect(made.isClosed).toBe(true);
   });
 
   test("a break teaches only on a kept connection", () => {
-    const made = kept.take(4)!;
+    const made = kept.acquire(4)!;
     clock.skip(2000);
-    kept.broke(made);
-    expect(limit.mostMs()).toBe(Infinity);
-    kept.give(made, true);
+    kept.recordReset(made);
+    expect(limit.maxIdleMs()).toBe(Infinity);
+    kept.release(made, true);
     clock.skip(2000);
-    kept.take(4);
+    kept.acquire(4);
     clock.skip(40);
-    kept.broke(made);
-    expect(limit.mostMs()).toBe(1600);
+    kept.recordReset(made);
+    expect(limit.maxIdleMs()).toBe(1600);
   });
 });
 
--- a/tests/kept-connections.test.ts
+++ b/tests/kept-connections.test.ts
@@ -40,7 +40,7 @@
 }
 
 test.each<[string, (edge: edges.Edge) => void]>([
-  ["the idle limit is cut to a millisecond", (edge) => edge.server.limit({ idle_timeout_ms: 1 })],
+  ["the idle limit is cut to a millisecond", (edge) => edge.server.applyLimits({ idle_timeout_ms: 1 })],
   ["the router leaves and its server closes", leave],
   ["idle connections are closed again and again", (edge) => [1, 2, 3].forEach(() => edge.server.close())],
 ])("%s: all that reached a runner is answered", async (_name, meddle) => {
@@ -51,7 +51,7 @@
   meddle(edge);
   const until = answers + 100;
   for (let turn = 0; turn < 3000 && answers < until; turn += 1) await new Promise(setImmediate);
-  edge.server.isLeaving = true;
+  edge.server.isDraining = true;
   for (let turn = 0; turn < 3000 && edge.server.activeCount > 0; turn += 1) await new Promise(setImmediate);
   for (let turn = 0; turn < 200; turn += 1) await new Promise(setImmediate);
   const answered = new Set(clients.flatMap((client) => [...client.answered]));
@@ -63,6 +63,6 @@
 });
 
 function leave(edge: edges.Edge): void {
-  edge.server.isLeaving = true;
+  edge.server.isDraining = true;
   edge.server.close();
 }
--- a/tests/leases.test.ts
+++ b/tests/leases.test.ts
@@ -48,7 +48,7 @@
   return seen;
 
   function use(router: leases.Router): void {
-    if (random() < 0.1) router.share.giveBack("s");
+    if (random() < 0.1) router.share.returnRetry("s");
     else seen.tries.push(sim.clock.now());
   }
 
--- a/tests/once.test.ts
+++ b/tests/once.test.ts
@@ -58,7 +58,7 @@
     const clock = new sims.SimWorld();
     const scripts: rawRunner.Script[] = [{ answer: rawRunner.FINE, part: "request", byte: 200_000, fault }];
     const edge = await edges.Edge.over(clock, [new rawRunner.RawRunner("i-1", scripts), new rawRunner.RawRunner("i-2", [...scripts])]);
-    edge.server.limit({ max_body_bytes: LARGE_BODY });
+    edge.server.applyLimits({ max_body_bytes: LARGE_BODY });
     const reply = await callerCases.ask(clock, edge, callerCases.textOf("q1", { method: "PUT", bodyBytes: LARGE_BODY, isChunked: false }));
     const streams = edge.runners.flatMap((runner) => runner.streams);
     edge.stop();
--- a/tests/outcomes.test.ts
+++ b/tests/outcomes.test.ts
@@ -72,7 +72,7 @@
   for (let at = ONSET_S; at < END_S; at += 0.5) {
     played.play(at);
     for (const router of played.routers) {
-      const out = [...router.fleet.all()].filter((runner) => runner.outcomes.state(played.world.now()) === "ejected");
+      const out = [...router.fleet.all()].filter((runner) => runner.outliers.update(played.world.now()) === "ejected");
       expect(out.filter((runner) => runner.region === "r1").length).toBeLessThanOrEqual(3);
       expect(out.filter((runner) => runner.region !== "r1")).toEqual([]);
     }
@@ -114,7 +114,7 @@
   const cohort = new peerGroup.PeerGroup();
   return Array.from({ length: count }, (_item, index) => {
     const made = new outlierDetection.OutlierDetector(types.small(`i-${index}`));
-    made.joinCohort(cohort);
+    made.joinPeerGroup(cohort);
     return made;
   });
 }
@@ -128,33 +128,33 @@
   [10, 3],
 ])("of %s runners at most %s are ejected", (count, most) => {
   const all = cohortOf(count);
-  for (let at = 0; at < 2000; at += 100) for (const [index, item] of all.entries()) item.sign("error", at + index * 3, false);
-  expect(all.filter((item) => item.state(2000) === "ejected").length).toBeLessThanOrEqual(most);
+  for (let at = 0; at < 2000; at += 100) for (const [index, item] of all.entries()) item.recordFailure("error", at + index * 3, false);
+  expect(all.filter((item) => item.update(2000) === "ejected").length).toBeLessThanOrEqual(most);
 });
 
 test.each([...failureKind.FAILURE_WEIGHTS.keys()])("one sign of %s alone ejects nobody", (sign) => {
   const [first] = cohortOf(9);
-  first.sign(sign, 10, false);
-  expect(["good", "suspected"]).toContain(first.state(11));
+  first.recordFailure(sign, 10, false);
+  expect(["good", "suspected"]).toContain(first.update(11));
 });
 
 test.each([...failureKind.LOAD_RELATED_FAILURES])("%s of a runner with much to do says nothing", (sign) => {
   const [first] = cohortOf(9);
-  for (let at = 0; at < 3000; at += 100) first.sign(sign, at, true);
-  expect([first.state(3000), first.rates(3000).score]).toEqual(["good", 0]);
+  for (let at = 0; at < 3000; at += 100) first.recordFailure(sign, at, true);
+  expect([first.update(3000), first.rates(3000).score]).toEqual(["good", 0]);
 });
 
 test("one telling ejects nobody, two of different routers do, and many good replies of its own outweigh them", () => {
   const [told, alone, known] = cohortOf(9);
-  alone.reportedByOther(0);
-  alone.reportedByOther(1000);
-  expect(alone.state(1001)).toBe("suspected");
-  told.reportedByOther(0);
-  told.reportedByOther(50);
-  expect(told.state(51)).toBe("ejected");
-  for (let at = 0; at < 20; at += 1) known.succeed(at);
-  for (let at = 20; at < 80; at += 20) known.reportedByOther(at);
-  expect(known.state(80)).toBe("suspected");
+  alone.recordRemoteReport(0);
+  alone.recordRemoteReport(1000);
+  expect(alone.update(1001)).toBe("suspected");
+  told.recordRemoteReport(0);
+  told.recordRemoteReport(50);
+  expect(told.update(51)).toBe("ejected");
+  for (let at = 0; at < 20; at += 1) known.recordSuccess(at);
+  for (let at = 20; at < 80; at += 20) known.recordRemoteReport(at);
+  expect(known.update(80)).toBe("suspected");
 });
 
 test("each ejection within a while is longer, probation comes by steps, repeatable requests first", () => {
@@ -162,13 +162,13 @@
   const lengths: number[] = [];
   let now = 0;
   for (let turn = 0; turn < 5; turn += 1) {
-    first.sign("error", now, false);
-    first.sign("error", now + 10, false);
-    expect(first.state(now + 10)).toBe("ejected");
+    first.recordFailure("error", now, false);
+    first.recordFailure("error", now + 10, false);
+    expect(first.update(now + 10)).toBe("ejected");
     const from = now + 10;
-    for (now = from; first.state(now) === "ejected"; now += 10) continue;
+    for (now = from; first.update(now) === "ejected"; now += 10) continue;
     lengths.push(now - from);
-    expect(first.state(now)).toBe("probation");
+    expect(first.update(now)).toBe("probation");
   }
   for (const [index, length] of lengths.slice(1).entries()) expect(length).toBeGreaterThanOrEqual(lengths[index]);
   expect(lengths[0]).toBeGreaterThanOrEqual(1000);
@@ -177,18 +177,18 @@
   const admitted = (at: number, isRepeatable: boolean): number =>
     Array.from({ length: 1000 }, (_item, id) => first.admits(now + at, isRepeatable, types.small(`r${id}`))).filter(Boolean).length / 10;
   expect([100, 700, 1300, 1900].map((at) => admitted(at, false))).toEqual([0, 0, 0, 0]);
-  first.succeed(now + 50);
+  first.recordSuccess(now + 50);
   expect([100, 700, 1300, 1900].map((at) => admitted(at, false))).toEqual([0, 0, 50, 75].map((percent) => expect.closeTo(percent, -1)));
   expect([100, 700, 1300, 1900, 2500].map((at) => admitted(at, true))).toEqual(
     [10, 25, 50, 75, 100].map((percent) => expect.closeTo(percent, -1)),
   );
-  expect(first.state(now + 2500)).toBe("good");
+  expect(first.update(now + 2500)).toBe("good");
 });
 
 test("an answer of the runner's own failure clears no suspicion, a whole success does", () => {
   const [first] = cohortOf(9);
-  first.sign("error", 10, false);
+  first.recordFailure("error", 10, false);
   expect(first.isFailing(20)).toBe(true);
-  first.succeed(30);
+  first.recordSuccess(30);
   expect(first.isFailing(31)).toBe(false);
 });
--- a/tests/regions.test.ts
+++ b/tests/regions.test.ts
@@ -22,25 +22,27 @@
     const id = `i-${Math.floor(world.random() * 40)}`;
     const zone = zones[Math.floor(world.random() * zones.length)];
     const kind = world.random();
-    if (kind < 0.6) fleet.takeChanges([listed(id, zone)], []);
-    else if (kind < 0.7) fleet.takeChanges([], [id]);
-    else if (kind < 0.95) fleet.forget([id]);
-    else fleet.takeList([listed(id, zone)]);
-    const divided = ["north", "south", "unknown"].flatMap((region) => [...fleet.in(region)].map((runner) => `${region} ${runner.id}`));
+    if (kind < 0.6) fleet.applyChanges([listed(id, zone)], []);
+    else if (kind < 0.7) fleet.applyChanges([], [id]);
+    else if (kind < 0.95) fleet.unfollow([id]);
+    else fleet.applySnapshot([listed(id, zone)]);
+    const divided = ["north", "south", "unknown"].flatMap((region) =>
+      [...fleet.inRegion(region)].map((runner) => `${region} ${runner.id}`),
+    );
     expect(divided.sort()).toEqual([...fleet.all()].map((runner) => `${runner.region} ${runner.id}`).sort());
   }
-  expect([...fleet.in("nowhere")]).toEqual([]);
+  expect([...fleet.inRegion("nowhere")]).toEqual([]);
 });
 
 test("reports and doubts of a region are those of its runners alone", () => {
   const fleet = new runnerFleet.RunnerFleet(new clock.SeededWorld(1), ZONES);
-  fleet.takeList([listed("a", "n1"), listed("b", "n2"), listed("c", "s1")]);
+  fleet.applySnapshot([listed("a", "n1"), listed("b", "n2"), listed("c", "s1")]);
   fleet.applyReport({
     region: "",
     reports: ["a", "b", "c"].map((id) => ({ id: types.small(id), isSpeaking: true, waiting: 0, active: 1, kvUsed: 1, kvCapacity: 9 })),
   });
   expect(fleet.reportsOf("north").map((report) => report.id)).toEqual(["a", "b"]);
-  fleet.suspectRegion("south");
+  fleet.recordUnreachableRegion("south");
   const now = new clock.SeededWorld(1).now();
-  expect([...fleet.all()].filter((runner) => runner.isQuiet(now)).map((runner) => runner.id)).toEqual(["c"]);
+  expect([...fleet.all()].filter((runner) => runner.isSilent(now)).map((runner) => runner.id)).toEqual(["c"]);
 });
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -19,9 +19,9 @@
   for (let size = 1; size < 9; size += 1) {
     const cut = new eventSplitter.EventSplitter();
     let out = "";
-    for (let at = 0; at < text.length; at += size) out += cut.feed(Buffer.from(text.slice(at, at + size))).toString();
+    for (let at = 0; at < text.length; at += size) out += cut.push(Buffer.from(text.slice(at, at + size))).toString();
     expect([out, cut.lastId, cut.count]).toEqual(["id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n", "2", 2]);
-    expect(cut.rest().toString()).toBe("id: 3\ndata: c");
+    expect(cut.takeRemainder().toString()).toBe("id: 3\ndata: c");
   }
 });
 
@@ -83,14 +83,14 @@
   const share = new shares.Shares(clock, BOUNDS);
   share.grant({ life: "o", isGranting: true, grants: GRANTS.slice(0, 1) }, 0);
   share.takeRepeat("s");
-  share.giveBack("s");
+  share.returnRetry("s");
   expect([share.takeRepeat("s"), share.takeRepeat("s"), share.takeRepeat("s")]).toEqual([true, true, false]);
-  share.giveBack("s");
+  share.returnRetry("s");
   share.held.needs();
   expect(share.held.done("o")).toEqual([{ id: 1, unused: 0 }]);
   for (let count = 0; count < 10; count += 1) share.countRequest("s");
   expect([share.takeRepeat("s"), share.takeRepeat("s")]).toEqual([true, false]);
-  share.giveBack("s");
+  share.returnRetry("s");
   expect([share.canRepeat("s"), share.takeRepeat("s"), share.takeRepeat("s")]).toEqual([true, true, false]);
 });
 
@@ -98,13 +98,13 @@
   const clock = new sim.SimWorld(1);
   const rotation = new zoneRotation.ZoneRotation(clock);
   const seen: number[] = [];
-  rotation.take(["z"], false);
+  rotation.applyEvacuations(["z"], false);
   for (let turn = 0; turn < 5; turn += 1) {
     seen.push(rotation.percentOf("z"));
     await clock.play(250);
   }
   expect(seen).toEqual([75, 50, 25, 0, 0]);
-  expect(rotation.take([], false)).toEqual(["z"]);
+  expect(rotation.applyEvacuations([], false)).toEqual(["z"]);
   const back: number[] = [];
   for (let turn = 0; turn < 5; turn += 1) {
     back.push(rotation.percentOf("z"));
@@ -115,7 +115,7 @@
 
 test("a restarted router takes an evacuated zone as out from the start", function first() {
   const rotation = new zoneRotation.ZoneRotation(new sim.SimWorld(1));
-  rotation.take(["z"], true);
+  rotation.applyEvacuations(["z"], true);
   expect(rotation.percentOf("z")).toBe(0);
 });
 
@@ -135,41 +135,41 @@
 
 test("a runner never goes back from draining or gone, however old the next list is", function never() {
   const fleet = new runnerFleet.RunnerFleet(new sim.SimWorld(1), new Map([["z", "r"]]));
-  fleet.takeList([instance("i-1"), instance("i-2")]);
-  fleet.takeList([instance("i-1", { isDraining: true })]);
-  fleet.takeList([instance("i-1"), instance("i-2")]);
-  expect(fleet.of("s").map((runner) => [runner.id, runner.status])).toEqual([["i-1", "draining"]]);
+  fleet.applySnapshot([instance("i-1"), instance("i-2")]);
+  fleet.applySnapshot([instance("i-1", { isDraining: true })]);
+  fleet.applySnapshot([instance("i-1"), instance("i-2")]);
+  expect(fleet.ofService("s").map((runner) => [runner.id, runner.status])).toEqual([["i-1", "draining"]]);
 });
 
 test("changes of the list are acted on at once; others' runners stay as they are", async () => {
   const clock = new sim.SimWorld(1);
   const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
-  const seen = (): string[] => fleet.of("s").map((runner) => `${runner.id} ${runner.status}`);
-  fleet.takeChanges([instance("i-1"), instance("i-2"), instance("i-3")], []);
-  const [first, second] = fleet.of("s");
-  fleet.takeChanges([instance("i-1", { isDraining: true })], ["i-2"]);
-  expect([seen(), second.status, fleet.of("s")[0] === first]).toEqual([["i-1 draining", "i-3 ready"], "gone", true]);
-  fleet.takeChanges([instance("i-2")], []); // an older word from another source
+  const seen = (): string[] => fleet.ofService("s").map((runner) => `${runner.id} ${runner.status}`);
+  fleet.applyChanges([instance("i-1"), instance("i-2"), instance("i-3")], []);
+  const [first, second] = fleet.ofService("s");
+  fleet.applyChanges([instance("i-1", { isDraining: true })], ["i-2"]);
+  expect([seen(), second.status, fleet.ofService("s")[0] === first]).toEqual([["i-1 draining", "i-3 ready"], "gone", true]);
+  fleet.applyChanges([instance("i-2")], []); // an older word from another source
   await clock.play(119_000);
-  fleet.sweep();
+  fleet.restoreExpired();
   expect(seen()).toEqual(["i-1 draining", "i-3 ready"]);
   await clock.play(2000);
-  fleet.sweep();
+  fleet.restoreExpired();
   expect(seen()).toEqual(["i-1 draining", "i-3 ready", "i-2 ready"]);
-  fleet.forget(["i-3"]); // its region is followed no longer
-  fleet.takeChanges([instance("i-3")], []);
+  fleet.unfollow(["i-3"]); // its region is followed no longer
+  fleet.applyChanges([instance("i-3")], []);
   expect(seen()).toEqual(["i-1 draining", "i-2 ready", "i-3 ready"]);
 });
 
 test("a runner that is gone twice does not come back", async () => {
   const clock = new sim.SimWorld(1);
   const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
-  fleet.takeChanges([instance("i-1")], []);
-  fleet.takeChanges([], ["i-1"]);
-  fleet.takeChanges([instance("i-1")], []);
-  fleet.takeChanges([], ["i-1"]);
+  fleet.applyChanges([instance("i-1")], []);
+  fleet.applyChanges([], ["i-1"]);
+  fleet.applyChanges([instance("i-1")], []);
+  fleet.applyChanges([], ["i-1"]);
   await clock.play(121_000);
-  fleet.sweep();
+  fleet.restoreExpired();
   expect([...fleet.all()]).toEqual([]);
 });
 
@@ -181,9 +181,9 @@
       ["b", "b"],
     ]),
   );
-  fleet.takeList([instance("a-1", { zone: "a" }), instance("b-1", { zone: "b" })]);
+  fleet.applySnapshot([instance("a-1", { zone: "a" }), instance("b-1", { zone: "b" })]);
   const policy = new cellPolicy.CellPolicy("a");
-  const [first] = fleet.of("s");
+  const [first] = fleet.ofService("s");
   function share(now: number): number {
     let own = 0;
     for (let index = 0; index < 400; index += 1) {
@@ -193,7 +193,7 @@
         sharedTokens: 0,
         shared: [],
         now,
-        candidates: [...fleet.of("s")],
+        candidates: [...fleet.ofService("s")],
         cells: [],
       } as unknown as routePlan.RoutePlan;
       policy.apply(plan);
@@ -202,10 +202,10 @@
     return Math.round(own / 40) * 10;
   }
   expect(share(0)).toBe(100);
-  first.suspect(10);
+  first.recordSilence(10);
   expect(share(100)).toBe(0);
   expect(share(800)).toBe(100);
-  for (let at = 1000; at <= 4000; at += 200) first.suspect(at);
+  for (let at = 1000; at <= 4000; at += 200) first.recordSilence(at);
   expect(share(1100)).toBe(0);
   expect([8100, 8700, 9200, 9700, 10_200].map(share)).toEqual([10, 30, 50, 70, 100]);
 });
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -67,7 +67,7 @@
   );
   runners = [new runner.StandInRunner({ id: "i-1" }), new runner.StandInRunner({ id: "i-2" })];
   for (const runner of runners) await runner.start();
-  fleet.takeList(
+  fleet.applySnapshot(
     runners.map((runner, index) => ({
       id: types.small(runner.id),
       service: "s",
@@ -79,17 +79,17 @@
       leavesMs: -1,
     })),
   );
-  chooser.table = new routes.RouteTable(CONFIG);
+  chooser.routeTable = new routes.RouteTable(CONFIG);
   server = new routerServer.RouterServer(
     clock,
     chooser,
     () => true,
     () => 0,
     { memory_mb: 256, max_open_files: 1024 },
-    new routerBatches.RouterBatches("life", chooser.known, chooser.admission),
+    new routerBatches.RouterBatches("life", chooser.prefills, chooser.admission),
     new tenantGate.TenantGate(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
   );
-  server.limit(CONFIG.limits);
+  server.applyLimits(CONFIG.limits);
   await server.listen("127.0.0.1:0");
   port = server.port;
 });
@@ -210,7 +210,7 @@
   const reply = ask("/stream/x", STREAM);
   while (runners[0].goOn === null) await new Promise(setImmediate);
   clock.aheadMs = 400;
-  server.watch();
+  server.checkSilence();
   runners[0].goOn();
   expect(await reply).toMatchObject({ status: 200, body: pieces(1, 4), isComplete: true });
   expect(runners[1].seen).toHaveLength(isGranted ? 1 : 0);
@@ -248,7 +248,7 @@
 });
 
 test("a leaving router finishes what comes and closes the connections after", async function leaving() {
-  server.isLeaving = true;
+  server.isDraining = true;
   const got = await ask("/once/x", { Connection: "keep-alive" });
   expect([got.status, got.headers.connection]).toEqual([200, "close"]);
   expect((await ask("/none/x", { Connection: "keep-alive" })).headers.connection).toBe("close");
@@ -283,7 +283,7 @@
   ["a header that never ends", "POST /once/x HTTP/1.1\r\nHost: h\r\n"],
   ["a body that never ends", "POST /once/x HTTP/1.1\r\nHost: h\r\nX-Cranewind-Request-Id: s\r\nContent-Length: 10\r\n\r\nab"],
 ])("%s is ended with a 408 and reaches no runner", async function slow(_name, text) {
-  server.limit({ header_timeout_ms: 150, idle_timeout_ms: 150 });
+  server.applyLimits({ header_timeout_ms: 150, idle_timeout_ms: 150 });
   const reply = await raws.sendRaw(port, text);
   expect(reply).toMatch(/^HTTP\/1.1 408/);
   expect(seenBy()).toHaveLength(0);
--- a/tests/signs.test.ts
+++ b/tests/signs.test.ts
@@ -123,15 +123,15 @@
     { id: "b", tokens: 10 },
     { id: "c", tokens: 1 },
   ];
-  const keys = prefillTracker.chainKeys(parts);
+  const keys = prefillTracker.prefixKeys(parts);
   const known = new prefillTracker.PrefillTracker();
-  known.note(
+  known.recordPrefill(
     "x",
     5,
     told.map((index) => keys[index]),
     0,
   );
-  expect(known.keptParts("x", keys)).toBe(expected);
+  expect(known.cachedParts("x", keys)).toBe(expected);
   expect(known.unread("x", parts, keys)).toBe([111, 11, 1, 0][expected]);
 });
 
@@ -143,11 +143,11 @@
       id: `${at}-${Math.floor(clock.random() * 5)}`,
       tokens: 700,
     }));
-    const keys = prefillTracker.chainKeys(parts);
+    const keys = prefillTracker.prefixKeys(parts);
     for (const other of [all, few]) expect(other.unread("x", parts, keys)).toBe(own.unread("x", parts, keys));
-    const kept = own.keptParts("x", keys);
-    own.note("x", 0, keys, 0);
-    all.note("x", 0, keys, 0);
-    few.note("x", 0, keys.slice(kept), 0);
+    const kept = own.cachedParts("x", keys);
+    own.recordPrefill("x", 0, keys, 0);
+    all.recordPrefill("x", 0, keys, 0);
+    few.recordPrefill("x", 0, keys.slice(kept), 0);
   }
 });
--- a/tests/sim/edge.ts
+++ b/tests/sim/edge.ts
@@ -78,7 +78,7 @@
       "r",
       new prefillTracker.PrefillTracker(),
     );
-    this.fleet.takeList(
+    this.fleet.applySnapshot(
       runners.map((runner) => ({
         id: types.small(runner.id),
         service: "s",
@@ -90,17 +90,17 @@
         leavesMs: -1,
       })),
     );
-    chooser.table = new routes.RouteTable(CONFIG);
+    chooser.routeTable = new routes.RouteTable(CONFIG);
     this.server = new routerServer.RouterServer(
       clock,
       chooser,
       () => this.isReady,
       () => 0,
       { memory_mb: 256, max_open_files: 1024 },
-      new routerBatches.RouterBatches("life", chooser.known, chooser.admission),
+      new routerBatches.RouterBatches("life", chooser.prefills, chooser.admission),
       tenancy,
     );
-    this.server.limit(CONFIG.limits);
+    this.server.applyLimits(CONFIG.limits);
   }
 
   static start(clock: types.Clock, options: Partial<runner.RunnerOptions>[], tenancy?: tenantGate.TenantGate): Promise<Edge> {
--- a/tests/sim/leases.ts
+++ b/tests/sim/leases.ts
@@ -76,7 +76,7 @@
     for (const node of this.nodes) {
       const place = granting.indexOf(node);
       const own = needs
-        .map((need) => (place < 0 ? null : limitBorrower.split(need, place, granting.length, router.turn)))
+        .map((need) => (place < 0 ? null : limitBorrower.splitNeed(need, place, granting.length, router.turn)))
         .filter((need) => need !== null);
       const ask: leaseSchema.LeaseAsk = { router: router.name, life: node.life, needs: own, done: router.share.held.done(node.life) };
       this.toNode(router.name, node, () => {
--- a/tests/sim/router-node.ts
+++ b/tests/sim/router-node.ts
@@ -48,7 +48,7 @@
   }
 
   private judge(): void {
-    this.gate.judge(this.epoch, true);
+    this.gate.update(this.epoch, true);
   }
 
   private beat(): void {
--- a/tests/sim/runners.ts
+++ b/tests/sim/runners.ts
@@ -80,9 +80,9 @@
     );
     for (let index = 0; index < shape.routers; index += 1) {
       const router = new system.ModelRouter(regions[index % regions.length], this.world, regions, TABLE);
-      router.fleet.takeList(list);
+      router.fleet.applySnapshot(list);
       router.share.deal(shape.routers);
-      router.fleet.cohorts.routers = shape.routers;
+      router.fleet.peerGroups.routers = shape.routers;
       this.routers.push(router);
       this.world.schedule(100 * this.world.random(), () => this.tell(index));
     }
@@ -108,23 +108,23 @@
   states(isOf: (runner: string) => boolean): string[] {
     const now = this.world.now();
     return this.routers.flatMap((router) =>
-      [...router.fleet.all()].filter((runner) => isOf(runner.id)).map((runner) => runner.outcomes.state(now)),
+      [...router.fleet.all()].filter((runner) => isOf(runner.id)).map((runner) => runner.outliers.update(now)),
     );
   }
 
   private tell(from: number): void {
     this.world.schedule(100, () => this.tell(from));
     const router = this.routers[from];
-    const ids = router.fleet.newSuspects();
+    const ids = router.fleet.takeNewSuspects();
     for (const runner of router.fleet.all()) this.note(from, runner);
     if (ids.length === 0) return;
     this.world.schedule(5 + 40 * this.world.random(), () => {
-      for (const other of this.routers) if (other !== router) other.fleet.takeSuspects(ids);
+      for (const other of this.routers) if (other !== router) other.fleet.recordRemoteSuspects(ids);
     });
   }
 
   private note(router: number, runner: runnerEndpoint.RunnerEndpoint): void {
-    const state = runner.outcomes.state(this.world.now());
+    const state = runner.outliers.update(this.world.now());
     const key = `${router}|${runner.id}`;
     if ((this.last.get(key) ?? "good") === state) return;
     this.last.set(key, state);
@@ -182,14 +182,14 @@
       choice.connection,
       {
         onHead: (_attempt, head) => head.status < 500 || !entry.isRepeatable,
-        onPiece: () => true,
+        onChunk: () => true,
         onEnd: (_attempt, ending) => {
           tried.add(runner.id);
           if ((ending === "not_sent" || ending === "handed_back" || (ending === "broken" && entry.isRepeatable)) && tried.size < 3)
             this.send(from, type, id, tried);
         },
       },
-      { method: "POST", path: "/", headers: [], body: null, requestId: types.small(id), isStream, ticket: choice.ticket },
+      { method: "POST", path: "/", headers: [], body: null, requestId: types.small(id), isStream, observer: choice.observer },
     );
     attempt.start(request.parts[1].tokens);
     this.world.schedule(answer === "hang" ? 2000 : 20_000, () => attempt.cancel());
--- a/tests/sim/usage.ts
+++ b/tests/sim/usage.ts
@@ -91,7 +91,7 @@
   constructor(system: System, region: string) {
     this.fleet = new runnerFleet.RunnerFleet(system.clock, new Map(system.regions.map(({ name }) => [name, name])));
     this.reader = new loadReader.LoadReader(system.clock, this.fleet, region, () => undefined);
-    this.fleet.takeList(system.instances());
+    this.fleet.applySnapshot(system.instances());
     this.made = new links.SimRouter(system.clock, region);
     this.made.topics = this.reader.topics();
     this.made.applied.push = (...applied: mirrors.Applied[]) => {
--- a/tests/tenancy.test.ts
+++ b/tests/tenancy.test.ts
@@ -66,7 +66,7 @@
     [tenantOf("yard", "k-yard", true), tenantOf("school", "k-school", false), tenantOf("far", "k-far", false, ["elsewhere"])],
     [],
   );
-  tenancy.take(types.small(1), table);
+  tenancy.applyConfiguration(types.small(1), table);
   edge = await edges.Edge.start(clock, [{}], tenancy);
   await new Promise(setImmediate);
 });
@@ -141,11 +141,11 @@
 
 test("a unit whose request was refused before any runner was chosen serves the tenant's next one", async () => {
   owner.units = 1;
-  edge.fleet.takeChanges([], [edge.runners[0].id]);
+  edge.fleet.applyChanges([], [edge.runners[0].id]);
   expect((await ask("k-yard")).status).toBe(503);
   expect(owner.units).toBe(0);
-  let admitted: tenantGate.Admitted = null;
-  tenancy.admit(tenantOf("yard", "k-yard", true), (unit) => (admitted = unit), () => undefined); // prettier-ignore
+  let admitted: tenantGate.QuotaUnit = null;
+  tenancy.acquireQuota(tenantOf("yard", "k-yard", true), (unit) => (admitted = unit), () => undefined); // prettier-ignore
   expect(admitted).toMatchObject({ id: 7 });
 });
 
--- a/tests/usage.test.ts
+++ b/tests/usage.test.ts
@@ -151,7 +151,7 @@
   await play(2500);
   expect(used()).toBeLessThan(before * 0.1);
   // A new list is no report.
-  router.fleet.takeChanges([{ ...instance("new", "a") }], []);
+  router.fleet.applyChanges([{ ...instance("new", "a") }], []);
   await play(100);
   expect(used()).toBeLessThan(before * 0.1);
   // Nothing moved meanwhile: a stamp alone brings back what was told.
