--- a/src/runners/runner-endpoint.ts
+++ b/src/runners/runner-endpoint.ts
@@ -124,7 +124,7 @@
     return now < this.unresponsiveUntil || this.silentMs(now) > (this.streamingCount > 0 ? STREAM_SILENCE_MS : START_SILENCE_MS);
   }
 
-  applyReport(report: schema.Report, now: number): void {
+  receiveReport(report: schema.Report, now: number): void {
     if (this.isReporting && !report.isSpeaking) this.reportsLostAt = now;
     this.applyReport(report);
   }
--- a/src/runners/runner-fleet.ts
+++ b/src/runners/runner-fleet.ts
@@ -121,7 +121,7 @@
   }
 
   applyReport(report: schema.CellReport): void {
-    for (const item of report.reports) this.runners.get(item.id)?.applyReport(item, this.clock.now());
+    for (const item of report.reports) this.runners.get(item.id)?.receiveReport(item, this.clock.now());
   }
 
   /** What was told last of each runner of a region that reports and speaks. */
