--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -52,7 +52,7 @@
     const first = registerValue.initialValue(isBootstrap ? seeds : []);
     this.core = new registerReplica.RegisterReplica(world, { life, address, first, channel: this.channel() }, dial);
     const folder = new files.RealFolder(path.join(options.dataDir, FOLDER));
-    const machine = { world, folder, processes: owner.realProcesses };
+    const machine = { clock: world, folder, processes: owner.realProcesses };
     this.disk = new voterDisk.VoterDisk(machine, { address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
     this.voterManager = new voterManager.VoterManager(world, this.core, this.nodes.bind(this));
     dial.on("up", this.tell.bind(this));
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -152,7 +152,7 @@
   private openDisk(seeds: string[]): void {
     const { data_dir: name, bootstrap: isBootstrap } = this.startup;
     if (!name) return;
-    const machine = { world: this.world, folder: new files.RealFolder(name), processes: owner.realProcesses };
+    const machine = { clock: this.world, folder: new files.RealFolder(name), processes: owner.realProcesses };
     this.disk = new voterDisk.VoterDisk(machine, { address: this.address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
     this.disk.start();
     void this.leases.quotas.open(machine.folder);
--- a/src/control/voters/quorum-contact.ts
+++ b/src/control/voters/quorum-contact.ts
@@ -1,4 +1,7 @@
-// Contact with a majority of the voters, measured on the steady clock (design/hardening/1-cut-off).
+/**
+ * Contact with a majority of the voters, measured on the steady clock (design/hardening/1-cut-off): whether what this node
+ * holds as chosen counts as current.
+ */
 import * as events from "node:events";
 import * as calls from "../../wire/calls.js";
 import type * as leaseSchema from "../../wire/lease-schema.js";
@@ -6,21 +9,21 @@
 import * as types from "../../wire/types.js";
 import * as log from "../../runtime/log.js";
 import type * as dialer from "../../feed/dialer.js";
-import type * as registerReplica from "../register-replica.js";
 import * as quorumConfirmation from "../../register/quorum-confirmation.js";
+import type * as registerReplica from "../register-replica.js";
 
-/** A voter's answer to an ask of this node: the voter epoch asked for, when (own clock), and the reply. */
-export type OnReply = (asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply) => void;
+/** A voter's reply to a request of this node: the voter epoch asked about, when it was sent (own clock), and the reply. */
+export type OnReply = (voterEpoch: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply) => void;
 
 /** Changes of contact. */
 export interface QuorumContactEvents {
   /** The chosen value is confirmed again, or for the first time. */
   confirmed: [];
-  /** The confirmation ran out, or this node is leaving. */
+  /** The confirmation expired, or this node is shutting down. */
   lost: [];
 }
 
-/** Asks the voters with each beat and tells whether this node is confirmed now. */
+/** Asks the voters with each heartbeat and tells whether this node is confirmed now. */
 export class QuorumContact extends events.EventEmitter<QuorumContactEvents> {
   private wasConfirmed = false;
   private isWithdrawn = false;
@@ -29,50 +32,51 @@
   wasEverConfirmed = false;
 
   constructor(
-    private readonly world: types.Clock,
-    private readonly core: registerReplica.RegisterReplica,
+    private readonly clock: types.Clock,
+    private readonly replica: registerReplica.RegisterReplica,
     private readonly dial: dialer.Dialer,
     private readonly onReply: OnReply,
-    private readonly confirmation = new quorumConfirmation.Confirmation(world),
+    private readonly confirmation = new quorumConfirmation.Confirmation(clock),
   ) {
     super();
-    // Each order that is under way listens for the loss of contact.
+    // Each order in progress listens for the loss of contact.
     this.setMaxListeners(0);
-    this.changedAt = world.now();
-    dial.on("up", this.requestConfirmation.bind(this));
-    core.on("chosen", this.handleChosen.bind(this));
+    this.changedAt = clock.now();
+    dial.on("up", (control) => this.requestConfirmation(control));
+    replica.on("chosen", () => this.handleChosen());
   }
 
-  /** Judged by the clock at each call, so that a process that stood still finds its confirmation expired. */
+  /** Computed from the clock at each call, so that a process that was suspended finds its confirmation expired. */
   isConfirmed(): boolean {
-    return !this.isWithdrawn && this.confirmation.isConfirmed(this.core.chosen);
+    return !this.isWithdrawn && this.confirmation.isConfirmed(this.replica.chosen);
   }
 
-  /** Asks all control nodes with a link; whoever is no voter yet may be one soon. */
+  /** Sends a request to all control nodes with a link: a node that is no voter yet may be one soon. */
   requestConfirmations(): void {
     for (const control of this.dial.controls.values()) this.requestConfirmation(control);
     this.runPeriodically();
   }
 
-  /** Hears the own disk, and notices that the confirmation ran out. */
+  /** Counts the own disk, and notices that the confirmation expired. */
   runPeriodically(): void {
     this.confirmOwnDisk();
     this.updateState();
   }
 
-  /** This node leaves: from now on it is not confirmed, whatever the voters say. */
+  /** This node shuts down: from now on it is not confirmed, whatever the voters reply. */
   withdraw(): void {
     this.isWithdrawn = true;
     this.updateState();
   }
 
+  /** For `status`. */
   status(): unknown {
-    const { chosen } = this.core;
+    const { chosen } = this.replica;
     const isConfirmed = this.isConfirmed();
     return {
       isConfirmed,
       isLeaving: this.isWithdrawn,
-      sinceMs: Math.round(this.world.now() - this.changedAt),
+      sinceMs: Math.round(this.clock.now() - this.changedAt),
       voters: chosen?.voters.length ?? 0,
       confirming: chosen ? this.confirmingVoters(chosen) : 0,
     };
@@ -80,37 +84,33 @@
 
   private confirmingVoters(chosen: schema.Value): number {
     const disks = this.confirmation.confirmingDisks(chosen);
-    return chosen.voters.filter(isAnswering).length;
-    function isAnswering(voter: schema.Voter): boolean {
-      return disks.has(voter.disk);
-    }
+    return chosen.voters.filter((voter) => disks.has(voter.disk)).length;
   }
 
-  /** After the first value, or another set of voters, the answer is not left to the next beat. */
+  /** After the first value, or another set of voters, confirmation doesn't wait for the next heartbeat. */
   private handleChosen(): void {
     if (this.isConfirmed()) this.updateState();
     else this.requestConfirmations();
   }
 
   private requestConfirmation(control: dialer.Control): void {
-    const sentAt = this.world.now();
-    const asked = this.core.chosen?.voterEpoch ?? types.NO_EPOCH;
+    const sentAt = this.clock.now();
+    const voterEpoch = this.replica.chosen?.voterEpoch ?? types.NO_EPOCH;
     void control.link
-      .call(calls.fence, { voterEpoch: asked }, quorumConfirmation.MAX_ANSWER_AGE_MS)
-      .then(this.recordReply.bind(this, control, asked, sentAt));
+      .call(calls.fence, { voterEpoch }, quorumConfirmation.MAX_ANSWER_AGE_MS)
+      .then((reply) => reply && this.recordReply(control, voterEpoch, sentAt, reply));
   }
 
-  private recordReply(control: dialer.Control, asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply | null): void {
-    if (!reply) return;
+  private recordReply(control: dialer.Control, voterEpoch: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
     this.confirmation.recordAnswer(reply.disk, { sentAt, epoch: types.laterEpoch(reply.acceptedEpoch, reply.chosenEpoch) });
-    this.onReply(asked, sentAt, reply);
-    if (reply.chosenEpoch > (this.core.chosen?.epoch ?? types.NO_EPOCH)) void this.core.catchUp(control.link, reply.chosenEpoch);
+    this.onReply(voterEpoch, sentAt, reply);
+    if (reply.chosenEpoch > (this.replica.chosen?.epoch ?? types.NO_EPOCH)) void this.replica.catchUp(control.link, reply.chosenEpoch);
     this.updateState();
   }
 
   /** The own disk answers at once, as of now. */
   private confirmOwnDisk(): void {
-    this.confirmation.recordAnswer(this.core.disk, { sentAt: this.world.now(), epoch: this.core.acceptedEpoch });
+    this.confirmation.recordAnswer(this.replica.disk, { sentAt: this.clock.now(), epoch: this.replica.acceptedEpoch });
   }
 
   private updateState(): void {
@@ -118,13 +118,13 @@
     if (isConfirmed === this.wasConfirmed) return;
     this.wasConfirmed = isConfirmed;
     this.wasEverConfirmed ||= isConfirmed;
-    this.changedAt = this.world.now();
+    this.changedAt = this.clock.now();
     log.count(isConfirmed ? "contact.confirmed" : "contact.lost");
-    log.state(isConfirmed ? "contact: a majority of the voters confirms" : this.lostLine());
+    log.state(isConfirmed ? "contact: a majority of the voters confirms" : this.lossMessage());
     this.emit(isConfirmed ? "confirmed" : "lost");
   }
 
-  private lostLine(): string {
+  private lossMessage(): string {
     if (this.isWithdrawn) return "contact: leaving, no longer confirmed";
     return `contact: no majority of the voters confirmed within ${quorumConfirmation.MAX_ANSWER_AGE_MS} ms`;
   }
--- a/src/control/voters/voter-disk.ts
+++ b/src/control/voters/voter-disk.ts
@@ -1,6 +1,6 @@
 /**
- * The voter's disk (design 5.3, 5.4; hardening 6): opens it, however often that takes, and tells whether it takes writes. A disk
- * that can't be read or written makes a silent voter; it never ends the process and never holds up its other work.
+ * The disk of a voter (design 5.3, 5.4; hardening 6): opens it, however many attempts that takes, and reports whether it
+ * accepts writes. While it can't be read or written the voter is silent; it never ends the process nor blocks its other work.
  */
 import * as crypto from "node:crypto";
 import * as log from "../../runtime/log.js";
@@ -17,12 +17,15 @@
 import * as types from "../../wire/types.js";
 import * as timers from "../../runtime/timers.js";
 
-/** Pause between two attempts at a disk that refuses. */
-export const RETRY_MS = 500;
-/** An operation that takes longer than this is told as a disk that hangs. */
-export const HANG_MS = 2000;
-/** How long an ending process waits for a disk that hangs. */
-const CLOSE_MS = 1000;
+/** Pause between two attempts at a disk that fails. */
+export const RETRY_INTERVAL_MS = 500;
+/** An operation that takes longer than this is reported as a disk that hangs. */
+export const HANG_AFTER_MS = 2000;
+/** How long a process that shuts down waits for a disk that hangs. */
+const CLOSE_TIMEOUT_MS = 1000;
+
+/** Random part of a disk's identity. */
+const DISK_ID_BYTES = 9;
 
 /** Which node the disk belongs to. */
 export interface VoterNode {
@@ -31,14 +34,14 @@
   isBootstrap: boolean;
 }
 
-/** What the disk needs of its machine; tests hand in their own. */
+/** What the disk needs of its machine; tests pass a simulated one. */
 export interface Machine {
-  world: types.Clock;
+  clock: types.Clock;
   folder: files.StoreFolder;
   processes: owner.ProcessTable;
 }
 
-/** `opening`: not read yet; `ready`: the last write was taken; `refusing`: not; `hanging`: it does not answer. */
+/** `opening`: not read yet; `ready`: the last write succeeded; `refusing`: it failed; `hanging`: the disk does not answer. */
 export type DiskState = "opening" | "ready" | "refusing" | "hanging" | "closed";
 
 /** The disk as `status` shows it. */
@@ -46,11 +49,11 @@
   state: DiskState;
   /** What failed last and its remedy; empty while all is well. */
   error: string;
-  /** How long the operation under way has taken so far, in ms; 0 if there is none. */
+  /** How long the operation in progress has taken so far, in ms; 0 if there is none. */
   waitingMs: number;
 }
 
-/** Tells records of this release's layout from those of others. */
+/** Identifies the layout of this release's records. */
 export function recordLayout(): number {
   return schema.disk.fingerprint("sha256").readUInt32BE(0);
 }
@@ -60,16 +63,16 @@
 }
 
 /** The state of a voter that has no record. Only the very first start knows the first value without asking anybody. */
-function blankState(place: VoterNode, isPristine: boolean): schema.Disk {
-  const isFirst = isPristine && place.isBootstrap && place.seeds.includes(place.address);
-  const disk = isFirst ? registerValue.initialDisk(place.address) : `disk:${crypto.randomBytes(9).toString("base64url")}`;
-  const accepted = isFirst ? { ballot: registerValue.NO_BALLOT, value: registerValue.initialValue(place.seeds) } : null;
+function blankState(node: VoterNode, isPristine: boolean): schema.Disk {
+  const isFirst = isPristine && node.isBootstrap && node.seeds.includes(node.address);
+  const disk = isFirst ? registerValue.initialDisk(node.address) : `disk:${crypto.randomBytes(DISK_ID_BYTES).toString("base64url")}`;
+  const accepted = isFirst ? { ballot: registerValue.NO_BALLOT, value: registerValue.initialValue(node.seeds) } : null;
   return { disk, promised: registerValue.NO_BALLOT, accepted };
 }
 
-function stateOf(opened: ring.OpenedRing, place: VoterNode): schema.Disk {
+function stateOf(opened: ring.OpenedRing, node: VoterNode): schema.Disk {
   if (opened.newest) return acceptor.Acceptor.restore(opened.newest);
-  return opened.unconverted ? release1.convert(opened.unconverted) : blankState(place, opened.isPristine);
+  return opened.unconverted ? release1.convert(opened.unconverted) : blankState(node, opened.isPristine);
 }
 
 /** The disk of one voter; `start` begins to open it. */
@@ -78,20 +81,20 @@
   private state: Exclude<DiskState, "hanging"> = "opening";
   private isHanging = false;
   private error = "";
-  /** When the operation under way began; null if there is none. */
+  /** When the operation in progress began; null if there is none. */
   private busySince: types.SteadyMs | null = null;
   private retry: types.Timer | null = null;
-  /** The newest record handed in; what a refusing disk is tried with. */
-  private latest: Buffer | null = null;
-  private probing: Promise<void> = Promise.resolve();
+  /** The newest record to write, with which a failing disk is probed. */
+  private newestRecord: Buffer | null = null;
+  private pendingProbe: Promise<void> = Promise.resolve();
 
   constructor(
     private readonly machine: Machine,
-    private readonly place: VoterNode,
-    private readonly entered: (voter: acceptor.Acceptor) => void,
+    private readonly node: VoterNode,
+    private readonly onOpen: (voter: acceptor.Acceptor) => void,
   ) {}
 
-  /** Begins to open the disk and returns at once; `entered` is called with the voter when it is open. */
+  /** Begins to open the disk and returns at once; `onOpen` gets the voter once it is open. */
   start(): void {
     void this.openOrRetry();
   }
@@ -100,27 +103,27 @@
   async stop(): Promise<void> {
     this.state = "closed";
     this.retry?.stop();
-    await timers.endsWithin(this.machine.world, CLOSE_MS, this.closeRing());
+    await timers.endsWithin(this.machine.clock, CLOSE_TIMEOUT_MS, this.closeRing());
   }
 
   status(): DiskStatus {
-    const waitingMs = this.busySince === null ? 0 : this.machine.world.now() - this.busySince;
+    const waitingMs = this.busySince === null ? 0 : this.machine.clock.now() - this.busySince;
     return { state: this.isHanging ? "hanging" : this.state, error: this.error, waitingMs };
   }
 
   /** Resolves once the record is durable; rejects if it may not be. One call at a time. */
   async write(body: Buffer): Promise<void> {
-    this.latest = body;
-    await this.probing;
+    this.newestRecord = body;
+    await this.pendingProbe;
     await this.writeNow(body);
   }
 
   private async openOrRetry(): Promise<void> {
     try {
-      await this.timed(this.open.bind(this));
+      await this.trackOperation(() => this.open());
     } catch (cause) {
-      this.refused(cause);
-      this.again(this.openOrRetry.bind(this));
+      this.recordRefusal(cause);
+      this.scheduleRetry(() => this.openOrRetry());
     }
   }
 
@@ -130,59 +133,61 @@
     await owner.claim(folder, processes);
     const opened = await ring.Ring.open(folder, { layout: recordLayout(), newSetId });
     try {
-      const state = stateOf(opened, this.place);
+      const state = stateOf(opened, this.node);
       if (!opened.newest) await opened.ring.write(schema.disk.toBuffer(state));
       if (opened.unconverted) await conversion.discard(folder);
       else if (!opened.newest) log.state(`store: no record on disk, new identity ${state.disk}`);
-      this.enter(opened.ring, state);
+      this.finishOpening(opened.ring, state);
     } catch (cause) {
       await opened.ring.close();
       throw cause;
     }
   }
 
-  private enter(ring: ring.Ring, state: schema.Disk): void {
+  private finishOpening(ring: ring.Ring, state: schema.Disk): void {
     if (this.state === "closed") {
       void ring.close();
       return;
     }
     this.ring = ring;
-    this.accepted();
-    this.entered(new acceptor.Acceptor(this, state));
+    this.recordSuccess();
+    this.onOpen(new acceptor.Acceptor(this, state));
   }
 
   private async writeNow(body: Buffer): Promise<void> {
     const { ring } = this;
     if (!ring) throw new Error("the disk is not open");
     try {
-      await this.timed(ring.write.bind(ring, body));
-      this.accepted();
+      await this.trackOperation(() => ring.write(body));
+      this.recordSuccess();
     } catch (cause) {
-      this.refused(cause);
-      this.again(this.probe.bind(this));
+      this.recordRefusal(cause);
+      this.scheduleRetry(() => this.probe());
       throw cause;
     }
   }
 
-  /** Tries a refusing disk with the newest record, so that `status` shows when it takes writes again. */
+  /** Writes the newest record to a failing disk again, so that `status` shows when it accepts writes. */
   private probe(): void {
-    if (this.state !== "refusing" || this.busySince !== null || !this.latest) return;
-    this.probing = this.writeNow(this.latest).catch(ignore);
+    if (this.state !== "refusing" || this.busySince !== null || !this.newestRecord) return;
+    this.pendingProbe = this.writeNow(this.newestRecord).catch(() => {
+      // `status` has the error already.
+    });
   }
 
-  private again(attempt: () => unknown): void {
+  private scheduleRetry(attempt: () => unknown): void {
     this.retry?.stop();
-    if (this.state !== "closed") this.retry = this.machine.world.schedule(RETRY_MS, attempt);
+    if (this.state !== "closed") this.retry = this.machine.clock.schedule(RETRY_INTERVAL_MS, attempt);
   }
 
   private async closeRing(): Promise<void> {
-    await this.probing;
+    await this.pendingProbe;
     await this.ring?.close();
   }
 
-  private async timed(operation: () => Promise<void>): Promise<void> {
-    this.busySince = this.machine.world.now();
-    const timer = this.machine.world.schedule(HANG_MS, this.hangs.bind(this));
+  private async trackOperation(operation: () => Promise<void>): Promise<void> {
+    this.busySince = this.machine.clock.now();
+    const timer = this.machine.clock.schedule(HANG_AFTER_MS, () => this.reportHang());
     try {
       await operation();
     } finally {
@@ -193,30 +198,27 @@
     }
   }
 
-  private hangs(): void {
+  private reportHang(): void {
     this.isHanging = this.state !== "closed";
     log.count("disk.hung");
-    log.state(`disk: data_dir ${this.machine.folder.name} has not answered for ${HANG_MS} ms; this node does not vote until it does`);
+    log.state(`disk: data_dir ${this.machine.folder.name} has not answered for ${HANG_AFTER_MS} ms; this node does not vote until it does`);
   }
 
-  private accepted(): void {
+  private recordSuccess(): void {
     if (this.state === "refusing") log.state(`disk: data_dir ${this.machine.folder.name} takes writes again; this node votes again`);
-    this.change("ready", "");
+    this.setState("ready", "");
   }
 
-  private refused(cause: unknown): void {
+  private recordRefusal(cause: unknown): void {
     const error = remedies.describe(cause);
     log.count("disk.refused");
     if (error !== this.error) log.state(`disk: data_dir ${this.machine.folder.name}: ${error}; this node does not vote until it can`);
-    this.change("refusing", error);
+    this.setState("refusing", error);
   }
 
-  private change(state: Exclude<DiskState, "hanging">, error: string): void {
+  private setState(state: Exclude<DiskState, "hanging">, error: string): void {
     if (this.state === "closed") return;
     this.state = state;
     this.error = error;
   }
 }
-
-/** The refusal is in `status` already. */
-function ignore(): void {}
--- a/src/control/voters/voter-policy.ts
+++ b/src/control/voters/voter-policy.ts
@@ -1,114 +1,122 @@
-// Membership policy: which disks should vote next, and the steps that change the voters (design 5.5,
-// hardening 3). Pure functions over the chosen value and the control nodes in touch.
+/**
+ * Membership policy of a register: which disks should vote next, and the steps that change the voters (design 5.5,
+ * hardening 3). Pure functions over the chosen value and the control nodes in touch.
+ */
 import * as result from "true-myth/result";
-import * as schema from "../../wire/schema.js";
+import type * as schema from "../../wire/schema.js";
 import * as registerValue from "../../register/register-value.js";
 import type * as registerStep from "../../register/register-step.js";
 
-/** A voter silent for longer is replaced, if a joiner is there; a restart takes less. */
-export const SILENT_MS = 2500;
+/** A voter that is silent for longer is replaced, if a learner is in touch; a restart takes less. */
+export const MAX_SILENT_MS = 2500;
+/** The smallest even set of voters that is better off with one voter less. */
+const MIN_SHRINKABLE_VOTERS = 4;
 
 /** A control node in touch, with the disk that it runs on. */
-export interface Alive {
+export interface ReachableDisk {
+  /** Empty: not known yet, or none. */
   disk: string;
   node: string;
   address: string;
   isCounted: boolean;
-  /** It is heard and does not leave: only such a disk is given a vote. */
+  /** Its node is in touch and not draining: only such a disk is given a vote. */
   isReady: boolean;
 }
 
-/** For how long nothing was heard of a voter. */
-export type SilentMs = (voter: schema.Voter) => number;
-/** How many changes in a row failed with the disk as joiner. */
-export type Failures = (disk: string) => number;
+/** For how long nothing was received from a voter. */
+export type SilentMsOf = (voter: schema.Voter) => number;
+/** How many changes in a row failed with the disk as learner. */
+export type JoinFailuresOf = (disk: string) => number;
 
 /**
- * The voters that should follow; null when they stand as they should. All replacements go in one change. An odd core
- * grows by two at once and an even one by one, so that no change makes a core even.
+ * The voters that should follow; null when no change is due. All replacements go in one change. An odd set grows by two
+ * at once and an even one by one, so that no change makes a set even.
  */
 export function nextVoters(
   value: schema.Value,
-  alive: readonly Alive[],
-  silentMs: SilentMs,
-  failures: Failures = none,
+  reachable: readonly ReachableDisk[],
+  silentMsOf: SilentMsOf,
+  failuresOf: JoinFailuresOf = noFailures,
 ): schema.Voter[] | null {
-  const joiners = joinersOf(value, alive, failures);
-  const voters = value.voters.map(replace);
-  function replace(voter: schema.Voter): schema.Voter {
-    const moved = alive.find((item) => item.disk === voter.disk && item.address !== voter.address);
-    if (moved) return voterOf(moved);
-    const index = joiners.findIndex((item) => item.address === voter.address);
-    return index < 0 ? voter : voterOf(joiners.splice(index, 1)[0]);
-  }
+  const learners = learnersOf(value, reachable, failuresOf);
+  const voters = value.voters.map((voter) => movedOrReplaced(voter, reachable, learners));
   for (const [index, voter] of voters.entries()) {
-    const isGone = silentMs(voter) > SILENT_MS || alive.some(isInItsPlace.bind(null, voter));
-    if (voter === value.voters[index] && isGone && joiners.length > 0) voters[index] = voterOf(joiners.shift()!);
+    const isLost = silentMsOf(voter) > MAX_SILENT_MS || reachable.some((item) => hasOtherDisk(voter, item));
+    if (voter === value.voters[index] && isLost && learners.length > 0) voters[index] = voterOf(learners.shift()!);
   }
   if (voters.some((voter, index) => voter !== value.voters[index])) return voters;
   const growth = voters.length % 2 === 0 ? 1 : 2;
-  if (joiners.length >= growth) return [...voters, ...joiners.slice(0, growth).map(voterOf)];
-  return shrunk(value, silentMs);
+  if (learners.length >= growth) return [...voters, ...learners.slice(0, growth).map(voterOf)];
+  return withoutSilentVoter(value, silentMsOf);
+}
+
+/** The voter with its disk's new address, or the learner at its address, which leaves `learners`; else the voter itself. */
+function movedOrReplaced(voter: schema.Voter, reachable: readonly ReachableDisk[], learners: ReachableDisk[]): schema.Voter {
+  const moved = reachable.find((item) => item.disk === voter.disk && item.address !== voter.address);
+  if (moved) return voterOf(moved);
+  const index = learners.findIndex((item) => item.address === voter.address);
+  return index < 0 ? voter : voterOf(learners.splice(index, 1)[0]);
 }
 
 /** Another disk runs at the voter's address, so the voter's own disk is gone from there. */
-function isInItsPlace(voter: schema.Voter, item: Alive): boolean {
+function hasOtherDisk(voter: schema.Voter, item: ReachableDisk): boolean {
   return item.address === voter.address && item.disk !== "" && item.disk !== voter.disk;
 }
 
-/** Disks that may join, those that failed last at the end and only alone: one bad disk must not hold up the others. */
-function joinersOf(value: schema.Value, alive: readonly Alive[], failures: Failures): Alive[] {
-  const voting = new Set(value.voters.map(diskOf));
-  const joiners = alive.filter(isJoiner).sort(byNode);
-  function isJoiner(item: Alive): boolean {
-    return item.disk !== "" && item.isCounted && item.isReady && !voting.has(item.disk);
-  }
-  const fit = joiners.filter((item) => failures(item.disk) === 0);
-  if (fit.length > 0) return fit;
-  return joiners.sort((left, right) => failures(left.disk) - failures(right.disk)).slice(0, 1);
+/**
+ * Disks that may join. Those that failed last are considered only when there are no others, and one at a time: one bad disk
+ * must not hold up the others.
+ */
+function learnersOf(value: schema.Value, reachable: readonly ReachableDisk[], failuresOf: JoinFailuresOf): ReachableDisk[] {
+  const voting = new Set(value.voters.map((voter) => voter.disk));
+  const learners = reachable
+    .filter((item) => item.disk !== "" && item.isCounted && item.isReady && !voting.has(item.disk))
+    .sort(compareNodes);
+  const untried = learners.filter((item) => failuresOf(item.disk) === 0);
+  if (untried.length > 0) return untried;
+  return learners.sort((left, right) => failuresOf(left.disk) - failuresOf(right.disk)).slice(0, 1);
 }
 
-/** An even core with a silent voter is better off without it. */
-function shrunk(value: schema.Value, silentMs: SilentMs): schema.Voter[] | null {
-  if (value.voters.length % 2 !== 0 || value.voters.length < 4) return null;
-  const gone = value.voters.find((voter) => silentMs(voter) > 2 * SILENT_MS);
-  return gone ? value.voters.filter((voter) => voter !== gone) : null;
+/** An even set with a silent voter is better off without it. */
+function withoutSilentVoter(value: schema.Value, silentMsOf: SilentMsOf): schema.Voter[] | null {
+  if (value.voters.length % 2 !== 0 || value.voters.length < MIN_SHRINKABLE_VOTERS) return null;
+  const silent = value.voters.find((voter) => silentMsOf(voter) > 2 * MAX_SILENT_MS);
+  return silent ? value.voters.filter((voter) => voter !== silent) : null;
 }
 
-/** The voters once the disk has handed its vote to a spare; null when it has no vote or no spare is there. */
-export function handedOver(value: schema.Value, alive: readonly Alive[], failures: Failures, leaving: string): schema.Voter[] | null {
-  const spare = joinersOf(value, alive, failures).at(0);
-  if (!spare || !value.voters.some((voter) => voter.disk === leaving)) return null;
-  return value.voters.map((voter) => (voter.disk === leaving ? voterOf(spare) : voter));
+/** The voters once the draining disk has handed its vote to a spare; null when it has no vote or no spare is in touch. */
+export function votersAfterHandOver(
+  value: schema.Value,
+  reachable: readonly ReachableDisk[],
+  failuresOf: JoinFailuresOf,
+  draining: string,
+): schema.Voter[] | null {
+  const spare = learnersOf(value, reachable, failuresOf).at(0);
+  if (!spare || !value.voters.some((voter) => voter.disk === draining)) return null;
+  return value.voters.map((voter) => (voter.disk === draining ? voterOf(spare) : voter));
 }
 
-function none(): number {
+function noFailures(): number {
   return 0;
 }
 
-function voterOf(item: Alive): schema.Voter {
+function voterOf(item: ReachableDisk): schema.Voter {
   return { disk: item.disk, node: item.node, address: item.address };
 }
 
-function diskOf(voter: schema.Voter): string {
-  return voter.disk;
-}
-
-function byNode(left: Alive, right: Alive): number {
+function compareNodes(left: ReachableDisk, right: ReachableDisk): number {
   return left.node < right.node ? -1 : left.node > right.node ? 1 : 0;
 }
 
-/** A step that moves on only from the epoch of voters that was looked at. */
-export function voterStep(from: schema.Value, voters: schema.Voter[]): registerStep.Step {
-  return function change(read) {
+/** The step to the joint set of old and new voters; it leaves a value alone whose voters changed since `from` was read. */
+export function enterJointStep(from: schema.Value, voters: schema.Voter[]): registerStep.Step {
+  return (read) => {
     if (read.voterEpoch !== from.voterEpoch || read.former.length > 0) return result.ok(read);
     return result.ok(registerValue.withVoters(read, voters));
   };
 }
 
-/** Drops the former voters, if the joint set read is the very one meant; another one is left alone. */
-export function settleStep(joint: schema.Value): registerStep.Step {
-  return function settle(read) {
-    return result.ok(registerValue.hasSameVoters(read, joint) ? registerValue.withoutFormerVoters(read) : read);
-  };
+/** The step that drops the former voters of this very joint set; another one is left alone. */
+export function leaveJointStep(joint: schema.Value): registerStep.Step {
+  return (read) => result.ok(registerValue.hasSameVoters(read, joint) ? registerValue.withoutFormerVoters(read) : read);
 }
--- a/src/control/voters/voter-reach.ts
+++ b/src/control/voters/voter-reach.ts
@@ -1,11 +1,11 @@
-// Which voters of a register one control node can reach now, by the disks that its links lead to (design 5.5).
+/** Which voters of a register one control node can reach now, by the disks that its links lead to (design 5.5). */
 import type * as link from "../../wire/link.js";
 import type * as schema from "../../wire/schema.js";
 import type * as dialer from "../../feed/dialer.js";
 import * as registerValue from "../../register/register-value.js";
 import type * as channel from "../channel.js";
 
-/** Reads the links of one node as they stand at each call. */
+/** Reads the links of one node as they are at each call. */
 export class VoterReach {
   /** `ownDisk`: the disk that votes here; empty when none does. */
   constructor(
@@ -30,40 +30,42 @@
   private isInTouch(voter: schema.Voter): boolean {
     const ownDisk = this.ownDisk();
     if (ownDisk !== "" && voter.disk === ownDisk) return true;
-    const { channel } = this;
     const controls = [...this.dial.controls.values()];
-    if (controls.some((control) => channel.diskOf(control) === voter.disk)) return true;
+    if (controls.some((control) => this.channel.diskOf(control) === voter.disk)) return true;
     const atItsAddress = this.dial.controls.get(voter.address);
-    return atItsAddress !== undefined && channel.diskOf(atItsAddress) === "";
+    return atItsAddress !== undefined && this.channel.diskOf(atItsAddress) === "";
+  }
+
+  private inTouch(voters: readonly schema.Voter[]): schema.Voter[] {
+    return voters.filter((voter) => this.isInTouch(voter));
   }
 
   /** Whether a majority of the value's voters can be reached now. */
   hasQuorum(value: schema.Value | null): boolean {
     if (!value) return false;
-    const disks = value.voters.filter(this.isInTouch.bind(this)).map((voter) => voter.disk);
+    const disks = this.inTouch(value.voters).map((voter) => voter.disk);
     return registerValue.isQuorum({ ...value, former: [] }, new Set(disks));
   }
 
   /** How many of the voters in touch may be lost now with the register still deciding; 0 also when it can't. */
   lossesBorne(value: schema.Value | null): number {
     if (!value) return 0;
-    const isInTouch = this.isInTouch.bind(this);
-    const { voters, former } = value;
-    const sets = former.length > 0 ? [voters, former] : [voters];
-    return Math.max(0, Math.min(...sets.map(spare)));
-    function spare(set: schema.Voter[]): number {
-      return set.filter(isInTouch).length - (Math.floor(set.length / 2) + 1);
-    }
+    const sets = value.former.length > 0 ? [value.voters, value.former] : [value.voters];
+    const spares = sets.map((voters) => this.inTouch(voters).length - majorityOf(voters));
+    return Math.max(0, Math.min(...spares));
   }
 
   /**
    * How many voters in touch come before this node in the order of addresses, as the value names them: a disk that
-   * moved keeps its place until the value says where it is, so that no two nodes come first.
+   * moved keeps its rank until the value has its new address, so that no two nodes come first.
    */
   rank(value: schema.Value | null): number {
     if (!value) return 0;
     const address = registerValue.addressOfDisk(value, this.ownDisk(), this.address);
-    const before = value.voters.filter((voter) => voter.address < address);
-    return before.filter(this.isInTouch.bind(this)).length;
+    return this.inTouch(value.voters.filter((voter) => voter.address < address)).length;
   }
 }
+
+function majorityOf(voters: readonly schema.Voter[]): number {
+  return Math.floor(voters.length / 2) + 1;
+}
--- a/tests/disk-conversion.test.ts
+++ b/tests/disk-conversion.test.ts
@@ -91,7 +91,7 @@
     isAnswered = (await diskWorld.prepare(voter, ballot))?.isGranted ?? false;
   }
   await Promise.race([live(), folder.cut]);
-  machine.world.end();
+  machine.clock.end();
   void folder.end();
   if (life.isPowerLost) disk.losePower();
   return isAnswered;
--- a/tests/disk-faults.test.ts
+++ b/tests/disk-faults.test.ts
@@ -40,7 +40,7 @@
     const folder = this.disk.mount(life.choices, life.operations);
     const machine = diskWorld.machineOf(folder);
     await Promise.race([this.live(machine, life.promises), folder.cut]);
-    machine.world.end();
+    machine.clock.end();
     void folder.end();
     if (life.isPowerLost) this.disk.losePower();
   }
--- a/tests/disk-start.test.ts
+++ b/tests/disk-start.test.ts
@@ -71,7 +71,7 @@
     const folder = disk.mount([], operations);
     const machine = diskWorld.machineOf(folder);
     const identity = await Promise.race([diskWorld.startDisk(machine, true).voter, folder.cut]);
-    machine.world.end();
+    machine.clock.end();
     void folder.end();
     disk.losePower();
     const found = (await start(disk, true).voter).disk;
@@ -132,7 +132,7 @@
   const { disk: voterDisk } = start(disk);
   expect(voterDisk.status().state).toBe("opening");
   await until(() => voterDisk.status().state === "hanging");
-  expect(voterDisk.status().waitingMs).toBeGreaterThanOrEqual(disks.HANG_MS);
+  expect(voterDisk.status().waitingMs).toBeGreaterThanOrEqual(disks.HANG_AFTER_MS);
   await voterDisk.stop();
 });
 
@@ -180,7 +180,7 @@
   });
 
   function machineOf(name: string, processes = owner.realProcesses): disks.Machine {
-    return { world: new timers.SystemClock(), folder: new files.RealFolder(name), processes };
+    return { clock: new timers.SystemClock(), folder: new files.RealFolder(name), processes };
   }
 
   test("a data_dir that is a file is named with its remedy, and is used once it is a folder", async function isFile() {
--- a/tests/model/exhaustive/scope.ts
+++ b/tests/model/exhaustive/scope.ts
@@ -30,14 +30,14 @@
   return { name, base: 0, step };
 }
 
-export const replace: bounds.Call = { name: "replace a by d", base: null, step: voterPolicy.voterStep(first, joiners) };
+export const replace: bounds.Call = { name: "replace a by d", base: null, step: voterPolicy.enterJointStep(first, joiners) };
 
 export function settle(missing: parts.Guard): bounds.Call {
   const joint = registerValue.withVoters(first, joiners);
   function settleAnything(read: schema.Value): registerStep.Outcome {
     return result.ok(registerValue.withoutFormerVoters(read));
   }
-  return { name: "settle", base: null, step: missing === "settle_unchosen" ? settleAnything : voterPolicy.settleStep(joint) };
+  return { name: "settle", base: null, step: missing === "settle_unchosen" ? settleAnything : voterPolicy.leaveJointStep(joint) };
 }
 
 export function run(missing: parts.Guard, within: bounds.Bounds): bounds.Found {
--- a/tests/model/mutations.ts
+++ b/tests/model/mutations.ts
@@ -107,11 +107,11 @@
 
   /** What a node settles that saw this joint value chosen. */
   settleStep(joint: schema.Value): registerStep.Step {
-    return this.missing === "settle_unchosen" ? settleAnything : voterPolicy.settleStep(joint);
+    return this.missing === "settle_unchosen" ? settleAnything : voterPolicy.leaveJointStep(joint);
   }
 
   /** The voters that a node proposes; without the guard on joiners also an even core, as the policy once did. */
-  nextVoters(value: schema.Value, alive: readonly voterPolicy.Alive[], silentMs: voterPolicy.SilentMs): schema.Voter[] | null {
+  nextVoters(value: schema.Value, alive: readonly voterPolicy.ReachableDisk[], silentMs: voterPolicy.SilentMsOf): schema.Voter[] | null {
     const joiner = alive.find((item) => !value.voters.some((voter) => voter.disk === item.disk));
     if (this.missing !== "empty_joiner_blocks" || !joiner) return voterPolicy.nextVoters(value, alive, silentMs);
     return [...value.voters, { disk: joiner.disk, node: joiner.node, address: joiner.address }];
--- a/tests/model/player.ts
+++ b/tests/model/player.ts
@@ -155,14 +155,14 @@
     }
     const silent = value.voters[command.silent % value.voters.length];
     function silentMs(voter: schema.Voter): number {
-      return voter === silent ? 10 * voterPolicy.SILENT_MS : 0;
+      return voter === silent ? 10 * voterPolicy.MAX_SILENT_MS : 0;
     }
     const voters = value.former.length > 0 ? null : this.mutations.nextVoters(value, this.alive(), silentMs);
-    if (voters) void node.change(voterPolicy.voterStep(value, voters), command.withinMs);
+    if (voters) void node.change(voterPolicy.enterJointStep(value, voters), command.withinMs);
   }
 
-  private alive(): voterPolicy.Alive[] {
-    const alive: voterPolicy.Alive[] = [];
+  private alive(): voterPolicy.ReachableDisk[] {
+    const alive: voterPolicy.ReachableDisk[] = [];
     for (const node of this.network.nodes.values()) {
       const { disk, address } = node.describe();
       if (node.isUp && disk !== "") alive.push({ disk, node: address, address, isCounted: true, isReady: true });
--- a/tests/orders.test.ts
+++ b/tests/orders.test.ts
@@ -150,8 +150,8 @@
   const voters = before.voters.map((voter) =>
     voter.address === "c:1" ? { disk: joiner.voter!.disk, node: "d:1", address: "d:1" } : voter,
   );
-  expect((await done(clock, proposer.change(voterPolicy.voterStep(before, voters), 5000))).isOk).toBe(true);
-  expect((await done(clock, proposer.change(voterPolicy.settleStep(core.newestChosen()!), 5000))).isOk).toBe(true);
+  expect((await done(clock, proposer.change(voterPolicy.enterJointStep(before, voters), 5000))).isOk).toBe(true);
+  expect((await done(clock, proposer.change(voterPolicy.leaveJointStep(core.newestChosen()!), 5000))).isOk).toBe(true);
   joiner.makeProposer(core.newestChosen()!);
 }
 
--- a/tests/register-joint.test.ts
+++ b/tests/register-joint.test.ts
@@ -94,7 +94,7 @@
   const { a, b, c, d } = all.nodes;
   const joint = registerValue.withVoters(valueAt(b), [d, b, c].map(voterOf));
   expect((await acceptAlone(all, b, joint)).isGranted).toBe(true);
-  await ended(all.clock, lonelyProposer(all, b).change(voterPolicy.settleStep(joint), 1000));
+  await ended(all.clock, lonelyProposer(all, b).change(voterPolicy.leaveJointStep(joint), 1000));
   expect(valueAt(b).former).toHaveLength(3);
   split(all, [b, d], [a, c]);
   const [left, right] = await ended(
@@ -120,8 +120,8 @@
   const { b, c, d, e } = all.nodes;
   const meant = registerValue.withVoters(valueAt(b), [d, b, c].map(voterOf));
   const stands = registerValue.withVoters(valueAt(b), [e, b, c].map(voterOf));
-  expect(voterPolicy.settleStep(meant)(stands).unwrapOr(null)).toBe(stands);
-  expect(voterPolicy.settleStep(meant)(meant).unwrapOr(null)!.former).toEqual([]);
+  expect(voterPolicy.leaveJointStep(meant)(stands).unwrapOr(null)).toBe(stands);
+  expect(voterPolicy.leaveJointStep(meant)(meant).unwrapOr(null)!.former).toEqual([]);
 });
 
 test("a joint set not known to be chosen is chosen as it stands before a change builds on it", async function first() {
@@ -135,7 +135,7 @@
   function keep(value: schema.Value): void {
     chosen.push(value);
   }
-  const outcome = await ended(all.clock, successor.change(voterPolicy.settleStep(joint), 3000));
+  const outcome = await ended(all.clock, successor.change(voterPolicy.leaveJointStep(joint), 3000));
   expect(outcome.isOk && outcome.value.former).toEqual([]);
   expect(chosen.map((value) => value.former.length)).toEqual([3, 0]);
 });
@@ -163,7 +163,7 @@
   const all = await start(11);
   const { a, b, c, d, e } = all.nodes;
   e.isDiskHung = true;
-  const step = voterPolicy.voterStep(valueAt(a), [a, b, c, d, e].map(voterOf));
+  const step = voterPolicy.enterJointStep(valueAt(a), [a, b, c, d, e].map(voterOf));
   expect((await ended(all.clock, a.proposer.change(step, 3000))).isErr).toBe(true);
   for (const node of [a, b, c]) expect(valueAt(node).voterEpoch).toBe(0);
   a.wipe();
--- a/tests/register-membership.test.ts
+++ b/tests/register-membership.test.ts
@@ -62,7 +62,7 @@
 
 async function lose(fleet: membership.Fleet, address: string): Promise<void> {
   fleet.at(address).node.isUp = false;
-  await fleet.made.clock.play(voterPolicy.SILENT_MS + 2000);
+  await fleet.made.clock.play(voterPolicy.MAX_SILENT_MS + 2000);
 }
 
 test.each(SEEDS)("three voters and two spares become five in one change, never four (seed %d)", async function grows(seed) {
@@ -213,7 +213,7 @@
     const fleet = await start(seed, 3);
     const old = fleet.at("c:1");
     old.node.isFrozen = true;
-    await fleet.made.clock.play(voterPolicy.SILENT_MS + 2000);
+    await fleet.made.clock.play(voterPolicy.MAX_SILENT_MS + 2000);
     fleet.join("f:1");
     expect(await fleet.untilStrong(3, 5000)).toBeLessThan(STRONG_MS);
     await change(fleet, 1, "a:1");
--- a/tests/register.test.ts
+++ b/tests/register.test.ts
@@ -103,7 +103,11 @@
       const alive = nodes.map(aliveOf);
       const wanted = voterPolicy.nextVoters(read.value, alive, never);
       const step =
-        read.value.former.length > 0 ? voterPolicy.settleStep(read.value) : wanted ? voterPolicy.voterStep(read.value, wanted) : null;
+        read.value.former.length > 0
+          ? voterPolicy.leaveJointStep(read.value)
+          : wanted
+            ? voterPolicy.enterJointStep(read.value, wanted)
+            : null;
       if (!step) return;
       await done(clock, nodes[turn % 3].proposer.change(step, 6000), 30_000);
     }
@@ -119,7 +123,7 @@
   }
 }
 
-function aliveOf(node: core.SimNode): voterPolicy.Alive {
+function aliveOf(node: core.SimNode): voterPolicy.ReachableDisk {
   return { disk: node.voter?.disk ?? "", node: node.address, address: node.address, isCounted: true, isReady: true };
 }
 
@@ -154,9 +158,9 @@
     return voter.address === "c:1" ? 10_000 : 0;
   }
   expect(wanted!.map(addressOf)).toEqual(["a:1", "b:1", "d:1"]);
-  expect((await done(clock, b.proposer.change(voterPolicy.voterStep(read, wanted!), 3000))).isOk).toBe(true);
+  expect((await done(clock, b.proposer.change(voterPolicy.enterJointStep(read, wanted!), 3000))).isOk).toBe(true);
   const joint = (await done(clock, b.proposer.change(same, 3000))).unwrapOr(null)!;
-  expect((await done(clock, a.proposer.change(voterPolicy.settleStep(joint), 3000))).isOk).toBe(true);
+  expect((await done(clock, a.proposer.change(voterPolicy.leaveJointStep(joint), 3000))).isOk).toBe(true);
   // The old voter wakes with the older set: it is denied with the newer one and can change nothing alone.
   c.isUp = true;
   a.isUp = false;
@@ -199,7 +203,7 @@
   for (let turn = 0; turn < 6; turn += 1) {
     const read = (await done(clock, a.proposer.change(same, 3000))).unwrapOr(null)!;
     const wanted = voterPolicy.nextVoters(read, [...made.nodes.values()].map(aliveOf), never);
-    const step = read.former.length > 0 ? voterPolicy.settleStep(read) : wanted ? voterPolicy.voterStep(read, wanted) : null;
+    const step = read.former.length > 0 ? voterPolicy.leaveJointStep(read) : wanted ? voterPolicy.enterJointStep(read, wanted) : null;
     if (step) expect((await done(clock, a.proposer.change(step, 3000))).isOk).toBe(true);
   }
   const grown = (await done(clock, a.proposer.change(same, 3000))).unwrapOr(null)!;
--- a/tests/second-loss.test.ts
+++ b/tests/second-loss.test.ts
@@ -60,7 +60,7 @@
     const clock = new sim.SimWorld(seed * 7919);
     const fleet = await five(clock);
     fleet.at("c:1").node.isUp = false;
-    await clock.play(voterPolicy.SILENT_MS + 2000);
+    await clock.play(voterPolicy.MAX_SILENT_MS + 2000);
     fleet.join("f:1");
     await clock.play((MAX_STEP_MS * seed) / SEEDS);
     const others = ["a:1", "b:1", "d:1", "e:1", "f:1"];
--- a/tests/sim/disk-world.ts
+++ b/tests/sim/disk-world.ts
@@ -42,7 +42,7 @@
 }
 
 export interface SimulatedMachine {
-  world: HastyWorld;
+  clock: HastyWorld;
   folder: simulated.MountedDisk;
   processes: owner.ProcessTable;
 }
@@ -57,7 +57,7 @@
 };
 
 export function machineOf(folder: simulated.MountedDisk): SimulatedMachine {
-  return { world: new HastyWorld(), folder, processes: unknownProcesses };
+  return { clock: new HastyWorld(), folder, processes: unknownProcesses };
 }
 
 export function placeOf(isBootstrap: boolean): voterDisk.VoterNode {
