--- a/src/admission/admission-stats.ts
+++ b/src/admission/admission-stats.ts
@@ -46,7 +46,7 @@
   recordRejection(ms: number, cause: string, hasBeenSent: boolean): void {
     (hasBeenSent ? this.afterSend : this.atDoor).record(ms);
     this.lastRefusalAt = this.world.now();
-    if (!this.isRejecting) log.state("admission: refusing; room is short");
+    if (!this.isRejecting) log.state("admission: rejecting requests, capacity is short");
     this.isRejecting = true;
     this.causes.set(cause, (this.causes.get(cause) ?? 0) + 1);
   }
--- a/src/control/platform/assignment.ts
+++ b/src/control/platform/assignment.ts
@@ -1,61 +1,55 @@
-// Which control node reads the reports of which region (design 4.5): one of its own region; regions without one
-// are dealt out over all nodes by their weight, so that none of them has more than its part.
+/**
+ * Assignment of regions to the control nodes that poll their runners' load reports (design 4.5): a node of the region
+ * itself where there is one; regions without a node are spread over all nodes by weight.
+ */
 import * as shares from "../../limits/shares.js";
 
-/** A control node that may read reports. */
+/** A control node that may poll load reports. */
 export interface ReportReader {
   name: string;
   region: string;
 }
 
-interface Load {
+/** A reader and the weight of the regions assigned to it so far. */
+interface AssignedWeight {
   reader: ReportReader;
   weight: number;
 }
 
-/** Weights wobble as runners come and go: only a doubling moves a region to another reader. */
-function stepOf(weight: number): number {
+/** Rounds down to a power of two: as runners come and go, only a doubling moves a region to another reader. */
+function quantizeWeight(weight: number): number {
   return weight < 1 ? 0 : 2 ** Math.floor(Math.log2(weight));
 }
 
+/** Readers of the region first, by name; then the others, least loaded first, ties broken by rendezvous hash. */
+function sortByPreference(region: string, loads: AssignedWeight[]): AssignedWeight[] {
+  return loads.sort((left, right) => {
+    const isLeftLocal = left.reader.region === region;
+    if (isLeftLocal !== (right.reader.region === region)) return isLeftLocal ? -1 : 1;
+    if (isLeftLocal) return left.reader.name < right.reader.name ? -1 : 1;
+    return left.weight - right.weight || shares.hash(`${region}|${left.reader.name}`) - shares.hash(`${region}|${right.reader.name}`);
+  });
+}
+
 /**
- * The readers of a region in order: the first reads, the next stand in when it is silent. The same at all nodes
- * that know the same readers and weights; where views differ for a while, a region is read twice.
- * `weights`: runners of each region, all regions among them.
+ * The readers of a region in order of precedence: the first polls, the next take over when it stops publishing. The
+ * result is the same at all nodes that know the same readers and weights; while views differ, a region may be polled
+ * twice.
+ * @param weights runners of each region; contains all regions
  */
 export function assignReaders(region: string, readers: readonly ReportReader[], weights: ReadonlyMap<string, number>): ReportReader[] {
-  const loads = new Map<string, Load>();
+  const loads = new Map<string, AssignedWeight>();
   for (const reader of readers) loads.set(reader.name, { reader, weight: 0 });
-  const heaviestFirst = [...weights].map(stepped).sort(byWeight);
-  for (const isOwned of [true, false]) {
+  const heaviestFirst = [...weights]
+    .map(([name, weight]): [string, number] => [name, quantizeWeight(weight)])
+    .sort((left, right) => right[1] - left[1] || (left[0] < right[0] ? -1 : 1));
+  for (const isLocal of [true, false]) {
     for (const [name, weight] of heaviestFirst) {
-      const order = orderOf(name, [...loads.values()]);
-      if (order.length === 0 || (order[0].reader.region === name) !== isOwned) continue;
-      if (name === region) return order.map(readerOf);
-      order[0].weight += weight;
+      const preferred = sortByPreference(name, [...loads.values()]);
+      if (preferred.length === 0 || (preferred[0].reader.region === name) !== isLocal) continue;
+      if (name === region) return preferred.map((load) => load.reader);
+      preferred[0].weight += weight;
     }
   }
-  return orderOf(region, [...loads.values()]).map(readerOf);
-}
-
-function orderOf(region: string, loads: Load[]): Load[] {
-  return loads.sort(byPlace);
-  function byPlace(left: Load, right: Load): number {
-    const isLeftNear = left.reader.region === region;
-    if (isLeftNear !== (right.reader.region === region)) return isLeftNear ? -1 : 1;
-    if (isLeftNear) return left.reader.name < right.reader.name ? -1 : 1;
-    return left.weight - right.weight || shares.hash(`${region}|${left.reader.name}`) - shares.hash(`${region}|${right.reader.name}`);
-  }
-}
-
-function readerOf(load: Load): ReportReader {
-  return load.reader;
-}
-
-function stepped(item: [string, number]): [string, number] {
-  return [item[0], stepOf(item[1])];
-}
-
-function byWeight(left: [string, number], right: [string, number]): number {
-  return right[1] - left[1] || (left[0] < right[0] ? -1 : 1);
+  return sortByPreference(region, [...loads.values()]).map((load) => load.reader);
 }
--- a/src/control/platform/endpoint-list.ts
+++ b/src/control/platform/endpoint-list.ts
@@ -1,57 +1,66 @@
-// The platform's list as control nodes hold and tell it: an item for each instance (design/parts 6).
+/**
+ * The platform's endpoint list as control nodes keep and replicate it: one keyed item an instance, so that only changes
+ * travel (design/parts 6).
+ */
 import * as feeds from "../../feed/feed.js";
 import * as keyed from "../../feed/keyed.js";
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
 
-const COLD_SLACK_MS = 400;
+/** A remaining warm-up time that exceeds the expected one by less than this is no change. */
+const WARM_UP_TOLERANCE_MS = 400;
 const { NO_REGION } = feeds;
 
 interface Entry extends schema.Listed {
   readAt: types.SteadyMs;
 }
 
-/** Relative times in an entry are as of its reading; a coldness that only runs down is nothing new until it is over. */
-function differs(before: Entry, item: schema.Instance, now: types.SteadyMs): boolean {
+/**
+ * Whether an instance differs from its entry. Relative times of an entry are as of its reading: a warm-up time that
+ * merely elapses is no change until the warm-up is over.
+ */
+function isChanged(before: Entry, item: schema.Instance, now: types.SteadyMs): boolean {
   const old = before.instance;
   if (old.service !== item.service || old.address !== item.address || old.zone !== item.zone) return true;
   if (old.isDraining !== item.isDraining || old.capacity !== item.capacity) return true;
   if (old.leavesMs < 0 !== item.leavesMs < 0 || (old.coldMs > 0 && item.coldMs === 0)) return true;
-  return item.coldMs > Math.max(0, old.coldMs - (now - before.readAt)) + COLD_SLACK_MS;
+  return item.coldMs > Math.max(0, old.coldMs - (now - before.readAt)) + WARM_UP_TOLERANCE_MS;
 }
 
-/** The platform's list as keyed items. */
+/** The endpoint list as keyed items with a digest over all of them. */
 export class EndpointList {
   private readonly items = new keyed.Keyed();
   private readonly entries = new Map<types.RunnerId, Entry>();
 
+  /** The digest of all items: equal at nodes that hold the same list. */
   get digest(): types.Digest {
     return this.items.digest;
   }
 
-  all(): schema.Instance[] {
-    const all: schema.Instance[] = [];
-    for (const { instance } of this.entries.values()) all.push(instance);
-    return all;
+  /** All instances of the list. */
+  instances(): schema.Instance[] {
+    const instances: schema.Instance[] = [];
+    for (const { instance } of this.entries.values()) instances.push(instance);
+    return instances;
   }
 
-  /** The whole list as it was read: what is new of it is kept and returned. */
+  /** Applies the complete list as just read from the platform, and returns what has changed. */
   replaceAll(list: readonly schema.Instance[], now: types.SteadyMs): keyed.Plan {
     const changes = new Map<string, Buffer | null>();
-    const standing = new Set<string>();
+    const listed = new Set<string>();
     for (const item of list) {
-      standing.add(item.id);
+      listed.add(item.id);
       const before = this.entries.get(item.id);
-      if (!before || differs(before, item, now))
+      if (!before || isChanged(before, item, now))
         changes.set(item.id, schema.listed.toBuffer({ times: (before?.times ?? 0) + 1, instance: item }));
     }
-    for (const id of this.entries.keys()) if (!standing.has(id)) changes.set(id, null);
+    for (const id of this.entries.keys()) if (!listed.has(id)) changes.set(id, null);
     const plan = this.items.plan(changes);
     this.apply(plan, now);
     return plan;
   }
 
-  /** What a sibling told; null when it builds on other items or does not prove itself. */
+  /** Applies a peer's update; null, and no change, when it builds on another state or its digest does not match. */
   applyUpdate(change: schema.Change, now: types.SteadyMs): keyed.Plan | null {
     if (!change.isView && change.base !== this.items.digest) return null;
     const changes = keyed.unpack(change);
@@ -67,15 +76,18 @@
     for (const [id, body] of plan.changed) this.entries.set(types.small(id), { ...schema.listed.fromBuffer(body), readAt: now });
   }
 
-  /** All of it, for a sibling that lacks it. */
+  /** All items, for a peer that holds another list. */
   snapshot(): ReturnType<typeof keyed.pack> {
     return keyed.pack(this.items.bodies());
   }
 }
 
-/** The list divided by region: a topic each, and one for zones that the settings do not name. */
+/** Adds a change of one item to those to be published; a null body removes the item. */
+type AddChange = (region: string, id: string, body: Buffer | null) => void;
+
+/** The endpoint list by region, published as a topic each, and one for zones that the settings do not name. */
 export class RegionalEndpoints {
-  private readonly lists = new Map<string, Map<string, schema.Instance>>();
+  private readonly byRegion = new Map<string, Map<string, schema.Instance>>();
   private readonly regionOfId = new Map<string, string>();
   private isPublished = false;
 
@@ -83,41 +95,43 @@
     private readonly regionOfZone: ReadonlyMap<string, string>,
     private readonly feed: feeds.Feed,
   ) {
-    for (const region of regionOfZone.values()) this.lists.set(region, new Map());
-    this.lists.set(NO_REGION, new Map());
+    for (const region of regionOfZone.values()) this.byRegion.set(region, new Map());
+    this.byRegion.set(NO_REGION, new Map());
   }
 
+  /** The instances of a region; none where the region is unknown. */
   instancesOf(region: string): Iterable<schema.Instance> {
-    return this.lists.get(region)?.values() ?? [];
+    return this.byRegion.get(region)?.values() ?? [];
   }
 
+  /** Applies a change of the list and publishes it in the topics of the regions that it touches. */
   applyChange(plan: keyed.Plan, stamp: types.Stamp): void {
     const changes = new Map<string, Map<string, Buffer | null>>();
-    function amend(region: string, id: string, body: Buffer | null): void {
-      const some = changes.get(region);
-      if (some) some.set(id, body);
+    const addChange: AddChange = (region, id, body) => {
+      const ofRegion = changes.get(region);
+      if (ofRegion) ofRegion.set(id, body);
       else changes.set(region, new Map([[id, body]]));
-    }
-    // With the first list all regions are known, also those without an instance.
-    if (!this.isPublished) for (const region of this.lists.keys()) changes.set(region, new Map());
+    };
+    // The first list publishes all topics, also those of regions without an instance.
+    if (!this.isPublished) for (const region of this.byRegion.keys()) changes.set(region, new Map());
     this.isPublished = true;
-    for (const id of plan.gone) this.remove(id, amend);
+    for (const id of plan.gone) this.remove(id, addChange);
     for (const [id, body] of plan.changed) {
       const { instance } = schema.listed.fromBuffer(body);
       const region = this.regionOfZone.get(instance.zone) ?? NO_REGION;
-      if (this.regionOfId.get(id) !== region) this.remove(id, amend);
+      if (this.regionOfId.get(id) !== region) this.remove(id, addChange);
       this.regionOfId.set(id, region);
-      this.lists.get(region)!.set(id, instance);
-      amend(region, id, body);
+      this.byRegion.get(region)!.set(id, instance);
+      addChange(region, id, body);
     }
-    for (const [region, some] of changes) this.feed.amend(feeds.listTopic(region), some, stamp);
+    for (const [region, ofRegion] of changes) this.feed.amend(feeds.listTopic(region), ofRegion, stamp);
   }
 
-  private remove(id: string, amend: (region: string, id: string, body: null) => void): void {
+  private remove(id: string, addChange: AddChange): void {
     const region = this.regionOfId.get(id);
     if (region === undefined) return;
     this.regionOfId.delete(id);
-    this.lists.get(region)!.delete(id);
-    amend(region, id, null);
+    this.byRegion.get(region)!.delete(id);
+    addChange(region, id, null);
   }
 }
--- a/src/control/platform/fleet-observer.ts
+++ b/src/control/platform/fleet-observer.ts
@@ -1,4 +1,7 @@
-// What this control node knows of the regions: the platform's list and the runners' reports (design 4.4, 4.5).
+/**
+ * What this control node knows of the fleet: the platform's endpoint list and the runners' load reports (design 4.4,
+ * 4.5). It wires the parts that obtain them to those that publish them, and ranks this node for the singleton roles.
+ */
 import * as calls from "../../wire/calls.js";
 import * as link from "../../wire/link.js";
 import * as schema from "../../wire/schema.js";
@@ -20,173 +23,175 @@
 import * as loadSummary from "../../load/load-summary.js";
 import * as endpointWatcher from "./endpoint-watcher.js";
 
-/** Puts together the list, the reports, the signs and the summaries of this control node. */
-export class FleetObserver implements regionOrchestrator.RegionView {
-  private readonly regionOf = new Map<string, string>();
-  private readonly lists: endpointList.RegionalEndpoints;
+/** Owned by the control program; `stop` closes its connections. */
+export class FleetObserver implements regionOrchestrator.RegionView, hintRelay.RelayTargets {
+  private readonly regionOfZone = new Map<string, string>();
+  private readonly endpoints: endpointList.RegionalEndpoints;
   private readonly watcher: endpointWatcher.EndpointWatcher;
   private readonly orchestrator: regionOrchestrator.RegionOrchestrator;
   private readonly publisher: loadPublisher.LoadPublisher;
   private readonly relay: hintRelay.HintRelay;
-  private engines = new Set<string>();
+  /** Services whose runners serve load reports. */
+  private reportingServices = new Set<string>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private startup: settings.Settings,
     private readonly dial: dialer.Dialer,
     private readonly feed: feeds.Feed,
-    core: registerReplica.RegisterReplica,
+    register: registerReplica.RegisterReplica,
     private readonly members: membership.Membership,
-    /** How fit for duty this node is now. */
-    private readonly ownFitness: () => singletonRole.Eligibility,
+    private readonly ownEligibility: () => singletonRole.Eligibility,
   ) {
-    for (const [zone, region] of Object.entries(startup.zones)) this.regionOf.set(zone, region);
-    this.lists = new endpointList.RegionalEndpoints(this.regionOf, feed);
-    const { address, rate_per_s: rate } = startup.cloud_api;
-    this.watcher = new endpointWatcher.EndpointWatcher(world, address ?? "", rate, dial, this.listRank.bind(this), this.listed.bind(this));
-    this.orchestrator = new regionOrchestrator.RegionOrchestrator(
-      world,
-      new Set(this.regionOf.values()),
-      this,
+    for (const [zone, region] of Object.entries(startup.zones)) this.regionOfZone.set(zone, region);
+    this.endpoints = new endpointList.RegionalEndpoints(this.regionOfZone, feed);
+    const { address, rate_per_s: ratePerS } = startup.cloud_api;
+    this.watcher = new endpointWatcher.EndpointWatcher(
+      clock,
+      address ?? "",
+      ratePerS,
       dial,
-      this.reported.bind(this),
+      () => this.watcherRank(),
+      (plan) => this.applyListChange(plan),
     );
-    this.publisher = new loadPublisher.LoadPublisher(world, feed);
-    this.relay = new hintRelay.HintRelay(world, this);
-    core.on("chosen", this.configured.bind(this));
-    dial.on("up", this.watcher.sendSnapshotIfReader.bind(this.watcher));
-    dial.on("up", this.greet.bind(this));
+    const regions = new Set(this.regionOfZone.values());
+    this.publisher = new loadPublisher.LoadPublisher(clock, feed);
+    this.orchestrator = new regionOrchestrator.RegionOrchestrator(clock, regions, this, dial, (report) =>
+      this.publisher.applyReport(report),
+    );
+    this.relay = new hintRelay.HintRelay(clock, this);
+    register.on("chosen", (value: schema.Value) => this.applyConfiguration(value));
+    dial.on("up", (control: dialer.Control) => this.watcher.sendSnapshotIfReader(control));
+    dial.on("up", (control: dialer.Control) => this.sendReportSnapshots(control));
   }
 
+  /** Registers the calls of peers and routers. */
   registerHandlers(handlers: link.Handlers): void {
-    const { watcher, orchestrator, relay } = this;
-    handlers.on(calls.instances, function hear(_from, told) {
-      return watcher.receiveUpdate(told);
-    });
-    handlers.on(calls.signs, function signs(from, told) {
-      relay.receive(from, told);
+    handlers.on(calls.instances, (_from, change) => this.watcher.receiveUpdate(change));
+    handlers.on(calls.signs, (from, hints) => {
+      this.relay.receive(from, hints);
       return null;
     });
-    handlers.on(calls.report, function hear(_from, told) {
-      orchestrator.receiveReport(told);
+    handlers.on(calls.report, (_from, report) => {
+      this.orchestrator.receiveReport(report);
       return null;
     });
   }
 
+  /** The settings were read again; of them the platform's address takes effect. */
   applySettings(startup: settings.Settings): void {
     this.startup = startup;
     this.watcher.setAddress(startup.cloud_api.address ?? "");
   }
 
+  /** Links to the other control nodes. */
   peers(): link.Link[] {
-    return [...this.dial.controls.values()].map(linkOf);
+    return [...this.dial.controls.values()].map((control) => control.link);
   }
 
-  /** Routers that follow this control node follow its summaries. */
+  /** Routers that follow this control node; all of them subscribe to its summaries. */
   routerCount(): number {
     return [...this.feed.followersOf(loadSummary.SUMMARY_TOPIC)].length;
   }
 
-  /** Own routers that follow the reports of the region. */
+  /** Own routers that subscribe to the load reports of the region. */
   followersOf(region: string): Iterable<link.Link> {
     return this.feed.followersOf(feeds.cellTopic(region));
   }
 
-  /** A sibling that came up gets whole what is read here. */
-  private greet(control: dialer.Control): void {
-    for (const region of new Set(this.regionOf.values())) {
+  /** A peer that has connected is sent all reports of the regions that this node polls. */
+  private sendReportSnapshots(control: dialer.Control): void {
+    for (const region of new Set(this.regionOfZone.values())) {
       if (this.orchestrator.isReader(region)) control.link.tell(calls.report, { region, reports: this.publisher.snapshot(region) });
     }
   }
 
+  /** Closes all connections and timers. */
   stop(): void {
     this.watcher.stop();
     this.orchestrator.stop();
     this.relay.stop();
   }
 
+  /** Called by the control node's timer. */
   runPeriodically(): void {
     this.watcher.pollWhenDue();
     this.orchestrator.pollDueRegions();
     this.publisher.publishSummariesWhenDue();
   }
 
-  private configured(value: schema.Value): void {
+  private applyConfiguration(value: schema.Value): void {
     const config = registerValue.unpack(value.config) as check.Configuration | null;
-    this.engines = new Set();
-    for (const service of config?.services ?? []) if (service.runtime) this.engines.add(service.name);
+    this.reportingServices = new Set();
+    for (const service of config?.services ?? []) if (service.runtime) this.reportingServices.add(service.name);
   }
 
-  private listed(plan: keyed.Plan): void {
-    this.lists.applyChange(plan, types.small(this.world.now()));
+  private applyListChange(plan: keyed.Plan): void {
+    this.endpoints.applyChange(plan, types.small(this.clock.now()));
     const instances = this.watcher.instances();
     const regions = new Map<types.RunnerId, string>();
-    for (const item of instances) regions.set(item.id, this.regionOf.get(item.zone) ?? item.zone);
+    for (const item of instances) regions.set(item.id, this.regionOfZone.get(item.zone) ?? item.zone);
     this.relay.setRegions(regions);
     this.publisher.setInstances(instances, regions);
   }
 
-  private reported(report: schema.CellReport): void {
-    this.publisher.applyReport(report);
-  }
-
-  /** The control nodes that this one hears, itself among them, and how fit for duty each says it is. */
+  /** The control nodes that this one has a session with, itself included. */
   private candidates(): singletonRole.Candidate[] {
     const { node_name: name, region } = this.startup;
-    const all: singletonRole.Candidate[] = [{ name, region, eligibility: this.ownFitness() }];
+    const candidates: singletonRole.Candidate[] = [{ name, region, eligibility: this.ownEligibility() }];
     for (const control of this.dial.controls.values()) {
       const { node } = control;
       if (this.members.hasSession(node.name))
-        all.push({ name: node.name, region: node.region, eligibility: singletonRole.eligibilityOf(control) });
+        candidates.push({ name: node.name, region: node.region, eligibility: singletonRole.eligibilityOf(control) });
     }
-    return all;
+    return candidates;
   }
 
-  private listRank(): number {
+  private watcherRank(): number {
     return singletonRole.rankOf(this.startup.node_name, singletonRole.mostEligible(this.candidates()));
   }
 
+  /** This node's rank among those that may poll the load reports of the region. */
   rankIn(region: string): number {
-    const readers = assignment.assignReaders(region, singletonRole.mostEligible(this.candidates()), this.weights());
+    const readers = assignment.assignReaders(region, singletonRole.mostEligible(this.candidates()), this.reportingCounts());
     return singletonRole.rankOf(this.startup.node_name, readers);
   }
 
-  /** Runners that write reports, by region. */
-  private weights(): Map<string, number> {
-    const weights = new Map<string, number>();
-    for (const region of this.regionOf.values()) weights.set(region, 0);
+  /** How many runners of each region serve load reports. */
+  private reportingCounts(): Map<string, number> {
+    const counts = new Map<string, number>();
+    for (const region of this.regionOfZone.values()) counts.set(region, 0);
     for (const item of this.watcher.instances()) {
-      const region = this.regionOf.get(item.zone);
-      if (region !== undefined && this.engines.has(item.service)) weights.set(region, weights.get(region)! + 1);
+      const region = this.regionOfZone.get(item.zone);
+      if (region !== undefined && this.reportingServices.has(item.service)) counts.set(region, counts.get(region)! + 1);
     }
-    return weights;
+    return counts;
   }
 
+  /** The runners of a region that serve load reports. */
   reportingRunners(region: string): schema.Instance[] {
-    const found: schema.Instance[] = [];
-    for (const item of this.lists.instancesOf(region)) if (this.engines.has(item.service)) found.push(item);
-    return found;
+    const runners: schema.Instance[] = [];
+    for (const item of this.endpoints.instancesOf(region)) if (this.reportingServices.has(item.service)) runners.push(item);
+    return runners;
   }
 
+  /** Of the reports just polled, those to be published. */
   selectChanges(region: string, reports: readonly schema.Report[]): schema.Report[] {
     return this.publisher.selectChanges(region, reports);
   }
 
-  /** The platform's list as read last, here or by another control node. */
+  /** The platform's list as received last, by this node or another. */
   instances(): readonly schema.Instance[] {
     return this.watcher.instances();
   }
 
-  /** The newest reports of all regions. */
+  /** The load reports of all regions as published last. */
   reports(): readonly schema.CellReport[] {
     return this.publisher.status();
   }
 
+  /** The part `cells` of the control node's `status`. */
   status(): unknown {
     return { instances: this.instances(), reports: this.reports() };
   }
 }
-
-function linkOf(control: dialer.Control): link.Link {
-  return control.link;
-}
--- a/src/control/platform/singleton-role.ts
+++ b/src/control/platform/singleton-role.ts
@@ -1,47 +1,45 @@
-// Who is fit to read the platform's list and the regions' reports for all (design/hardening/1-cut-off).
+/**
+ * Singleton roles of the control plane: at any time one node polls the platform's endpoint list, and one the load
+ * reports of each region. This module ranks the candidates (design/hardening/1-cut-off).
+ */
 import * as dialer from "../../feed/dialer.js";
 
-/** A higher one goes first: a confirmed node, then one that is cut off from a majority, last one that is leaving. */
+/** The node is shutting down: it takes a role only when nobody else can. */
 export const DRAINING = 0;
-/** Not confirmed by a majority now. */
+/** The node has no contact with a majority of the voters now. */
 export const UNCONFIRMED = 1;
-/** Confirmed by a majority. */
+/** A majority of the voters has confirmed the node lately. */
 export const CONFIRMED = 2;
-/** How fit for duty a control node is. */
+/** How eligible a control node is for a singleton role; a higher value takes precedence. */
 export type Eligibility = typeof DRAINING | typeof UNCONFIRMED | typeof CONFIRMED;
 
-/** A control node that may have duties. */
+/** A control node that may take singleton roles. */
 export interface Candidate {
   name: string;
   region: string;
   eligibility: Eligibility;
 }
 
-/** By what another control node said last. */
+/** The eligibility of another control node by the last heartbeat received from it. */
 export function eligibilityOf(control: dialer.Control): Eligibility {
   if (dialer.isLeaving(control)) return DRAINING;
   return dialer.isConfirmed(control) ? CONFIRMED : UNCONFIRMED;
 }
 
-/** The fittest of all, by name; while nobody is confirmed, a side that is cut off still has its readers. */
+/**
+ * The candidates of the highest eligibility present, by name. While no candidate is confirmed, a partitioned side
+ * still has its roles filled.
+ */
 export function mostEligible(candidates: readonly Candidate[]): Candidate[] {
   let best: Eligibility = DRAINING;
-  for (const { eligibility: fitness } of candidates) if (fitness > best) best = fitness;
-  return candidates.filter(isBest).sort(byName);
-  function isBest(candidate: Candidate): boolean {
-    return candidate.eligibility === best;
-  }
+  for (const { eligibility } of candidates) if (eligibility > best) best = eligibility;
+  return candidates
+    .filter((candidate) => candidate.eligibility === best)
+    .sort((left, right) => (left.name < right.name ? -1 : left.name > right.name ? 1 : 0));
 }
 
-/** The place in an order of readers; one that is not among them stands in after all of them. */
+/** The index of a node in an order of precedence; a node that is not part of it ranks after all others. */
 export function rankOf(name: string, order: readonly { name: string }[]): number {
-  const rank = order.findIndex(isNamed);
+  const rank = order.findIndex((item) => item.name === name);
   return rank < 0 ? order.length : rank;
-  function isNamed(item: { name: string }): boolean {
-    return item.name === name;
-  }
-}
-
-function byName(left: Candidate, right: Candidate): number {
-  return left.name < right.name ? -1 : left.name > right.name ? 1 : 0;
 }
--- a/src/load/load-reader.ts
+++ b/src/load/load-reader.ts
@@ -131,7 +131,7 @@
   private setStale(region: string, followed: FollowedRegion, isStale: boolean): void {
     if (followed.isStale === isStale) return;
     followed.isStale = isStale;
-    log.state(`cell ${region}: reports ${isStale ? "are stale" : "come again"}`);
+    log.state(`cell ${region}: load reports ${isStale ? "are stale" : "resumed"}`);
   }
 
   private unfollow(region: string): void {
--- a/tests/deal.test.ts
+++ b/tests/assignment.test.ts
@@ -1,18 +1,23 @@
-// Which control node reads which region's reports (design 4.5).
+// Which control node polls the load reports of which region (design 4.5).
 import * as assignment from "../src/control/platform/assignment.js";
 
 function nodes(...regions: string[]): assignment.ReportReader[] {
   return regions.map((region, index) => ({ name: `c${index + 1}`, region }));
 }
 
-function firsts(readers: assignment.ReportReader[], weights: Map<string, number>): Map<string, string> {
+function readerByRegion(readers: assignment.ReportReader[], weights: Map<string, number>): Map<string, string> {
   return new Map([...weights.keys()].map((region) => [region, assignment.assignReaders(region, readers, weights)[0].name]));
 }
 
 test.each([
-  ["one of its own region reads it", nodes("a", "b", "c"), "b", ["c2"]],
-  ["of two of its own the first by name, the other stands in before strangers", nodes("a", "b", "b"), "b", ["c2", "c3"]],
-  ["a region that no weight names has its order too", nodes("a", "b"), "z", []],
+  ["a node of the region itself is its reader", nodes("a", "b", "c"), "b", ["c2"]],
+  [
+    "of two nodes of the region the first by name is the reader, the other takes over before all others",
+    nodes("a", "b", "b"),
+    "b",
+    ["c2", "c3"],
+  ],
+  ["a region without a weight has an order of readers too", nodes("a", "b"), "z", []],
 ] as const)("%s", (_name, readers, region, first) => {
   const order = assignment
     .assignReaders(
@@ -33,16 +38,16 @@
 const WEIGHTS = new Map(Array.from({ length: 13 }, (_item, index) => [`r${index}`, 110 * (1 + ((index * 7) % 10))]));
 const READERS = nodes("r0", "r3", "r5", "r8", "r12");
 
-test("regions without a control node of their own are dealt out by weight", () => {
+test("regions without a control node are spread over all nodes by weight", () => {
   const total = [...WEIGHTS.values()].reduce((sum, weight) => sum + weight, 0);
   const perNode = new Map<string, number>();
-  for (const [region, name] of firsts(READERS, WEIGHTS)) perNode.set(name, (perNode.get(name) ?? 0) + WEIGHTS.get(region)!);
+  for (const [region, name] of readerByRegion(READERS, WEIGHTS)) perNode.set(name, (perNode.get(name) ?? 0) + WEIGHTS.get(region)!);
   expect(perNode.size).toBe(5);
   // Weights count in steps of two, so a node may have up to twice the even part, not five times.
   for (const weight of perNode.values()) expect(weight).toBeLessThan((2 * total) / 5);
 });
 
-test("every region has exactly one first, whatever the order in which nodes are known", () => {
+test("the readers of a region do not depend on the order in which nodes are known", () => {
   const shuffled = [...READERS].reverse();
   for (const region of WEIGHTS.keys()) {
     expect(assignment.assignReaders(region, shuffled, WEIGHTS).map((reader) => reader.name)).toEqual(
@@ -51,19 +56,19 @@
   }
 });
 
-test("runners that come and go within a step move no region; a lost node's regions go to several", () => {
-  const before = firsts(READERS, WEIGHTS);
-  const wobbled = new Map([...WEIGHTS].map(([region, weight]) => [region, weight + (weight % 4) - 1]));
+test("a small change of weights moves no region; the regions of a lost node are spread over several", () => {
+  const before = readerByRegion(READERS, WEIGHTS);
+  const fluctuated = new Map([...WEIGHTS].map(([region, weight]) => [region, weight + (weight % 4) - 1]));
   const steps = (weights: Map<string, number>): number[] => [...weights.values()].map((weight) => Math.floor(Math.log2(weight)));
-  expect(steps(wobbled)).toEqual(steps(WEIGHTS));
-  expect(firsts(READERS, wobbled)).toEqual(before);
-  const left = firsts(
+  expect(steps(fluctuated)).toEqual(steps(WEIGHTS));
+  expect(readerByRegion(READERS, fluctuated)).toEqual(before);
+  const left = readerByRegion(
     READERS.filter((reader) => reader.name !== "c1"),
     WEIGHTS,
   );
   expect(new Set(left.values()).size).toBe(4);
 });
 
-test("without any other node known the own one reads all", () => {
+test("a node that knows no other reads all regions", () => {
   expect(assignment.assignReaders("x", nodes("a"), WEIGHTS).map((reader) => reader.name)).toEqual(["c1"]);
 });
--- a/tests/lists.test.ts
+++ b/tests/endpoint-list.test.ts
@@ -1,4 +1,4 @@
-// The platform's list in regions: what is news, and who is told (design/parts 6).
+// The endpoint list: what counts as a change, and what is published in which region's topic (design/parts 6).
 import * as endpointList from "../src/control/platform/endpoint-list.js";
 import * as feeds from "../src/feed/feed.js";
 import * as keyed from "../src/feed/keyed.js";
@@ -18,28 +18,28 @@
   leavesMs: -1,
 };
 
-const NEWS: [string, Partial<schema.Instance>, number, boolean][] = [
-  ["a coldness that runs down", { coldMs: 3000 }, 2000, false],
-  ["one that runs down late, within the slack", { coldMs: 3300 }, 2000, false],
-  ["a coldness that is over", { coldMs: 0 }, 6000, true],
-  ["one that begins again", { coldMs: 5000 }, 2000, true],
+const CHANGES: [string, Partial<schema.Instance>, number, boolean][] = [
+  ["a warm-up time that elapses", { coldMs: 3000 }, 2000, false],
+  ["a warm-up time that elapses late, within the tolerance", { coldMs: 3300 }, 2000, false],
+  ["the end of a warm-up", { coldMs: 0 }, 6000, true],
+  ["a warm-up that begins again", { coldMs: 5000 }, 2000, true],
   ["draining", { coldMs: 3000, isDraining: true }, 2000, true],
-  ["a time to leave", { coldMs: 3000, leavesMs: 900 }, 2000, true],
+  ["a remaining time", { coldMs: 3000, leavesMs: 900 }, 2000, true],
   ["another address", { coldMs: 3000, address: "127.0.0.1:2" }, 2000, true],
   ["another capacity", { coldMs: 3000, capacity: 5 }, 2000, true],
 ];
 
-test.each(NEWS)("%s of the list is news or not", (_name, more, passedMs, isNews) => {
+test.each(CHANGES)("%s is published as a change or not", (_name, more, passedMs, isPublished) => {
   const items = new endpointList.EndpointList();
   items.replaceAll([INSTANCE], types.small(0));
   const plan = items.replaceAll([{ ...INSTANCE, ...more }], types.small(passedMs));
-  expect(keyed.isEmpty(plan)).toBe(!isNews);
+  expect(keyed.isEmpty(plan)).toBe(!isPublished);
 });
 
-test("each region is a topic with all its instances, also one without any; an instance goes with its zone", () => {
+test("each region has a topic with its instances, also a region without any; an instance moves with its zone", () => {
   const feed = new feeds.Feed("p");
-  const told: schema.Change[] = [];
-  const fake = { tell: (_pair: unknown, change: schema.Change) => told.push(change), once: () => undefined } as unknown as link.Link;
+  const published: schema.Change[] = [];
+  const fake = { tell: (_pair: unknown, change: schema.Change) => published.push(change), once: () => undefined } as unknown as link.Link;
   const regions = new Map([
     ["z", "r"],
     ["y", "q"],
@@ -51,7 +51,7 @@
   const items = new endpointList.EndpointList();
   function read(list: schema.Instance[]): [string, string[]][] {
     byRegion.applyChange(items.replaceAll(list, types.small(0)), types.small(0));
-    return told.splice(0).map((change) => [change.topic, watch.keysOf(change)]);
+    return published.splice(0).map((change) => [change.topic, watch.keysOf(change)]);
   }
   const other = { ...INSTANCE, id: types.small<types.RunnerId>("i-2"), zone: "nowhere" };
   expect(read([INSTANCE, other])).toEqual([
--- a/tests/watch.test.ts
+++ b/tests/endpoint-watcher.test.ts
@@ -1,52 +1,42 @@
-// Who reads the list, and who takes over (design 4.4).
+// Which control node polls the platform's endpoint list, what its peers receive, and who takes over (design 4.4).
 import * as endpointWatcher from "../src/control/platform/endpoint-watcher.js";
 import * as keyed from "../src/feed/keyed.js";
 import * as types from "../src/wire/types.js";
 import * as watch from "./sim/watch.js";
 
-/** One that never becomes a reader: it only takes what it is told. */
-function silentWatcher(clock: watch.MixedWorld): endpointWatcher.EndpointWatcher {
-  return new endpointWatcher.EndpointWatcher(
-    clock,
-    "",
-    1000,
-    watch.dialTo([]),
-    () => 1,
-    () => undefined,
-  );
+interface WatcherOptions {
+  clock: watch.MixedWorld;
+  /** The address of the platform; none by default. */
+  platform?: string;
+  dial?: ReturnType<typeof watch.dialTo>;
+  rank?: number;
+  onChange?: (plan: keyed.Plan) => void;
 }
 
-/** One that reads the platform's list and tells the other one, who replies. */
-function readingWatcher(
-  clock: watch.MixedWorld,
-  platform: string,
-  told: watch.Told[],
-  other: endpointWatcher.EndpointWatcher,
-): endpointWatcher.EndpointWatcher {
+function makeWatcher({
+  clock,
+  platform = "",
+  dial = watch.dialTo([]),
+  rank = 0,
+  onChange,
+}: WatcherOptions): endpointWatcher.EndpointWatcher {
   return new endpointWatcher.EndpointWatcher(
     clock,
     platform,
     1000,
-    watch.dialTo(told, (ask) => other.receiveUpdate(ask)),
-    () => 0,
-    () => undefined,
+    dial,
+    () => rank,
+    (plan) => onChange?.(plan),
   );
 }
 
-test("all pages are read; siblings hear what changed and nothing but freshness otherwise", () =>
+test("reads all pages of the platform, and sends peers what has changed or an empty change", () =>
   watch.withPlatform(async (platform) => {
     platform.instances = watch.listed(5);
     const clock = new watch.MixedWorld(1);
     const told: watch.Told[] = [];
     const plans: keyed.Plan[] = [];
-    const watcher = new endpointWatcher.EndpointWatcher(
-      clock,
-      platform.address,
-      1000,
-      watch.dialTo(told),
-      () => 0,
-      (plan) => plans.push(plan),
-    );
+    const watcher = makeWatcher({ clock, platform: platform.address, dial: watch.dialTo(told), onChange: (plan) => plans.push(plan) });
     watcher.pollWhenDue();
     await watch.until(() => told.length === 1);
     expect([...plans[0].changed.keys()]).toEqual(["i-0", "i-1", "i-2", "i-3", "i-4"]);
@@ -68,19 +58,19 @@
     watcher.stop();
   }));
 
-test("a sibling that holds another list is told the whole; it takes nothing that does not build on what it holds", () =>
+test("sends a snapshot to a peer that holds another list, which rejects a change based on a list that it does not hold", () =>
   watch.withPlatform(async (platform) => {
     platform.instances = watch.listed(3);
     const clock = new watch.MixedWorld(1);
     const told: watch.Told[] = [];
-    const sibling = silentWatcher(clock);
-    const reader = readingWatcher(clock, platform.address, told, sibling);
+    const peer = makeWatcher({ clock, rank: 1 });
+    const reader = makeWatcher({ clock, platform: platform.address, dial: watch.dialTo(told, (change) => peer.receiveUpdate(change)) });
     reader.pollWhenDue();
     await watch.until(() => told.length === 1);
-    expect([sibling.hasList, sibling.instances()]).toEqual([true, reader.instances()]);
+    expect([peer.hasList, peer.instances()]).toEqual([true, reader.instances()]);
     platform.instances[0].state = "draining";
-    const late = silentWatcher(clock);
-    const other = readingWatcher(clock, platform.address, told, late);
+    const late = makeWatcher({ clock, rank: 1 });
+    const other = makeWatcher({ clock, platform: platform.address, dial: watch.dialTo(told, (change) => late.receiveUpdate(change)) });
     other.receiveUpdate({ ...told[0].ask });
     other.pollWhenDue();
     await watch.until(() => told.length === 3);
@@ -96,7 +86,7 @@
     other.stop();
   }));
 
-test("the second in order reads only when the first has been silent, the third later still", () =>
+test("the node of the second rank polls when updates stop, that of the third later still", () =>
   watch.withPlatform(async (platform) => {
     platform.instances = watch.listed(1);
     for (const [rank, waits] of [
@@ -104,14 +94,7 @@
       [2, 2100],
     ] as const) {
       const clock = new watch.MixedWorld(1);
-      const watcher = new endpointWatcher.EndpointWatcher(
-        clock,
-        platform.address,
-        1000,
-        watch.dialTo([]),
-        () => rank,
-        () => undefined,
-      );
+      const watcher = makeWatcher({ clock, platform: platform.address, rank });
       watcher.receiveUpdate({
         place: "",
         topic: "list",
@@ -133,15 +116,3 @@
       watcher.stop();
     }
   }));
-
-test.each([
-  [{ instance_id: 7 }, null],
-  [null, null],
-  [{}, null],
-  [watch.listed(1, { state: "draining", remaining_ms: 1500 })[0], { isDraining: true, leavesMs: 1500 }],
-  [watch.listed(1, { warmup_left_ms: 2500.4 })[0], { isDraining: false, coldMs: 2500, leavesMs: -1 }],
-])("entry %j of the list", (item, expected) => {
-  const read = endpointWatcher.readInstance(item);
-  if (expected === null) expect(read).toBeNull();
-  else expect(read).toMatchObject(expected);
-});
--- a/tests/orchestrator.test.ts
+++ b/tests/region-orchestrator.test.ts
@@ -1,4 +1,4 @@
-// Who reads the reports of a region, and who takes over (design 4.5).
+// Which control node polls the load reports of a region, and who takes over (design 4.5).
 import * as regionOrchestrator from "../src/control/platform/region-orchestrator.js";
 import * as runners from "../src/emulator/runner.js";
 import * as schema from "../src/wire/schema.js";
@@ -6,7 +6,7 @@
 import * as sim from "./sim/world.js";
 import * as watch from "./sim/watch.js";
 
-test("the orchestrator derives status from reports: one miss is silence, the next report ends it", async () => {
+test("a runner whose report is missing counts as unresponsive", async () => {
   const runner = new runners.StandInRunner({ id: "i-1" });
   await runner.start();
   const instance: schema.Instance = {
@@ -39,7 +39,7 @@
   runner.stop();
 });
 
-test("a region's stand-in waits for the nearer orchestrator and hands the work back when it is heard", () => {
+test("a node of the second rank polls a region when its reports stop, and no longer when they resume", () => {
   const clock = new sim.SimWorld(1);
   let polls = 0;
   const view = {
