--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -1,7 +1,9 @@
 /** What one choice of the chain (design 7.2) costs a router, by the runners of the service (docs/experiment.md). */
 import * as admissions from "../admission/admission.js";
 import * as runnerFleet from "../runners/runner-fleet.js";
-import * as routePlan from "../routing/route-plan.js";
+import type * as routePlan from "../routing/route-plan.js";
+import type * as policyChain from "../router/policies/policy-chain.js";
+import * as promptParts from "../routing/prompt-parts.js";
 import * as admissionPolicy from "../router/policies/admission-policy.js";
 import * as cellPolicy from "../router/policies/cell-policy.js";
 import * as homesPolicy from "../router/policies/homes-policy.js";
@@ -87,7 +89,7 @@
 export class Chain {
   private readonly fleet: runnerFleet.RunnerFleet;
   private readonly known = new prefillTracker.PrefillTracker();
-  private readonly policies: routePlan.Policy[];
+  private readonly policies: policyChain.Policy[];
 
   constructor(
     private readonly world: types.Clock,
@@ -124,13 +126,13 @@
         kvCapacity: KV_CAPACITY,
       });
       const shared = this.prompt().slice(0, -1);
-      this.known.recordPrefill(runner.id, 0, prefillTracker.prefixKeys(shared), this.world.now());
+      this.known.recordPrefill(runner.id, 0, promptParts.prefixKeys(shared), this.world.now());
     }
     this.fleet.applyReport({ region, reports });
     admission.applyReport({ region, reports });
   }
 
-  private prompt(): routePlan.PromptPart[] {
+  private prompt(): promptParts.PromptPart[] {
     const beginning = Math.floor(this.world.random() * BEGINNINGS);
     return [
       { id: `b-${beginning}`, tokens: SHARED_TOKENS },
@@ -153,7 +155,7 @@
       parts,
       sharedParts: shared,
       sharedTokens,
-      prefixKeys: prefillTracker.prefixKeys(parts),
+      prefixKeys: promptParts.prefixKeys(parts),
       attemptedRunners: new Set(),
       now,
       deadline: now + DEADLINE_MS,
--- a/src/router/policies/cell-policy.ts
+++ b/src/router/policies/cell-policy.ts
@@ -3,7 +3,9 @@
 import * as shares from "../../limits/shares.js";
 import * as loadSummary from "../../load/load-summary.js";
 import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
-import * as routePlan from "../../routing/route-plan.js";
+import type * as routePlan from "../../routing/route-plan.js";
+import type * as policyChain from "./policy-chain.js";
+import * as promptParts from "../../routing/prompt-parts.js";
 import * as zoneRotation from "../../runners/zone-rotation.js";
 
 /** From so many shared tokens on, the request goes to the data. */
@@ -64,7 +66,7 @@
 }
 
 /** Orders the regions of a request. */
-export class CellPolicy implements routePlan.Policy {
+export class CellPolicy implements policyChain.Policy {
   readonly name = "cells";
   private readonly states = new Map<string, CellState>();
   constructor(
@@ -104,7 +106,7 @@
   private byKey(plan: routePlan.RoutePlan, counts: ReadonlyMap<string, CellCount>): string[] {
     const weights = new Map<string, number>();
     for (const [region, cell] of counts) weights.set(region, cell.all);
-    return rankByKey(routePlan.promptKey(plan.sharedParts), weights);
+    return rankByKey(promptParts.promptKey(plan.sharedParts), weights);
   }
 
   private byPriority(counts: ReadonlyMap<string, CellCount>): string[] {
--- a/src/router/policies/homes-policy.ts
+++ b/src/router/policies/homes-policy.ts
@@ -1,6 +1,7 @@
 // Homes: whatever fails, only runners in the allowed regions, in use and not tried yet, remain (design 7.3).
 import type * as runnerFleet from "../../runners/runner-fleet.js";
 import type * as routePlan from "../../routing/route-plan.js";
+import type * as policyChain from "./policy-chain.js";
 import type * as zoneRotation from "../../runners/zone-rotation.js";
 
 const LEAVING_SLACK_MS = 300;
@@ -11,7 +12,7 @@
 }
 
 /** The first policy of the chain. */
-export class HomesPolicy implements routePlan.Policy {
+export class HomesPolicy implements policyChain.Policy {
   readonly name = "homes";
   constructor(
     private readonly fleet: runnerFleet.RunnerFleet,
--- a/src/router/policies/runner-policy.ts
+++ b/src/router/policies/runner-policy.ts
@@ -2,7 +2,9 @@
 // ahead of it, parts of its prompt to read, its batch, the way to another cell. Ties go by the prompt's key.
 import * as shares from "../../limits/shares.js";
 import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
-import * as routePlan from "../../routing/route-plan.js";
+import type * as routePlan from "../../routing/route-plan.js";
+import type * as policyChain from "./policy-chain.js";
+import * as promptParts from "../../routing/prompt-parts.js";
 import type * as prefillTracker from "../../runners/prefill-tracker.js";
 import * as runnerHealth from "../../runners/runner-health.js";
 
@@ -25,7 +27,7 @@
 }
 
 /** Orders the candidates by what they would cost the request. */
-export class RunnerPolicy implements routePlan.Policy {
+export class RunnerPolicy implements policyChain.Policy {
   readonly name = "runner";
   constructor(private readonly prefills: prefillTracker.PrefillTracker) {}
 
@@ -56,7 +58,7 @@
   private scoreCell(plan: routePlan.RoutePlan, cell: runnerEndpoint.RunnerEndpoint[], cellIndex: number): ScoredRunner[] {
     const { prefills: known } = this;
     const hasPrompt = plan.parts.length > 0;
-    const ranks = hasPrompt ? affinityRanks(routePlan.promptKey(plan.sharedParts), cell) : null;
+    const ranks = hasPrompt ? affinityRanks(promptParts.promptKey(plan.sharedParts), cell) : null;
     return cell.map(scored);
     function scored(runner: runnerEndpoint.RunnerEndpoint): ScoredRunner {
       let ms =
--- a/src/router/route-request.ts
+++ b/src/router/route-request.ts
@@ -8,8 +8,7 @@
 import * as types from "../wire/types.js";
 import type * as runnerAttempt from "./runner-attempt.js";
 import * as headerRules from "./header-rules.js";
-import * as routePlan from "../routing/route-plan.js";
-import * as prefillTracker from "../runners/prefill-tracker.js";
+import * as promptParts from "../routing/prompt-parts.js";
 
 /** For clients that don't say how long they wait. */
 const DEFAULT_BUDGET_MS = 60_000;
@@ -26,12 +25,12 @@
   rank: number;
   /** An item of a batch, sent by a control node. */
   isBatch: boolean;
-  parts: routePlan.PromptPart[];
+  parts: promptParts.PromptPart[];
   prefixKeys: number[];
   /** Both in ms of the steady clock. */
   arrivedAt: number;
   deadline: number;
-  requestedTokens: routePlan.RequestedTokens;
+  requestedTokens: promptParts.RequestedTokens;
   body: Buffer | null;
 }
 
@@ -63,15 +62,15 @@
 /** The request of what was read. */
 export function buildRouteRequest(incoming: nodeHttp.IncomingMessage, received: ReceivedRequest): RouteRequest {
   const { requestId, entry, tenant, arrivedAt, isBatch } = received;
-  const parts = routePlan.parsePromptParts(singleValue(incoming.headers[names.HEADER.prefix]));
+  const parts = promptParts.parsePromptParts(singleValue(incoming.headers[names.HEADER.prefix]));
   return {
     ...received,
     rank: isBatch ? routes.BATCH_RANK : routes.rankOf(entry.route, tenant?.priority),
     service: routes.chooseService(entry, shares.hash(`${requestId}/split`) / HASH_RANGE),
     parts,
-    prefixKeys: prefillTracker.prefixKeys(parts),
+    prefixKeys: promptParts.prefixKeys(parts),
     deadline: arrivedAt + timeBudgetMs(incoming, entry),
-    requestedTokens: routePlan.parseRequestedTokens(singleValue(incoming.headers[names.HEADER.tokens]), parts),
+    requestedTokens: promptParts.parseRequestedTokens(singleValue(incoming.headers[names.HEADER.tokens]), parts),
   };
 }
 
--- a/src/router/runner-picker.ts
+++ b/src/router/runner-picker.ts
@@ -9,7 +9,8 @@
 import type * as connectionPool from "../runners/connection-pool.js";
 import type * as runnerFleet from "../runners/runner-fleet.js";
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
-import * as routePlan from "../routing/route-plan.js";
+import type * as routePlan from "../routing/route-plan.js";
+import * as policyChain from "./policies/policy-chain.js";
 import * as admissionPolicy from "./policies/admission-policy.js";
 import * as cellPolicy from "./policies/cell-policy.js";
 import * as homesPolicy from "./policies/homes-policy.js";
@@ -38,7 +39,7 @@
 
 /** The chain of policies of one router. */
 export class RunnerPicker {
-  private readonly policies: routePlan.Policy[];
+  private readonly policies: policyChain.Policy[];
   routeTable: routes.RouteTable | null = null;
   readonly admission: admissions.Admission;
 
@@ -104,7 +105,7 @@
       cells: [],
       candidates: [],
     };
-    const rejection = routePlan.runPolicies(this.policies, plan);
+    const rejection = policyChain.runPolicies(this.policies, plan);
     if (rejection) return rejection;
     if (sends > 0 && !this.limits.takeRepeat(request.service)) {
       log.count("router.budget_spent");
--- a/src/routing/route-plan.ts
+++ b/src/routing/route-plan.ts
@@ -1,99 +1,45 @@
-// What the chain of policies works on, and their one interface (design 7.2).
+/** What the router's policies and admission work on: one request on its way to a runner (design 7.2). */
 import type * as routes from "../config/routes.js";
+import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as tenant from "../tenants/tenant.js";
 import type * as types from "../wire/types.js";
-import type * as runnerEndpoint from "../runners/runner-endpoint.js";
+import type * as promptParts from "./prompt-parts.js";
 
-/** A part of a prompt. */
-export interface PromptPart {
-  id: string;
-  tokens: number;
-}
-
-/** What X-Cranewind-Token-Usage tells: tokens of the prompt, and the most out; 0 where nothing was told. */
-export interface RequestedTokens {
-  prompt: number;
-  maxOutput: number;
-}
-
-/** One request on its way through the policies. */
+/** The routing of one attempt: what is known of the request, and the cells and runners that remain for it. */
 export interface RoutePlan {
   readonly requestId: types.RequestId;
-  /** 0 is the most urgent; items of batches come after the ranks of all routes. */
+  /** Priority: 0 is the most urgent; items of batches come after the ranks of all routes. */
   readonly rank: number;
-  /** An item of a batch: it may only take room that nobody else wants (design/batch 6). */
+  /** An item of a batch: it may only use capacity that nobody else needs (design/batch 6). */
   readonly isBatch: boolean;
   readonly entry: routes.RouteEntry;
   /** Whose request it is; null where no key is needed. */
   readonly tenant: tenant.Tenant | null;
   readonly service: string;
-  /** The parts of the prompt that others share: all but the last. */
-  readonly sharedParts: readonly PromptPart[];
+  /** The parts of the prompt that other requests share: all but the last. */
+  readonly sharedParts: readonly promptParts.PromptPart[];
   readonly sharedTokens: number;
-  /** All parts of the prompt, and one chained key each. */
-  readonly parts: readonly PromptPart[];
+  /** All parts of the prompt, and the key of the prefix that ends with each. */
+  readonly parts: readonly promptParts.PromptPart[];
   readonly prefixKeys: readonly number[];
+  /** Runners that earlier attempts of the same request were sent to. */
   readonly attemptedRunners: ReadonlySet<string>;
+  /** Milliseconds of the steady clock, as `deadline`. */
   readonly now: number;
   readonly deadline: number;
-  readonly requestedTokens: RequestedTokens;
-  /** The same for each try of one request; 0 where nothing tells it (design/admission 5). */
+  readonly requestedTokens: promptParts.RequestedTokens;
+  /** The same for all requests that a client sends for one piece of work; 0 where nothing identifies it (design/admission 5). */
   readonly retryKey: number;
-  /** Regions in the order to be tried; filled by the homes and cell policies. */
+  /** Regions in order of preference; set by the homes and cell policies. */
   cells: string[];
+  /** Runners in order of preference. */
   candidates: runnerEndpoint.RunnerEndpoint[];
 }
 
-/** An answer of the router instead of a runner. */
+/** The router's own response in place of a runner's: nothing of the request has run. */
 export interface Rejection {
   status: 429 | 503;
   cause: string;
+  /** Seconds after which the client may send the request again. */
   retryAfterS: number;
 }
-
-/** One link of the chain: narrows or orders the candidates, or denies. */
-export interface Policy {
-  readonly name: string;
-  apply(plan: RoutePlan): Rejection | null;
-}
-
-/** ID:TOKENS pairs separated by commas; what cannot be read is no part. */
-export function parsePromptParts(header: string | undefined): PromptPart[] {
-  const parts: PromptPart[] = [];
-  if (!header) return parts;
-  for (const item of header.split(",")) {
-    const colon = item.indexOf(":");
-    const tokens = Number(item.slice(colon + 1));
-    if (colon <= 0 || !Number.isFinite(tokens)) break;
-    parts.push({ id: item.slice(0, colon).trim(), tokens });
-  }
-  return parts;
-}
-
-/** The two counts of the header; what cannot be read is 0, and the parts' own tokens stand in for the prompt. */
-export function parseRequestedTokens(header: string | undefined, parts: readonly PromptPart[]): RequestedTokens {
-  const [prompt, mostOut] = (header ?? "").split(",").map(Number);
-  let sum = 0;
-  for (const part of parts) sum += part.tokens;
-  return { prompt: positive(prompt) || sum, maxOutput: positive(mostOut) };
-}
-
-function positive(value: number | undefined): number {
-  return value !== undefined && Number.isFinite(value) && value > 0 ? value : 0;
-}
-
-/** One key for a row of parts. */
-export function promptKey(parts: readonly PromptPart[]): string {
-  let key = "";
-  for (const part of parts) key += `${part.id},`;
-  return key;
-}
-
-/** Applies the policies in order, up to the first that denies. */
-export function runPolicies(policies: readonly Policy[], plan: RoutePlan): Rejection | null {
-  for (const policy of policies) {
-    const rejection = policy.apply(plan);
-    if (rejection) return rejection;
-  }
-  return null;
-}
--- a/src/runners/prefill-tracker.ts
+++ b/src/runners/prefill-tracker.ts
@@ -1,7 +1,6 @@
 // What the routers know together of the runners' readings (design 7.4): who has read which parts, and how long
 // each still reads. Told among routers as it happens, kept in memory, lost with the process.
-import type * as routePlan from "../routing/route-plan.js";
-import * as shares from "../limits/shares.js";
+import type * as promptParts from "../routing/prompt-parts.js";
 
 const INITIAL_TOKENS_PER_MS = 40;
 const RISE_WEIGHT = 0.3;
@@ -53,7 +52,7 @@
   }
 
   /** Tokens that the runner would have to read: the key of a part is made of all before it, so these are kept with it. */
-  unread(runner: string, parts: readonly routePlan.PromptPart[], keys: readonly number[]): number {
+  unread(runner: string, parts: readonly promptParts.PromptPart[], keys: readonly number[]): number {
     let unread = 0;
     for (const part of parts.slice(this.cachedParts(runner, keys))) unread += part.tokens;
     return unread;
@@ -74,14 +73,3 @@
     this.tokensPerMs += (sample > this.tokensPerMs ? RISE_WEIGHT : FALL_WEIGHT) * (sample - this.tokensPerMs);
   }
 }
-
-/** One key a part, made of it and all before it. */
-export function prefixKeys(parts: readonly routePlan.PromptPart[]): number[] {
-  const keys: number[] = [];
-  let chain = "";
-  for (const part of parts) {
-    chain += `${part.id},`;
-    keys.push(shares.hash(chain) | 0);
-  }
-  return keys;
-}
--- a/src/whatif/batch.ts
+++ b/src/whatif/batch.ts
@@ -2,7 +2,7 @@
  * A model of a runner under more than it can take (design/admission 7): batch places, a bounded queue by priority,
  * memory for tokens, prompts read one after the other, and work that stops at its deadline.
  */
-import type * as routePlan from "../routing/route-plan.js";
+import * as promptParts from "../routing/prompt-parts.js";
 import * as prefillTracker from "../runners/prefill-tracker.js";
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
@@ -10,7 +10,7 @@
 
 /** One request as the runner sees it; its deadline in milliseconds of the planned clock. */
 export interface Job {
-  readonly parts: readonly routePlan.PromptPart[];
+  readonly parts: readonly promptParts.PromptPart[];
   readonly events: number;
   readonly priority: number;
   readonly deadline: number;
@@ -84,7 +84,7 @@
 
   private run(job: Job): void {
     const now = this.world.now();
-    const keys = prefillTracker.prefixKeys(job.parts);
+    const keys = promptParts.prefixKeys(job.parts);
     const unread = this.cachedPrompts.unread(this.id, job.parts, keys);
     this.cachedPrompts.recordPrefill(this.id, unread, keys, now);
     this.active += 1;
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -1,6 +1,6 @@
 /** A client of an overload day: a deadline, retries as told by Retry-After, one router a try (design/admission 7). */
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
-import type * as routePlan from "../routing/route-plan.js";
+import type * as promptParts from "../routing/prompt-parts.js";
 import type * as attemptObserver from "../admission/attempt-observer.js";
 import type * as routeRequest from "../router/route-request.js";
 import type * as types from "../wire/types.js";
@@ -79,7 +79,7 @@
     private readonly fleet: OverloadedFleet,
     private readonly scenario: scenarios.Scenario,
     private readonly kind: scenarios.Kind,
-    private readonly parts: routePlan.PromptPart[],
+    private readonly parts: promptParts.PromptPart[],
     private readonly events: number,
     private readonly record: RequestRecord,
   ) {
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -2,7 +2,7 @@
  * Plays a day that asks for more than the fleet can take, through the router's own policies and its admission
  * (design/admission 7): clients with deadlines that return as told, surges, slowed runners and routers.
  */
-import * as routePlan from "../routing/route-plan.js";
+import type * as promptParts from "../routing/prompt-parts.js";
 import * as batch from "./batch.js";
 import * as client from "./client.js";
 import * as owner from "./owner.js";
@@ -142,7 +142,7 @@
     this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
     const session = `${kind.name}-${Math.floor(this.chance.random() * kind.sessions)}`;
     const size = Math.min(LONGEST_SIZE, 0.5 - 0.5 * Math.log(1 - this.chance.random()));
-    const parts: routePlan.PromptPart[] = [
+    const parts: promptParts.PromptPart[] = [
       { id: `c-${kind.name}`, tokens: kind.common_tokens },
       { id: `s-${session}`, tokens: kind.session_tokens },
       { id: `t-${this.records.length}`, tokens: Math.max(1, Math.round(kind.turn_tokens * size)) },
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -1,5 +1,5 @@
 /** Plays a what-if day and counts it by phase: before, during and after the faults (design 11.2). */
-import * as routePlan from "../routing/route-plan.js";
+import type * as promptParts from "../routing/prompt-parts.js";
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import * as owner from "./owner.js";
 import * as models from "./runner.js";
@@ -27,7 +27,7 @@
   readonly session: string;
   readonly router: system.ModelRouter;
   /** Common part, session's part, and the turn's own. */
-  readonly parts: routePlan.PromptPart[];
+  readonly parts: promptParts.PromptPart[];
   readonly startedAt: number;
   /** Ids of the runners that were lost or full. */
   readonly tried: Set<string>;
@@ -138,7 +138,7 @@
     const session = `${kind.name}-${Math.floor(this.world.random() * kind.sessions)}`;
     const router = this.routers[Math.floor(this.world.random() * this.routers.length)];
     this.requests += 1;
-    const parts: routePlan.PromptPart[] = [
+    const parts: promptParts.PromptPart[] = [
       { id: `c-${kind.name}`, tokens: kind.common_tokens },
       { id: `s-${session}`, tokens: kind.session_tokens },
       { id: `t-${this.requests}`, tokens: kind.turn_tokens },
--- a/src/whatif/runner.ts
+++ b/src/whatif/runner.ts
@@ -2,7 +2,7 @@
  * A simple model of a runner: prompts are read one after the other, events come slower in a fuller batch, and what
  * was read is cached (design 11.2).
  */
-import * as routePlan from "../routing/route-plan.js";
+import * as promptParts from "../routing/prompt-parts.js";
 import * as prefillTracker from "../runners/prefill-tracker.js";
 import type * as scenarios from "./scenario.js";
 
@@ -32,8 +32,8 @@
   }
 
   /** When the first and the last event leave, from now on. */
-  run(parts: readonly routePlan.PromptPart[], events: number, nowMs: number): Run {
-    const keys = prefillTracker.prefixKeys(parts);
+  run(parts: readonly promptParts.PromptPart[], events: number, nowMs: number): Run {
+    const keys = promptParts.prefixKeys(parts);
     const unread = this.cachedPrompts.unread(this.id, parts, keys);
     this.cachedPrompts.recordPrefill(this.id, unread, keys, nowMs);
     this.readingUntil = Math.max(nowMs, this.readingUntil) + unread / this.figures.tokens_per_ms;
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -3,7 +3,7 @@
 import * as routes from "../config/routes.js";
 import * as runnerPicker from "../router/runner-picker.js";
 import * as runnerFleet from "../runners/runner-fleet.js";
-import * as routePlan from "../routing/route-plan.js";
+import * as promptParts from "../routing/prompt-parts.js";
 import * as prefillTracker from "../runners/prefill-tracker.js";
 import * as zoneRotation from "../runners/zone-rotation.js";
 import * as shares from "../limits/shares.js";
@@ -108,11 +108,11 @@
 export function requestOf(
   entry: routes.RouteEntry,
   requestId: string,
-  parts: routePlan.PromptPart[],
+  parts: promptParts.PromptPart[],
   deadline: number,
   mostOut = 0,
 ): routeRequest.RouteRequest {
-  const asked = { ...routePlan.parseRequestedTokens(undefined, parts), mostOut };
+  const asked = { ...promptParts.parseRequestedTokens(undefined, parts), mostOut };
   return {
     requestId: types.small(requestId),
     entry,
@@ -121,7 +121,7 @@
     isBatch: false,
     tenant: null,
     parts,
-    prefixKeys: prefillTracker.prefixKeys(parts),
+    prefixKeys: promptParts.prefixKeys(parts),
     arrivedAt: 0,
     deadline,
     requestedTokens: asked,
--- a/tests/admission-judge.test.ts
+++ b/tests/admission-judge.test.ts
@@ -10,6 +10,7 @@
 import * as runnerFleet from "../src/runners/runner-fleet.js";
 import * as routePlan from "../src/routing/route-plan.js";
 import * as prefillTracker from "../src/runners/prefill-tracker.js";
+import * as promptParts from "../src/routing/prompt-parts.js";
 import * as types from "../src/wire/types.js";
 import { NOBODYS } from "./sim/plans.js";
 import * as sim from "./sim/world.js";
@@ -72,7 +73,7 @@
       sharedParts: [],
       sharedTokens: 0,
       parts,
-      prefixKeys: prefillTracker.prefixKeys(parts),
+      prefixKeys: promptParts.prefixKeys(parts),
       attemptedRunners: new Set(),
       now: this.clock.now(),
       deadline: this.clock.now() + 4000,
--- a/tests/choice.test.ts
+++ b/tests/choice.test.ts
@@ -3,7 +3,8 @@
 import * as clock from "../src/experiment/clock.js";
 import * as runnerFleet from "../src/runners/runner-fleet.js";
 import type * as runnerEndpoint from "../src/runners/runner-endpoint.js";
-import * as routePlan from "../src/routing/route-plan.js";
+import type * as routePlan from "../src/routing/route-plan.js";
+import * as promptParts from "../src/routing/prompt-parts.js";
 import * as runnerPolicy from "../src/router/policies/runner-policy.js";
 import * as prefillTracker from "../src/runners/prefill-tracker.js";
 import * as shares from "../src/limits/shares.js";
@@ -26,7 +27,7 @@
   place: number,
   known: prefillTracker.PrefillTracker,
 ): Map<runnerEndpoint.RunnerEndpoint, number> {
-  const key = routePlan.promptKey(plan.sharedParts);
+  const key = promptParts.promptKey(plan.sharedParts);
   const ranked = [...cell].sort((left, right) => shares.hash(`${key}|${right.id}`) - shares.hash(`${key}|${left.id}`));
   const found = new Map<runnerEndpoint.RunnerEndpoint, number>();
   for (const [rank, runner] of ranked.entries()) {
@@ -57,7 +58,7 @@
     parts,
     sharedParts: parts.slice(0, -1),
     sharedTokens: 0,
-    prefixKeys: prefillTracker.prefixKeys(parts),
+    prefixKeys: promptParts.prefixKeys(parts),
     attemptedRunners: new Set(),
     now: 1000,
     deadline: 9000,
@@ -96,7 +97,7 @@
       known.recordPrefill(
         runner.id,
         world.random() * 9000,
-        prefillTracker.prefixKeys([{ id: `b-${Math.floor(world.random() * 3)}`, tokens: 0 }]),
+        promptParts.prefixKeys([{ id: `b-${Math.floor(world.random() * 3)}`, tokens: 0 }]),
         1000,
       );
   }
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -3,7 +3,8 @@
 import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import * as eventSplitter from "../src/router/client/event-splitter.js";
 import * as runnerFleet from "../src/runners/runner-fleet.js";
-import * as routePlan from "../src/routing/route-plan.js";
+import type * as routePlan from "../src/routing/route-plan.js";
+import * as promptParts from "../src/routing/prompt-parts.js";
 import * as cellPolicy from "../src/router/policies/cell-policy.js";
 import * as zoneRotation from "../src/runners/zone-rotation.js";
 import * as registerValue from "../src/register/register-value.js";
@@ -235,7 +236,7 @@
   ["x", []],
   ["a:1,b:zz", ["a"]],
 ])("parts of %j", function parts(header, ids) {
-  expect(routePlan.parsePromptParts(header).map((part) => part.id)).toEqual(ids);
+  expect(promptParts.parsePromptParts(header).map((part) => part.id)).toEqual(ids);
 });
 
 function node(name: string, region: string, isReady: boolean): schema.NodeInfo {
--- a/tests/signs.test.ts
+++ b/tests/signs.test.ts
@@ -1,5 +1,6 @@
 // Signs between routers (design/usage 2): few frames, marks that name one runner, no echo, bounds.
 import * as prefillTracker from "../src/runners/prefill-tracker.js";
+import * as promptParts from "../src/routing/prompt-parts.js";
 import * as hintBatch from "../src/hints/hint-batch.js";
 import * as runnerHash from "../src/hints/runner-hash.js";
 import * as throttle from "../src/hints/throttle.js";
@@ -123,7 +124,7 @@
     { id: "b", tokens: 10 },
     { id: "c", tokens: 1 },
   ];
-  const keys = prefillTracker.prefixKeys(parts);
+  const keys = promptParts.prefixKeys(parts);
   const known = new prefillTracker.PrefillTracker();
   known.recordPrefill(
     "x",
@@ -143,7 +144,7 @@
       id: `${at}-${Math.floor(clock.random() * 5)}`,
       tokens: 700,
     }));
-    const keys = prefillTracker.prefixKeys(parts);
+    const keys = promptParts.prefixKeys(parts);
     for (const other of [all, few]) expect(other.unread("x", parts, keys)).toBe(own.unread("x", parts, keys));
     const kept = own.cachedParts("x", keys);
     own.recordPrefill("x", 0, keys, 0);
