--- a/src/admission/admission-decider.ts
+++ b/src/admission/admission-decider.ts
@@ -30,7 +30,7 @@
 /** What the judge knows; the router's `Admission` is it. */
 export interface Knowledge {
   readonly clock: types.Clock;
-  readonly cells: cellLeases.CellLeases;
+  readonly cellLeases: cellLeases.CellLeases;
   readonly interTokenGaps: interTokenGaps.InterTokenGaps;
   readonly slowdowns: runnerSlowdown.RunnerSlowdowns;
   readonly recentRejections: recentRejections.RecentRejections;
@@ -127,7 +127,7 @@
     if (survey.best) return admissionDecision.admitAt(plan, survey.best);
     // Every runner is too small for it: the chain goes on as before, and the runner itself says so.
     if (survey.minCompletionMs === Infinity) return null;
-    const room = this.known.cells.capacityNow(unsuspected, plan.now);
+    const room = this.known.cellLeases.capacityNow(unsuspected, plan.now);
     // Nothing is denied while a place is free for it, but what cannot be done even without a wait.
     if (plan.rank === 0 || cellCapacity.isUnderHalfUsed(room)) {
       const taken = survey.inTime ?? survey.free;
@@ -167,7 +167,11 @@
         }
         found.inTime ??= runner;
       }
-      if (predicted.hasFreeSlot && this.known.cells.hasLease(runner) && predicted.completionMs <= criteria.remainingMs * MAX_OVERRUN_FACTOR)
+      if (
+        predicted.hasFreeSlot &&
+        this.known.cellLeases.hasLeasedSlot(runner) &&
+        predicted.completionMs <= criteria.remainingMs * MAX_OVERRUN_FACTOR
+      )
         found.free ??= runner;
     }
     return found;
@@ -188,7 +192,7 @@
   }
 
   private deny(plan: routePlan.RoutePlan, excessMs: number): routePlan.Rejection {
-    this.known.recentRejections.recordRejection(plan.retryKey, plan.now);
+    this.known.recentRejections.record(plan.retryKey, plan.now);
     this.known.sizeClassesOf(plan.entry.route.name).record(sizeOf(plan), false);
     log.count("admission.denied");
     log.count(`admission.denied_rank_${plan.rank}`);
--- a/src/admission/admission-stats.ts
+++ b/src/admission/admission-stats.ts
@@ -63,7 +63,7 @@
   }
 
   /** Called now and then: the end of a shortage is a change of state, logged with what it came to. */
-  onTimer(): void {
+  detectRecovery(): void {
     if (!this.isRejecting || this.world.now() - this.lastRefusalAt < SHORTAGE_END_MS) return;
     this.isRejecting = false;
     log.state(this.logLine());
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -38,9 +38,9 @@
   /** The runners of a region. */
   readonly runners: (region: string) => Iterable<runnerEndpoint.RunnerEndpoint>;
   /** Which prompts the runners hold, what they are reading, and how fast they read. */
-  readonly known: prefillTracker.PrefillTracker;
+  readonly prefill: prefillTracker.PrefillTracker;
   /** Routers of the fleet, this one included; 1 at least. */
-  readonly routers: () => number;
+  readonly routerCount: () => number;
 }
 
 /** What a prediction at one runner is made from. */
@@ -67,7 +67,7 @@
 export class Admission implements attemptObserver.LearnedModels, admissionDecider.Knowledge {
   /** False lets every request in; learning goes on. Follows the setting `admission`. */
   isOn = true;
-  readonly cells: cellLeases.CellLeases;
+  readonly cellLeases: cellLeases.CellLeases;
   readonly interTokenGaps = new interTokenGaps.InterTokenGaps();
   readonly slowdowns = new runnerSlowdown.RunnerSlowdowns();
   readonly recentRejections = new recentRejections.RecentRejections();
@@ -84,20 +84,20 @@
     readonly clock: types.Clock,
     readonly dependencies: Dependencies,
   ) {
-    this.cells = new cellLeases.CellLeases(clock);
+    this.cellLeases = new cellLeases.CellLeases(clock);
     this.stats = new admissionStats.AdmissionStats(clock);
   }
 
   /** Takes the runner reports of one region; called after the fleet has taken the same. */
   applyReport(report: schema.CellReport): void {
-    this.cells.applyReport(report, this.dependencies.runners(report.region), this.dependencies.routers());
+    this.cellLeases.applyReport(report, this.dependencies.runners(report.region), this.dependencies.routerCount());
   }
 
   /** Drops what is known of runners that are no longer listed; called with each new list. */
   retainOnly(listed: { has(id: string): boolean }): void {
     this.slowdowns.retainOnly(listed);
     this.interTokenGaps.retainOnly(listed);
-    this.cells.retainOnly(listed);
+    this.cellLeases.retainOnly(listed);
   }
 
   /** Called by the router's timer every `everyMs` milliseconds: what comes later than that is this router's own lag. */
@@ -105,7 +105,7 @@
     const now = this.clock.now();
     if (this.lastTimerAt >= 0) this.recordLag(Math.max(0, now - this.lastTimerAt - everyMs));
     this.lastTimerAt = now;
-    this.stats.onTimer();
+    this.stats.detectRecovery();
   }
 
   /** A measured lag in milliseconds: up at once, halved with each smaller one. */
@@ -132,7 +132,7 @@
   demandOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): prediction.TokenDemand {
     const { prompt, maxOutput: mostOut } = plan.requestedTokens;
     return {
-      prefillTokens: plan.parts.length > 0 ? this.dependencies.known.unread(runner.id, plan.parts, plan.prefixKeys) : 0,
+      prefillTokens: plan.parts.length > 0 ? this.dependencies.prefill.unread(runner.id, plan.parts, plan.prefixKeys) : 0,
       outputTokens: mostOut,
       totalTokens: prompt + mostOut,
     };
@@ -149,14 +149,14 @@
   }
 
   private placeOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): cellCapacity.SlotUsage {
-    return this.cells.slotUsageOf(this.dependencies.known.backlogMs(runner.id, plan.now), runner);
+    return this.cellLeases.slotUsageOf(this.dependencies.prefill.backlogMs(runner.id, plan.now), runner);
   }
 
   private predictAt(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint, input: PredictionInput): prediction.Prediction {
     const pace = this.serviceTimeOf(plan.service);
     const { place, need, slow, waitFactor } = input;
     return prediction.predict(place, need, {
-      prefillTokensPerMs: this.dependencies.known.tokensPerMs,
+      prefillTokensPerMs: this.dependencies.prefill.tokensPerMs,
       occupancyMs: pace.occupancyMs(plan.requestedTokens.maxOutput > 0),
       tokenMs: pace.tokenMs((place.used + 1) / Math.max(1, place.capacity)),
       waitFactor,
@@ -180,7 +180,7 @@
     if (plan.attemptedRunners.size === 0) this.recordAdmitted(plan);
     const need = this.demandOf(plan, runner);
     const ticket = new attemptObserver.AttemptObserver(this, this.sentRequestOf(plan, runner, need));
-    this.cells.spend(runner, need.prefillTokens + need.outputTokens);
+    this.cellLeases.spend(runner, need.prefillTokens + need.outputTokens);
     return ticket;
   }
 
@@ -204,13 +204,13 @@
     const slow = runnerSlowdown.NO_SLOWDOWN;
     return {
       runner,
-      need,
+      demand: need,
       service: plan.service,
       route: route.name,
       sentAt: plan.now,
       nominal: this.predictAt(plan, runner, { place, need, slow, waitFactor }),
       waitFactor,
-      safeFirstMs: this.predictAt(plan, runner, { place, need, slow, waitFactor: safeWaitFactor }).firstEventMs,
+      conservativeFirstEventMs: this.predictAt(plan, runner, { place, need, slow, waitFactor: safeWaitFactor }).firstEventMs,
       fullness: runner.requestCount() / Math.max(1, runner.instance.capacity),
       rank,
       deadline: plan.deadline,
@@ -223,11 +223,11 @@
     return admissionStatus.statusOf({
       now: this.clock.now(),
       isOn: this.isOn,
-      rate: this.dependencies.known.tokensPerMs,
+      rate: this.dependencies.prefill.tokensPerMs,
       lagMs: this.lagMs,
       returners: this.recentRejections.size,
       tally: this.stats.status(),
-      cells: this.cells.status(),
+      cells: this.cellLeases.status(),
       services: this.paceByService.entries(),
       routes: this.typicalByRoute.entries(),
     });
--- a/src/admission/attempt-observer.ts
+++ b/src/admission/attempt-observer.ts
@@ -1,4 +1,4 @@
-/** One admitted send: what was predicted for it, and what its response teaches (design/admission 3). */
+/** Observes one attempt at a runner, and records what its response shows for later predictions (design/admission 3). */
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as types from "../wire/types.js";
 import type * as cellLeases from "./cell-leases.js";
@@ -8,45 +8,46 @@
 import type * as runnerSlowdown from "./runner-slowdown.js";
 import type * as typicalRequest from "./typical-request.js";
 
-/** What is known of a request when it is sent; times are milliseconds, points in time of the steady clock. */
+/** What is known of an attempt when it is sent; durations are milliseconds, points in time of the steady clock. */
 export interface SentAttempt {
   readonly runner: runnerEndpoint.RunnerEndpoint;
-  readonly need: prediction.TokenDemand;
+  readonly demand: prediction.TokenDemand;
   readonly service: string;
   readonly route: string;
   readonly sentAt: number;
-  /** Predicted as if the runner were as quick as the others. */
+  /** The prediction without a slowdown of the runner. */
   readonly nominal: prediction.Prediction;
   /** What the wait in `nominal` was multiplied by. */
   readonly waitFactor: number;
-  /** Its first event, were the runner as quick as the others and the wait a long one. */
-  readonly safeFirstMs: number;
+  /** The predicted time until the first event without a slowdown of the runner, with a cautious wait. */
+  readonly conservativeFirstEventMs: number;
   /** Requests at the runner over its capacity. */
   readonly fullness: number;
   readonly rank: number;
-  /** The pause that its route allows between two events; Infinity without one. */
+  /** The gap that its route allows between two events; Infinity without one. */
   readonly gapMs: number;
   readonly deadline: number;
 }
 
-/** What a ticket feeds its observations to; the router's `Admission` is it. */
+/** The models that observations are recorded to; implemented by `Admission`. */
 export interface LearnedModels {
   readonly clock: types.Clock;
   readonly slowdowns: runnerSlowdown.RunnerSlowdowns;
-  readonly cells: cellLeases.CellLeases;
+  readonly cellLeases: cellLeases.CellLeases;
   readonly interTokenGaps: interTokenGaps.InterTokenGaps;
   serviceTimeOf(service: string): serviceTimeModel.ServiceTimeModel;
   typicalRequestOf(route: string): typicalRequest.TypicalRequest;
 }
 
 /**
- * How a send ended: the whole response came, it broke off or was given up, or the runner said that it did not run it.
+ * How an attempt ended: the complete response arrived; it broke off or was cancelled; or the runner rejected it
+ * without processing it.
  */
 export type AttemptOutcome = "complete" | "stopped" | "not_run";
 
 /**
- * Follows one send. `first`, `event` and `end` are called by the attempt that reads the response; after `end` nothing
- * counts any more.
+ * Observes one attempt. Its methods are called by whoever reads the response; `recordEnd` exactly once or more often,
+ * and after it no call has an effect.
  */
 export class AttemptObserver implements runnerSlowdown.PendingRequest {
   private firstEventAt = 0;
@@ -54,75 +55,88 @@
   private isOver = false;
   /** Milliseconds of the steady clock. */
   readonly sentAt: number;
-  /** Until the first event, for the overdue check. */
+  /** Until the first event; the attempt is overdue after it. */
   readonly predictedMs: number;
   private readonly pendingWait: serviceTimeModel.PendingWait;
 
   constructor(
-    private readonly learner: LearnedModels,
+    private readonly models: LearnedModels,
     private readonly sent: SentAttempt,
   ) {
     this.sentAt = sent.sentAt;
-    this.predictedMs = sent.safeFirstMs;
-    // Without a learned pace a plain request predicts nothing that its reply could be compared to.
+    this.predictedMs = sent.conservativeFirstEventMs;
     const { nominal } = sent;
     this.pendingWait = { since: sent.sentAt + nominal.firstEventMs - nominal.waitMs * sent.waitFactor, waitMs: nominal.waitMs };
-    if (nominal.waitMs >= serviceTimeModel.MIN_WAIT_MS) learner.serviceTimeOf(sent.service).pendingWaitsOf(sent.rank).add(this.pendingWait);
-    if (this.isInformative()) learner.slowdowns.requestSent(sent.runner.id, this);
+    if (nominal.waitMs >= serviceTimeModel.MIN_WAIT_MS) models.serviceTimeOf(sent.service).pendingWaitsOf(sent.rank).add(this.pendingWait);
+    if (this.hasPrediction()) models.slowdowns.requestSent(sent.runner.id, this);
   }
 
-  private isInformative(): boolean {
-    return this.sent.need.outputTokens > 0 || this.sent.nominal.firstEventMs > 0;
+  /** Until a service time is learned, nothing is predicted for a plain request that its response could be compared to. */
+  private hasPrediction(): boolean {
+    return this.sent.demand.outputTokens > 0 || this.sent.nominal.firstEventMs > 0;
   }
 
-  /** The first event is here, or the first bytes of a plain reply. */
+  /** The first event of a stream has arrived, or the first bytes of a plain response. */
   recordFirstEvent(): void {
     if (this.firstEventAt > 0 || this.isOver) return;
-    this.firstEventAt = Math.max(this.learner.clock.now(), 1e-9);
-    this.learner.serviceTimeOf(this.sent.service).pendingWaitsOf(this.sent.rank).delete(this.pendingWait);
-    this.learner.slowdowns.responseStarted(this.sent.runner.id, this, this.firstEventAt);
-    this.learnWait(this.firstEventAt);
+    this.firstEventAt = Math.max(this.models.clock.now(), 1e-9);
+    this.models.serviceTimeOf(this.sent.service).pendingWaitsOf(this.sent.rank).delete(this.pendingWait);
+    this.models.slowdowns.responseStarted(this.sent.runner.id, this, this.firstEventAt);
+    this.recordWait(this.firstEventAt);
   }
 
-  /** A piece of the reply is here. */
+  /** An event of the stream has arrived, the first or a further one. */
   recordEvent(): void {
-    const now = this.learner.clock.now();
-    if (this.firstEventAt > 0) this.learner.interTokenGaps.recordGap(this.sent.runner.id, (now - this.lastEventAt) / this.sent.gapMs, now);
+    const now = this.models.clock.now();
+    if (this.firstEventAt > 0) this.models.interTokenGaps.recordGap(this.sent.runner.id, (now - this.lastEventAt) / this.sent.gapMs, now);
     else this.recordFirstEvent();
     this.lastEventAt = now;
   }
 
-  private learnWait(now: number): void {
-    const pace = this.learner.serviceTimeOf(this.sent.service);
-    pace.recordWait(this.sent.rank, now - this.pendingWait.since, this.pendingWait.waitMs);
+  private recordWait(now: number): void {
+    const serviceTime = this.models.serviceTimeOf(this.sent.service);
+    serviceTime.recordWait(this.sent.rank, now - this.pendingWait.since, this.pendingWait.waitMs);
   }
 
-  /** The send is over; further calls are ignored. */
-  recordEnd(ending: AttemptOutcome): void {
+  /** The attempt has ended; further calls are ignored. */
+  recordEnd(outcome: AttemptOutcome): void {
     if (this.isOver) return;
-    if (ending === "complete") this.recordFirstEvent();
+    if (outcome === "complete") this.recordFirstEvent();
     this.isOver = true;
-    const { sent, learner } = this;
-    learner.cells.release(sent.runner);
-    learner.serviceTimeOf(sent.service).pendingWaitsOf(sent.rank).delete(this.pendingWait);
-    if (this.firstEventAt === 0) learner.slowdowns.requestDropped(sent.runner.id, this);
-    if (ending === "not_run") return;
-    const now = learner.clock.now();
-    const pace = learner.serviceTimeOf(sent.service);
-    const missedDeadline = ending === "stopped" && now >= sent.deadline;
-    if (missedDeadline || (ending === "complete" && sent.nominal.waitMs > 0)) pace.recordOutcome(sent.rank, !missedDeadline);
-    // What ended without a first event waited this long at least.
-    if (this.firstEventAt === 0 && now - sent.sentAt > sent.nominal.firstEventMs) this.learnWait(now);
-    if (this.firstEventAt === 0) return;
+    const { sent, models } = this;
+    models.cellLeases.release(sent.runner);
+    models.serviceTimeOf(sent.service).pendingWaitsOf(sent.rank).delete(this.pendingWait);
+    if (this.firstEventAt === 0) models.slowdowns.requestDropped(sent.runner.id, this);
+    if (outcome === "not_run") return;
+    const now = models.clock.now();
+    this.recordDeadline(outcome, now);
+    // An attempt that ended without a first event waited at least this long.
+    if (this.firstEventAt === 0 && now - sent.sentAt > sent.nominal.firstEventMs) this.recordWait(now);
+    if (this.firstEventAt > 0) this.recordResponse(outcome, now);
+  }
+
+  /** Whether a request that was predicted to wait met its deadline. */
+  private recordDeadline(outcome: AttemptOutcome, now: number): void {
+    const { sent } = this;
+    const missedDeadline = outcome === "stopped" && now >= sent.deadline;
+    if (missedDeadline || (outcome === "complete" && sent.nominal.waitMs > 0))
+      this.models.serviceTimeOf(sent.service).recordOutcome(sent.rank, !missedDeadline);
+  }
+
+  /** The time from the first event to the end, and, for a complete response, the time that a slot was occupied. */
+  private recordResponse(outcome: AttemptOutcome, now: number): void {
+    const { sent, models } = this;
+    const { outputTokens } = sent.demand;
+    const serviceTime = models.serviceTimeOf(sent.service);
     const streamedMs = now - this.firstEventAt;
-    const paceMs = sent.need.outputTokens * pace.tokenMs(sent.fullness);
-    // A stream cut at its deadline took so long at least.
-    if (ending === "complete" || streamedMs > paceMs) learner.slowdowns.streamEnded(sent.runner.id, streamedMs, paceMs);
-    if (ending !== "complete") return;
-    if (sent.need.outputTokens > 0) pace.recordTokens(sent.fullness, sent.need.outputTokens, streamedMs);
-    // From the send on only where a place was free: else the wait for it would count as work.
-    const heldMs = sent.need.outputTokens > 0 && !sent.nominal.hasFreeSlot ? streamedMs : now - sent.sentAt;
-    pace.recordOccupancy(heldMs);
-    learner.typicalRequestOf(sent.route).recordCompletion(sent.service, sent.need, heldMs);
+    const predictedMs = outputTokens * serviceTime.tokenMs(sent.fullness);
+    // A stream that was cancelled at its deadline would have taken at least this long.
+    if (outcome === "complete" || streamedMs > predictedMs) models.slowdowns.streamEnded(sent.runner.id, streamedMs, predictedMs);
+    if (outcome !== "complete") return;
+    if (outputTokens > 0) serviceTime.recordTokens(sent.fullness, outputTokens, streamedMs);
+    // Where no slot was free, the time from sending on would include the wait for one.
+    const occupancyMs = outputTokens > 0 && !sent.nominal.hasFreeSlot ? streamedMs : now - sent.sentAt;
+    serviceTime.recordOccupancy(occupancyMs);
+    models.typicalRequestOf(sent.route).recordCompletion(sent.service, sent.demand, occupancyMs);
   }
 }
--- a/src/admission/batch-admission.ts
+++ b/src/admission/batch-admission.ts
@@ -1,6 +1,7 @@
 /**
- * Whether there is room to spare for an item of a batch (design/batch 6): it goes only where a place is free, nobody
- * waits, no stream is held up, and most of the cell stays free for others. Also with the setting `admission` off.
+ * Admission of batch items (design/batch 6): an item goes only where a slot is free, no request is queued, no stream is
+ * near the limit of its gaps, and most of the cell stays free for other requests. Applies also with the setting
+ * `admission` off.
  */
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as routePlan from "../routing/route-plan.js";
@@ -8,18 +9,18 @@
 import type * as cellLeases from "./cell-leases.js";
 import type * as interTokenGaps from "./inter-token-gaps.js";
 import type * as prediction from "./prediction.js";
-import type * as cellCapacity from "./cell-capacity.js";
+import * as cellCapacity from "./cell-capacity.js";
 import * as runnerSlowdown from "./runner-slowdown.js";
 import * as admissionDecision from "./admission-decision.js";
 
-/** A cell with more of its places taken has none to spare; somewhat over what control nodes fill it to (*ours*). */
-const FULL_SHARE = 0.8;
-/** When the control node may try again. */
-const RETRY_S = 1;
+/** Of a cell's slots, the fraction from which no batch item is admitted; somewhat over what control nodes fill (*ours*). */
+const MAX_USED_FRACTION = 0.8;
+/** When the control node may send the item again. */
+const RETRY_AFTER_S = 1;
 
-/** What is known of the runners; the router's `Admission` is it. */
+/** What is known of the runners; implemented by `Admission`. */
 export interface Knowledge {
-  readonly cells: cellLeases.CellLeases;
+  readonly cellLeases: cellLeases.CellLeases;
   readonly interTokenGaps: interTokenGaps.InterTokenGaps;
   predict(
     plan: routePlan.RoutePlan,
@@ -29,24 +30,22 @@
   ): prediction.Prediction;
 }
 
-/** Null lets the item in, its runner put first. */
+function hasSpareCapacity(known: Knowledge, plan: routePlan.RoutePlan, region: string): boolean {
+  const runners = plan.candidates.filter((runner) => runner.region === region);
+  return cellCapacity.isUsedBelow(known.cellLeases.capacityNow(runners, plan.now), MAX_USED_FRACTION);
+}
+
+/** Null admits the item, with its runner moved to the front. */
 export function decideBatchItem(known: Knowledge, plan: routePlan.RoutePlan): routePlan.Rejection | null {
-  const rooms = new Map<string, boolean>();
+  const hasSpareByRegion = new Map<string, boolean>();
   for (const runner of plan.candidates) {
-    if (!rooms.has(runner.region)) rooms.set(runner.region, hasRoom(known, plan, runner.region));
-    if (!rooms.get(runner.region) || runner.isSuspect(plan.now) || known.interTokenGaps.isNearLimit(runner.id, plan.now)) continue;
+    const { region } = runner;
+    if (!hasSpareByRegion.has(region)) hasSpareByRegion.set(region, hasSpareCapacity(known, plan, region));
+    if (!hasSpareByRegion.get(region) || runner.isSuspect(plan.now) || known.interTokenGaps.isNearLimit(runner.id, plan.now)) continue;
     const predicted = known.predict(plan, runner, runnerSlowdown.NO_SLOWDOWN, 1);
     if (predicted.hasFreeSlot && !predicted.neverFits && predicted.completionMs <= plan.deadline - plan.now)
       return admissionDecision.admitAt(plan, runner);
   }
   log.count("admission.batch_denied");
-  return { status: 503, cause: "there is no room to spare for an item of a batch", retryAfterS: RETRY_S };
-}
-
-function hasRoom(known: Knowledge, plan: routePlan.RoutePlan, region: string): boolean {
-  const room: cellCapacity.CellCapacity = known.cells.capacityNow(
-    plan.candidates.filter((runner) => runner.region === region),
-    plan.now,
-  );
-  return room.waiting === 0 && room.places - room.freePlaces < FULL_SHARE * room.places;
+  return { status: 503, cause: "there is no room to spare for an item of a batch", retryAfterS: RETRY_AFTER_S };
 }
--- a/src/admission/cell-leases.ts
+++ b/src/admission/cell-leases.ts
@@ -1,37 +1,39 @@
 /**
- * Runner reports as room per cell and service, and what this router has spent of its part since the last report
- * (design/admission 4).
+ * Load reports of the runners, and this router's lease of each cell's free slots (design/admission 4).
  *
- * Between two reports each router may spend only its lease of the free places, so that all routers together do not
- * fill the same places twice. Times are milliseconds of the steady clock.
+ * Between two reports a router may send only as many requests to a cell as its lease has slots, so that the routers
+ * together do not fill the same slots twice. Times are milliseconds of the steady clock.
  */
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
 import * as cellCapacity from "./cell-capacity.js";
 
-/** What was reported longer ago says nothing any more (ours). */
+/** Reports and leases older than this are ignored (ours). */
 const STALE_MS = 3000;
 
 /** The last report of one runner, and what was sent there since. */
-export interface ReportedLoad {
-  /** When the report was taken. */
+interface ReportedLoad {
+  /** When the report was received. */
   at: number;
   waiting: number;
-  /** Tokens held in the runner's memory; a capacity of 0 is unknown. */
+  /** Tokens in the runner's memory; a capacity of 0 is unknown. */
   kvUsed: number;
   kvCapacity: number;
   /** Tokens that this router sent there since. */
   sentTokens: number;
 }
 
-/** The part of a cell's free places that this router may spend until the next report. */
+/** The free slots of a cell that this router may use until the next report. */
 interface Lease {
+  /** When the lease was made, from the report received then. */
   at: number;
-  room: cellCapacity.CellCapacity;
-  places: number;
+  /** The capacity of the cell by that report. */
+  capacity: cellCapacity.CellCapacity;
+  slots: number;
+  /** Requests sent under the lease and not complete yet. */
   spent: number;
-  /** Sends of all other routers to one runner that are expected for each send from here. */
+  /** Requests that all other routers are expected to send to one runner for each that this router sends to the cell. */
   othersPerSend: number;
 }
 
@@ -39,15 +41,15 @@
   return `${runner.region}|${runner.instance.service}`;
 }
 
-/** Load and leases of all cells; used by `Admission` alone. */
+/** Reports and leases of all cells; owned by `Admission`. */
 export class CellLeases {
   private readonly loads = new Map<string, ReportedLoad>();
   private readonly leases = new Map<string, Lease>();
 
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   private isFresh(item: { at: number }): boolean {
-    return this.world.now() - item.at <= STALE_MS;
+    return this.clock.now() - item.at <= STALE_MS;
   }
 
   private leaseFor(runner: runnerEndpoint.RunnerEndpoint): Lease | undefined {
@@ -55,15 +57,15 @@
     return lease && this.isFresh(lease) ? lease : undefined;
   }
 
-  /** Drops the loads of runners that are not listed, and leases that have expired. */
+  /** Drops the reports of runners that are not listed, and expired leases. */
   retainOnly(listed: { has(id: string): boolean }): void {
     for (const id of this.loads.keys()) if (!listed.has(id)) this.loads.delete(id);
     for (const [key, lease] of this.leases) if (!this.isFresh(lease)) this.leases.delete(key);
   }
 
-  /** Takes a report and renews the leases of its region; called after the fleet has taken the same report. */
-  applyReport(report: schema.CellReport, runners: Iterable<runnerEndpoint.RunnerEndpoint>, routers: number): void {
-    const at = this.world.now();
+  /** Applies a report and renews the leases of its region; called after the fleet has applied the same report. */
+  applyReport(report: schema.CellReport, runners: Iterable<runnerEndpoint.RunnerEndpoint>, routerCount: number): void {
+    const at = this.clock.now();
     for (const item of report.reports) {
       if (item.isSpeaking)
         this.loads.set(item.id, { at, waiting: item.waiting, kvUsed: item.kvUsed, kvCapacity: item.kvCapacity, sentTokens: 0 });
@@ -76,45 +78,45 @@
       cell.push(runner);
       cells.set(key, cell);
     }
-    for (const [key, cell] of cells) this.leases.set(key, this.leaseOf(cell, routers));
+    for (const [key, cell] of cells) this.leases.set(key, this.makeLease(cell, routerCount));
   }
 
-  private leaseOf(cell: readonly runnerEndpoint.RunnerEndpoint[], routers: number): Lease {
+  private makeLease(cell: readonly runnerEndpoint.RunnerEndpoint[], routerCount: number): Lease {
     let own = 0;
     let all = 0;
     for (const runner of cell) {
       own += runner.inflight;
       all += runner.requestCount();
     }
-    const room = cellCapacity.sumCapacity(cell.map(this.reportedSlotUsage.bind(this, 0)));
-    const share = cellCapacity.routerFraction(own, all, routers);
+    const capacity = cellCapacity.sumCapacity(cell.map((runner) => this.reportedSlotUsage(0, runner)));
+    const fraction = cellCapacity.routerFraction(own, all, routerCount);
     return {
-      at: this.world.now(),
-      room,
-      places: cellCapacity.leasedSlots(room, share),
+      at: this.clock.now(),
+      capacity,
+      slots: cellCapacity.leasedSlots(capacity, fraction),
       spent: 0,
-      othersPerSend: (1 / share - 1) / cell.length,
+      othersPerSend: (1 / fraction - 1) / cell.length,
     };
   }
 
   /**
-   * The runner's place with what the other routers are expected to have sent there since, going by this one's own
-   * sends.
+   * The runner's slots, with the requests that the other routers are expected to have sent there since the report,
+   * extrapolated from this router's own.
    */
   slotUsageOf(backlogMs: number, runner: runnerEndpoint.RunnerEndpoint): cellCapacity.SlotUsage {
-    const place = this.reportedSlotUsage(backlogMs, runner);
+    const usage = this.reportedSlotUsage(backlogMs, runner);
     const lease = this.leaseFor(runner);
-    if (lease) place.used += Math.min(place.capacity, lease.spent * lease.othersPerSend);
-    return place;
+    if (lease) usage.used += Math.min(usage.capacity, lease.spent * lease.othersPerSend);
+    return usage;
   }
 
-  /** The runner's place by its last report and this router's own requests. A stale report counts as none. */
+  /** The runner's slots by its last report and this router's own requests. A stale report counts as none. */
   reportedSlotUsage(backlogMs: number, runner: runnerEndpoint.RunnerEndpoint): cellCapacity.SlotUsage {
     const known = this.loads.get(runner.id);
     const fresh = known && this.isFresh(known) ? known : undefined;
     return {
-      // What others had there by a report that is stale is not known now.
       capacity: runner.instance.capacity,
+      // A stale report no longer says what other routers have in flight there.
       used: known && !fresh ? runner.inflight : runner.requestCount(),
       waiting: fresh?.waiting ?? 0,
       kvUsed: (fresh?.kvUsed ?? 0) + (fresh?.sentTokens ?? 0),
@@ -123,24 +125,24 @@
     };
   }
 
-  /** A runner that handed a request back a moment ago is full whatever is known of it. */
+  /** The capacity of these runners now. A runner that rejected a request a moment ago counts as full. */
   capacityNow(runners: readonly runnerEndpoint.RunnerEndpoint[], now: number): cellCapacity.CellCapacity {
-    const places: cellCapacity.SlotUsage[] = [];
+    const usages: cellCapacity.SlotUsage[] = [];
     for (const runner of runners) {
-      const place = this.reportedSlotUsage(0, runner);
-      if (runner.fullUntil > now) place.used = Math.max(place.used, place.capacity);
-      places.push(place);
+      const usage = this.reportedSlotUsage(0, runner);
+      if (runner.fullUntil > now) usage.used = Math.max(usage.used, usage.capacity);
+      usages.push(usage);
     }
-    return cellCapacity.sumCapacity(places);
+    return cellCapacity.sumCapacity(usages);
   }
 
-  /** A cell that does not report has no lease, and no bound by one. */
-  hasLease(runner: runnerEndpoint.RunnerEndpoint): boolean {
+  /** Whether the lease of the runner's cell has a slot left. A cell without reports is not limited by a lease. */
+  hasLeasedSlot(runner: runnerEndpoint.RunnerEndpoint): boolean {
     const lease = this.leaseFor(runner);
-    return lease === undefined || lease.spent < lease.places;
+    return lease === undefined || lease.spent < lease.slots;
   }
 
-  /** A request of so many tokens goes to this runner. */
+  /** A request with this demand of tokens is sent to the runner. */
   spend(runner: runnerEndpoint.RunnerEndpoint, tokens: number): void {
     const lease = this.leaseFor(runner);
     if (lease) lease.spent += 1;
@@ -148,19 +150,19 @@
     if (load) load.sentTokens += tokens;
   }
 
-  /** A request sent there is over, whatever became of it. */
+  /** An attempt at the runner has ended, whatever its outcome. */
   release(runner: runnerEndpoint.RunnerEndpoint): void {
     const lease = this.leaseFor(runner);
     if (lease) lease.spent = Math.max(0, lease.spent - 1);
   }
 
-  /** The leases for `status`: region, service, room, places leased and spent. */
+  /** The part `cells` of the admission's `status`. */
   status(): unknown {
-    const made: unknown[] = [];
+    const rows: unknown[] = [];
     for (const [key, lease] of this.leases) {
       const [region, service] = key.split("|");
-      made.push({ region, service, room: lease.room, leased: lease.places, spent: lease.spent });
+      rows.push({ region, service, room: lease.capacity, leased: lease.slots, spent: lease.spent });
     }
-    return made;
+    return rows;
   }
 }
--- a/src/admission/recent-rejections.ts
+++ b/src/admission/recent-rejections.ts
@@ -29,7 +29,7 @@
   }
 
   /** It was denied now; key 0 is not recorded. */
-  recordRejection(key: number, now: number): void {
+  record(key: number, now: number): void {
     if (key === 0) return;
     const count = Math.min(MAX_COUNT, this.count(key, now) + 1);
     this.byKey.delete(key);
--- a/src/cli/capacity.ts
+++ b/src/cli/capacity.ts
@@ -80,7 +80,7 @@
     function perS(kind: KindStatus): { route: string; requests_per_s: number | null } {
       const most = cellCapacity.requestsPerS(cell.room, {
         tokens: kind.tokens,
-        readMs: rate > 0 ? kind.unread / rate : 0,
+        prefillMs: rate > 0 ? kind.unread / rate : 0,
         occupancyMs: kind.heldMs,
       });
       return { route: kind.route, requests_per_s: Number.isFinite(most) ? Math.round(most * 10) / 10 : null };
--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -101,7 +101,11 @@
     for (let region = 0; region < size.regions; region += 1) regions.push(`region-${region}`);
     for (const region of regions) for (let index = 0; index < size.runnersEach; index += 1) listed.push(instanceOf(region, index));
     this.fleet.applySnapshot(listed);
-    const admission = new admissions.Admission(world, { runners: this.fleet.inRegion.bind(this.fleet), known: this.known, routers: one });
+    const admission = new admissions.Admission(world, {
+      runners: this.fleet.inRegion.bind(this.fleet),
+      prefill: this.known,
+      routerCount: one,
+    });
     this.policies = [
       new homesPolicy.HomesPolicy(this.fleet, new zoneRotation.ZoneRotation(world)),
       new cellPolicy.CellPolicy(regions[0], this.fleet.summaries),
--- a/src/router/runner-picker.ts
+++ b/src/router/runner-picker.ts
@@ -51,7 +51,7 @@
     ownRegion: string,
     readonly prefills: prefillTracker.PrefillTracker,
   ) {
-    this.admission = new admissions.Admission(clock, { runners: fleet.inRegion.bind(fleet), known: prefills, routers });
+    this.admission = new admissions.Admission(clock, { runners: fleet.inRegion.bind(fleet), prefill: prefills, routerCount: routers });
     this.policies = [
       new homesPolicy.HomesPolicy(fleet, rotation),
       new cellPolicy.CellPolicy(ownRegion, fleet.summaries),
--- a/tests/admission-judge.test.ts
+++ b/tests/admission-judge.test.ts
@@ -40,8 +40,8 @@
   readonly fleet = new runnerFleet.RunnerFleet(this.clock, new Map([["z", "r"]]));
   readonly admission = new admissions.Admission(this.clock, {
     runners: this.fleet.all.bind(this.fleet),
-    known: this.known,
-    routers: () => 1,
+    prefill: this.known,
+    routerCount: () => 1,
   });
 
   constructor(runners: number) {
@@ -140,7 +140,7 @@
   const door = new Door(2);
   door.report([8, 8]);
   for (const id of ["i-1", "i-2"]) door.fill(id, backlogMs);
-  if (key > 0) door.admission.recentRejections.recordRejection(key, door.clock.now());
+  if (key > 0) door.admission.recentRejections.record(key, door.clock.now());
   expect(door.admission.decide(door.plan(rank, key)) === null).toBe(isIn);
 });
 
@@ -157,7 +157,7 @@
 test("readings ahead count as a wait: the lesser rank may spend half of its spare time on them", () => {
   const door = new Door(1);
   door.report([8]);
-  door.admission.recentRejections.recordRejection(7, 0);
+  door.admission.recentRejections.record(7, 0);
   door.fill("i-1", 3200);
   expect(door.admission.decide(door.plan(1, 7))).toMatchObject({ status: 503 });
   expect(door.admission.decide(door.plan(0))).toBeNull();
@@ -243,9 +243,9 @@
     unusedPercent: { p50: number };
   };
   expect([Math.round(atDoor.worst), Math.round(unused.p50)]).toEqual([40, 25]);
-  tally.onTimer();
+  tally.detectRecovery();
   expect(tally.isRejecting).toBe(true);
   await clock.play(3100);
-  tally.onTimer();
+  tally.detectRecovery();
   expect(tally.isRejecting).toBe(false);
 });
--- a/tests/admission-parts.test.ts
+++ b/tests/admission-parts.test.ts
@@ -67,8 +67,8 @@
     cellCapacity.leasedSlots({ ...room, freePlaces: 0 }, 1),
   ]).toEqual([2, 1, 0]);
   expect([cellCapacity.isUnderHalfUsed(room), cellCapacity.isUnderHalfUsed({ ...room, waiting: 0, freePlaces: 9 })]).toEqual([false, true]);
-  expect(cellCapacity.requestsPerS(room, { tokens: 1000, readMs: 10, occupancyMs: 2000 })).toBe(2);
-  expect(cellCapacity.requestsPerS(room, { tokens: 0, readMs: 0, occupancyMs: 0 })).toBe(Infinity);
+  expect(cellCapacity.requestsPerS(room, { tokens: 1000, prefillMs: 10, occupancyMs: 2000 })).toBe(2);
+  expect(cellCapacity.requestsPerS(room, { tokens: 0, prefillMs: 0, occupancyMs: 0 })).toBe(Infinity);
 });
 
 test("a slowed runner is followed within one reply, an overdue one before it, and forgiven slowly", () => {
@@ -94,9 +94,9 @@
   const key = recentRejections.requestKey("r", [3, 5], null);
   expect([key, recentRejections.requestKey("r", [], null)]).toEqual([5, 0]);
   expect(recentRejections.requestKey("r", [], Buffer.from("same"))).toBe(recentRejections.requestKey("r", [], Buffer.from("same")));
-  memory.recordRejection(key, 0);
+  memory.record(key, 0);
   expect([memory.count(key, 9000), memory.count(key, 11_000), memory.count(0, 0)]).toEqual([1, 0, 0]);
-  for (let other = 10; other < 20_000; other += 1) memory.recordRejection(other, 100);
+  for (let other = 10; other < 20_000; other += 1) memory.record(other, 100);
   expect(memory.size).toBeLessThanOrEqual(4096);
 });
 
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -53,8 +53,8 @@
   );
   const admission = new admissions.Admission(clock, {
     runners: fleet.all.bind(fleet),
-    known: new prefillTracker.PrefillTracker(),
-    routers: () => 1,
+    prefill: new prefillTracker.PrefillTracker(),
+    routerCount: () => 1,
   });
   for (let count = 0; count < 30; count += 1) {
     admission.serviceTimeOf("s").recordOccupancy(2000);
