--- a/src/admission/admission-stats.ts
+++ b/src/admission/admission-stats.ts
@@ -40,12 +40,12 @@
   isRejecting = false;
   private lastRefusalAt = 0;
 
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   /** A request was refused `ms` milliseconds after its arrival; `hasBeenSent`: a runner had seen it. */
   recordRejection(ms: number, cause: string, hasBeenSent: boolean): void {
     (hasBeenSent ? this.afterSend : this.atDoor).record(ms);
-    this.lastRefusalAt = this.world.now();
+    this.lastRefusalAt = this.clock.now();
     if (!this.isRejecting) log.state("admission: rejecting requests, capacity is short");
     this.isRejecting = true;
     this.causes.set(cause, (this.causes.get(cause) ?? 0) + 1);
@@ -64,7 +64,7 @@
 
   /** Called now and then: the end of a shortage is a change of state, logged with what it came to. */
   detectRecovery(): void {
-    if (!this.isRejecting || this.world.now() - this.lastRefusalAt < SHORTAGE_END_MS) return;
+    if (!this.isRejecting || this.clock.now() - this.lastRefusalAt < SHORTAGE_END_MS) return;
     this.isRejecting = false;
     log.state(this.logLine());
   }
--- a/src/batch/attempt.ts
+++ b/src/batch/attempt.ts
@@ -31,7 +31,7 @@
 
 /** What an attempt records its answer with. */
 export interface Recorder {
-  readonly world: types.Clock;
+  readonly clock: types.Clock;
   readonly replicas: Pick<replicas.Replicas, "put">;
   /** False once this node owns the batches no more: whoever does finds what was recorded. */
   isOwner(): boolean;
@@ -54,6 +54,6 @@
 async function record(recorder: Recorder, key: schema.RecordKey, body: Buffer): Promise<void> {
   while (!(await recorder.replicas.put(key, body)) && recorder.isOwner()) {
     log.count("batch.record_again");
-    await timers.sleep(recorder.world, RECORD_AGAIN_MS);
+    await timers.sleep(recorder.clock, RECORD_AGAIN_MS);
   }
 }
--- a/src/batch/inheritance.ts
+++ b/src/batch/inheritance.ts
@@ -15,7 +15,7 @@
 
 /** What is needed of the node around it. */
 export interface Needs {
-  readonly world: types.Clock;
+  readonly clock: types.Clock;
   readonly replicas: Pick<replicas.Replicas, "put" | "find">;
   longestMs(route: string): number;
 }
@@ -38,12 +38,12 @@
     table: schema.BatchTable,
   ) {
     this.term = table.term;
-    this.lookedAt = needs.world.now();
+    this.lookedAt = needs.clock.now();
     for (const batch of tables.openBatches(table)) this.take(batch);
   }
 
   private take(batch: schema.Batch): void {
-    const overAt = this.needs.world.now() + this.needs.longestMs(batch.route) + MARGIN_MS;
+    const overAt = this.needs.clock.now() + this.needs.longestMs(batch.route) + MARGIN_MS;
     for (const index of items.indexesOf(batch.items, "sent")) {
       const { attempt } = items.itemAt(batch.items, index);
       const key = { digest: batch.digest, item: index, attempt };
@@ -53,7 +53,7 @@
 
   /** The ends found since the last call. Called with each turn; looks for more meanwhile. */
   settled(): steps.EndedAttempt[] {
-    const now = this.needs.world.now();
+    const now = this.needs.clock.now();
     if (this.open.size > 0 && !this.isLooking && now - this.lookedAt >= LOOK_EVERY_MS) void this.look();
     const found = this.ends;
     this.ends = [];
@@ -64,11 +64,11 @@
     this.isLooking = true;
     for (const [name, item] of this.open) {
       const found = await this.needs.replicas.find(item.key);
-      const isOver = this.needs.world.now() >= item.overAt;
+      const isOver = this.needs.clock.now() >= item.overAt;
       if (found.kind === "found") await this.settleFound(name, item, found.body);
       else if (found.kind === "absent" && isOver) this.settle(name, item, "may_have_run");
     }
-    this.lookedAt = this.needs.world.now();
+    this.lookedAt = this.needs.clock.now();
     this.isLooking = false;
   }
 
--- a/src/batch/owner.ts
+++ b/src/batch/owner.ts
@@ -33,7 +33,7 @@
 
 /** What the owner needs around it. */
 export interface Dependencies extends worklist.Surroundings, succession.Siblings {
-  readonly world: types.Clock;
+  readonly clock: types.Clock;
   /** Of this process; names the owner. */
   readonly life: string;
   readonly register: Register;
@@ -57,15 +57,15 @@
   private inheritance: inheritance.Inheritance | null = null;
   private isChanging = false;
   private changedAt: types.SteadyMs;
-  readonly world: types.Clock;
+  readonly clock: types.Clock;
   readonly replicas: Dependencies["replicas"];
 
   constructor(private readonly needs: Dependencies) {
-    this.world = needs.world;
+    this.clock = needs.clock;
     this.replicas = needs.replicas;
-    this.changedAt = needs.world.now();
-    this.worklist = new worklist.Worklist(needs.world, needs);
-    this.succession = new succession.Succession(needs.world, needs);
+    this.changedAt = needs.clock.now();
+    this.worklist = new worklist.Worklist(needs.clock, needs);
+    this.succession = new succession.Succession(needs.clock, needs);
   }
 
   private get table(): schema.BatchTable | null {
@@ -100,7 +100,7 @@
   private work(table: schema.BatchTable): void {
     const inheritance = this.inherit(table);
     this.ended.push(...inheritance.settled());
-    const now = this.world.now();
+    const now = this.clock.now();
     if (tables.openBatches(table).length === 0 && this.ended.length === 0) {
       this.changedAt = now;
       return;
@@ -115,14 +115,14 @@
   private inherit(table: schema.BatchTable): inheritance.Inheritance {
     if (this.inheritance?.term === table.term) return this.inheritance;
     log.state(`batch: this node owns the batches, term ${table.term}`);
-    this.changedAt = this.world.now();
+    this.changedAt = this.clock.now();
     this.inheritance = new inheritance.Inheritance(this.needs, table);
     return this.inheritance;
   }
 
   private async advance(table: schema.BatchTable, sends: worklist.Send[]): Promise<void> {
     const { life } = this.needs;
-    const startedAt = this.world.now();
+    const startedAt = this.clock.now();
     const ended = [...this.ended];
     const change = { term: table.term, elapsedMs: startedAt - this.changedAt, ended, sends };
     const next = await this.change((read) => steps.advance(read, life, change));
@@ -133,7 +133,7 @@
     }
     this.changedAt = startedAt;
     this.ended.splice(0, ended.length);
-    const isLate = this.world.now() - startedAt > SEND_WITHIN_MS;
+    const isLate = this.clock.now() - startedAt > SEND_WITHIN_MS;
     for (const send of sends) {
       const batch = tables.findNumber(next, send.number);
       const item = batch && items.itemAt(batch.items, send.index);
@@ -145,7 +145,7 @@
 
   private async attempt(batch: schema.Batch, send: worklist.Send): Promise<void> {
     const key = worklist.keyOf(send);
-    const atWork = { ...send, sentAt: this.world.now() };
+    const atWork = { ...send, sentAt: this.clock.now() };
     this.atWork.set(key, atWork);
     log.count("batch.sent");
     const answer = await this.needs.send(send, batch);
--- a/src/batch/records.ts
+++ b/src/batch/records.ts
@@ -22,7 +22,7 @@
   private readonly unnamedSince = new Map<string, types.SteadyMs>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly folder: files.RecordFolder,
   ) {}
 
@@ -69,7 +69,7 @@
 
   /** Drops the files of batches that are not named any more. */
   async retainOnly(digests: ReadonlySet<string>): Promise<void> {
-    const now = this.world.now();
+    const now = this.clock.now();
     for (const digest of [...this.opened.keys()]) {
       if (digests.has(digest)) this.unnamedSince.delete(digest);
       else if (!this.unnamedSince.has(digest)) this.unnamedSince.set(digest, now);
--- a/src/batch/replicas.ts
+++ b/src/batch/replicas.ts
@@ -34,7 +34,7 @@
 /** The records as all voters hold them together. */
 export class Replicas {
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly voters: Voters,
     private readonly own: records.Records,
   ) {}
@@ -103,7 +103,7 @@
     if (voters.length === 0) return Promise.resolve();
     let open = voters.length;
     return new Promise((resolve) => {
-      const timer = this.world.schedule(withinMs, resolve);
+      const timer = this.clock.schedule(withinMs, resolve);
       const end = (): void => {
         timer.stop();
         resolve();
--- a/src/batch/routers.ts
+++ b/src/batch/routers.ts
@@ -22,7 +22,7 @@
   private next = 0;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly ready: () => Iterable<SessionRouter>,
   ) {}
 
@@ -31,7 +31,7 @@
     for (const router of this.ready()) {
       if (this.toldAt.has(router.link)) continue;
       router.link.tell(calls.batchPass, { pass: this.pass });
-      this.toldAt.set(router.link, this.world.now());
+      this.toldAt.set(router.link, this.clock.now());
     }
   }
 
@@ -47,6 +47,6 @@
 
   private knowsPass({ node, link: to }: SessionRouter): boolean {
     const toldAt = this.toldAt.get(to);
-    return node.outside !== "" && toldAt !== undefined && this.world.now() - toldAt >= ARRIVED_MS;
+    return node.outside !== "" && toldAt !== undefined && this.clock.now() - toldAt >= ARRIVED_MS;
   }
 }
--- a/src/batch/sender.ts
+++ b/src/batch/sender.ts
@@ -39,11 +39,11 @@
 }
 
 /** Resolves when the answer is whole, refused or lost; never rejects. */
-export async function send(world: types.Clock, to: Destination | null, { route, item }: Parcel): Promise<attempt.Answer> {
+export async function send(clock: types.Clock, to: Destination | null, { route, item }: Parcel): Promise<attempt.Answer> {
   if (!to) return { kind: "not_run", againMs: NO_ROUTER_MS };
   const client = http.open(to.frontend, { connectMs: CONNECT_MS, idleMs: 1 });
   let wasSent = false;
-  const reply = await http.call(world, client, item.path ?? route.path_prefix, {
+  const reply = await http.call(clock, client, item.path ?? route.path_prefix, {
     method: item.method,
     headers: headersOf(route, item, to.pass),
     body: item.body === "" ? undefined : Buffer.from(item.body),
--- a/src/batch/succession.ts
+++ b/src/batch/succession.ts
@@ -28,15 +28,15 @@
   private movedAt: types.SteadyMs;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly siblings: Siblings,
   ) {
-    this.goneSince = this.movedAt = world.now();
+    this.goneSince = this.movedAt = clock.now();
   }
 
   /** epoch: of the register's value; it moves on with every change of the owner. */
   isDue(table: schema.BatchTable, epoch: types.Epoch): boolean {
-    const now = this.world.now();
+    const now = this.clock.now();
     if (table.term !== this.term || epoch !== this.epoch) this.movedAt = now;
     if (table.term !== this.term) this.goneSince = now;
     this.term = table.term;
--- a/src/batch/worklist.ts
+++ b/src/batch/worklist.ts
@@ -48,17 +48,17 @@
   private readonly readBudgets = new Map<string, trickle.ReadBudget>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly around: Surroundings,
   ) {}
 
   pause(ref: steps.ItemRef, ms: number): void {
-    if (ms > 0) this.pausedUntil.set(keyOf(ref), this.world.now() + ms);
+    if (ms > 0) this.pausedUntil.set(keyOf(ref), this.clock.now() + ms);
   }
 
   /** The next sends, given what is at work. */
   next(table: schema.BatchTable, atWork: Iterable<AtWork>): Send[] {
-    const now = this.world.now();
+    const now = this.clock.now();
     for (const [key, until] of this.pausedUntil) if (until <= now) this.pausedUntil.delete(key);
     const unreported = new Map<string, number>();
     let count = 0;
@@ -94,7 +94,7 @@
       cells.push({ key, region: room.region });
       if (round.budgets.has(key)) continue;
       round.budgets.set(key, trickle.mayStart(room, round.unreported.get(key) ?? 0));
-      this.readBudgetOf(key).earn(this.world.now(), room.readPerMs);
+      this.readBudgetOf(key).earn(this.clock.now(), room.readPerMs);
     }
     return cells;
   }
--- a/src/cli/batch.ts
+++ b/src/cli/batch.ts
@@ -22,7 +22,7 @@
 
 /** The command's surroundings. */
 interface Shell {
-  world: types.Clock;
+  clock: types.Clock;
   output: commands.Output;
 }
 
@@ -34,7 +34,7 @@
 
 /** Sends the call and shows what came back; resolves to the exit code. */
 async function call(shell: Shell, options: Options, request: client.ClientRequest, show: Show): Promise<number> {
-  const outcome = await client.send(shell.world, controlsOf(options), request);
+  const outcome = await client.send(shell.clock, controlsOf(options), request);
   if (outcome.isErr) return commands.reportFailure(shell.output, outcome.error);
   const { json } = outcome.value;
   if (options.json) shell.output.line(JSON.stringify(json, null, 2));
@@ -105,11 +105,11 @@
 /** Adds the commands to the program; `done` takes the exit code of each. */
 export function add(
   program: commander.Command,
-  world: types.Clock,
+  clock: types.Clock,
   output: commands.Output,
   done: (work: Promise<number>) => Promise<void>,
 ): void {
-  const shell: Shell = { world, output };
+  const shell: Shell = { clock, output };
   const batch = program.command("batch").description("work that may wait: ask how long, submit, follow, cancel");
   function command(name: string, description: string): commander.Command {
     return batch
--- a/src/cli/capacity.ts
+++ b/src/cli/capacity.ts
@@ -103,13 +103,13 @@
 
 /** Asks each address, control or router; 3 when none replies. */
 export async function capacity(
-  world: types.Clock,
+  clock: types.Clock,
   output: commands.Output,
   addresses: readonly string[],
   isJson: boolean,
 ): Promise<number> {
   const noAddress = "no address was given; name one with --control HOST:PORT";
-  const statuses = await commands.statusesOf<NodeStatus>(world, output, addresses, noAddress);
+  const statuses = await commands.statusesOf<NodeStatus>(clock, output, addresses, noAddress);
   if (typeof statuses === "number") return statuses;
   const rows = rowsOf(statuses);
   if (isJson) output.line(JSON.stringify(rows, null, 2));
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -26,12 +26,12 @@
   body?: Buffer;
 }
 
-async function sendFollowingRedirects(world: types.Clock, address: string, request: ClientRequest): Promise<http.Reply | null> {
+async function sendFollowingRedirects(clock: types.Clock, address: string, request: ClientRequest): Promise<http.Reply | null> {
   let currentAddress = address;
   let { path } = request;
   for (let hop = 0; hop <= MAX_REDIRECTS; hop += 1) {
     const client = http.open(currentAddress, { connectMs: TIMEOUT_MS, idleMs: 1 });
-    const response = await http.call(world, client, path, {
+    const response = await http.call(clock, client, path, {
       method: request.method,
       headers: request.headers,
       body: request.body,
@@ -51,10 +51,10 @@
  * Tries one node after the other; a clear answer, good or bad, ends it. An error is of kind timeout or no_majority
  * where trying again may help, else race, invalid, or usage where no address was given.
  */
-export async function send(world: types.Clock, addresses: readonly string[], request: ClientRequest): Promise<Outcome> {
+export async function send(clock: types.Clock, addresses: readonly string[], request: ClientRequest): Promise<Outcome> {
   let lastError: errors.CranewindError | null = null;
   for (const address of addresses) {
-    const response = await sendFollowingRedirects(world, address, request);
+    const response = await sendFollowingRedirects(clock, address, request);
     if (!response) {
       lastError = new errors.TimeoutError(`${address} does not reply`, "check that a node runs there, or name another with --control");
       continue;
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -96,8 +96,8 @@
 }
 
 /** Prints the newest configuration, read at a majority. */
-export async function describe(world: types.Clock, output: Output, controls: string[]): Promise<number> {
-  const outcome = await client.send(world, controls, { method: "GET", path: "/-/Config.Describe" });
+export async function describe(clock: types.Clock, output: Output, controls: string[]): Promise<number> {
+  const outcome = await client.send(clock, controls, { method: "GET", path: "/-/Config.Describe" });
   if (outcome.isErr) return reportFailure(output, outcome.error);
   output.line(JSON.stringify(outcome.value.json, null, 2));
   return EXIT.ok;
@@ -105,7 +105,7 @@
 
 /** Sends a whole configuration or, with `isUpdate`, a change of named items, on top of a base revision. */
 export async function apply(
-  world: types.Clock,
+  clock: types.Clock,
   output: Output,
   controls: string[],
   file: string,
@@ -120,17 +120,17 @@
   if (parsed.isErr) return reportFailure(output, parsed.error);
   const path = isUpdate ? "/-/Config.Update" : "/-/Config.Replace";
   const headers = { "Content-Type": "application/json", "X-Cranewind-Base-Version": base };
-  const outcome = await client.send(world, controls, { method: "POST", path, headers, body });
+  const outcome = await client.send(clock, controls, { method: "POST", path, headers, body });
   if (outcome.isErr) return reportFailure(output, outcome.error);
   output.line(`taken: revision ${String((outcome.value.json as { revision?: number }).revision)} (${registerValue.digest(body)})`);
   return EXIT.ok;
 }
 
 /** Starts or stops the evacuation of a zone; any other verb is wrong use. */
-export async function evacuate(world: types.Clock, output: Output, controls: string[], verb: string, zone: string): Promise<number> {
+export async function evacuate(clock: types.Clock, output: Output, controls: string[], verb: string, zone: string): Promise<number> {
   const call = verb === "start" ? "Start" : verb === "stop" ? "Stop" : null;
   if (!call) return reportFailure(output, new errors.UsageError(`evacuate ${verb} is no order`, "use start or stop"));
-  const outcome = await client.send(world, controls, { method: "POST", path: `/-/Evacuations.${call}/${encodeURIComponent(zone)}` });
+  const outcome = await client.send(clock, controls, { method: "POST", path: `/-/Evacuations.${call}/${encodeURIComponent(zone)}` });
   if (outcome.isErr) return reportFailure(output, outcome.error);
   const { evacuations } = outcome.value.json as { evacuations: string[] };
   output.line(evacuations.length === 0 ? "no zone is under evacuation" : `under evacuation: ${evacuations.join(", ")}`);
@@ -138,8 +138,8 @@
 }
 
 /** Prints the status of the first node that replies. */
-export async function status(world: types.Clock, output: Output, addresses: string[], isJson: boolean): Promise<number> {
-  const outcome = await client.send(world, addresses, { method: "GET", path: "/-/status" });
+export async function status(clock: types.Clock, output: Output, addresses: string[], isJson: boolean): Promise<number> {
+  const outcome = await client.send(clock, addresses, { method: "GET", path: "/-/status" });
   if (outcome.isErr) return reportFailure(output, outcome.error);
   const { json } = outcome.value;
   if (isJson) output.line(JSON.stringify(json, null, 2));
@@ -149,7 +149,7 @@
 
 /** The statuses of all nodes that reply, or the exit code once the failure was told. */
 export async function statusesOf<Status>(
-  world: types.Clock,
+  clock: types.Clock,
   output: Output,
   addresses: readonly string[],
   noAddress: string,
@@ -157,7 +157,7 @@
   const statuses: Status[] = [];
   let lastFailure = noAddress;
   for (const address of addresses) {
-    const outcome = await client.send(world, [address], { method: "GET", path: "/-/status" });
+    const outcome = await client.send(clock, [address], { method: "GET", path: "/-/status" });
     if (outcome.isErr) lastFailure = outcome.error.message;
     else statuses.push(outcome.value.json as Status);
   }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -171,7 +171,7 @@
 
 command.add(program, clock, output);
 batch.add(program, clock, output, withExitCode);
-tallies.addTo(program, { world: clock, output, withExitCode });
+tallies.addTo(program, { clock, output, withExitCode });
 
 function exitOf(cause: commander.CommanderError): number {
   return cause.exitCode === 0 ? commands.EXIT.ok : commands.EXIT.usage;
--- a/src/cli/tallies.ts
+++ b/src/cli/tallies.ts
@@ -24,7 +24,7 @@
 
 /** What the commands run on, and how they end the process. */
 interface Setting {
-  world: types.Clock;
+  clock: types.Clock;
   output: commands.Output;
   withExitCode(work: Promise<number>): Promise<void>;
 }
@@ -33,7 +33,7 @@
   return control.split(",").filter(Boolean);
 }
 
-async function showList({ world, output }: Setting, options: Options): Promise<number> {
+async function showList({ clock: world, output }: Setting, options: Options): Promise<number> {
   const response = await client.send(world, addressesOf(options), { method: "GET", path: tallyCalls.LIST });
   if (response.isErr) return commands.reportFailure(output, response.error);
   const { tallies } = superstruct.create(response.value.json, list);
@@ -42,7 +42,7 @@
   return commands.EXIT.ok;
 }
 
-async function showTotal({ world, output }: Setting, name: string, options: Options): Promise<number> {
+async function showTotal({ clock: world, output }: Setting, name: string, options: Options): Promise<number> {
   const path = `${tallyCalls.DESCRIBE}${encodeURIComponent(name)}`;
   const response = await client.send(world, addressesOf(options), { method: "GET", path });
   if (response.isErr) return commands.reportFailure(output, response.error);
@@ -52,7 +52,7 @@
 }
 
 /** Sent to one node after the other with one id, so that it counts once wherever it arrived. */
-async function add({ world, output }: Setting, name: string, amount: string, options: Options): Promise<number> {
+async function add({ clock: world, output }: Setting, name: string, amount: string, options: Options): Promise<number> {
   const id = options.id ?? crypto.randomUUID();
   const body = Buffer.from(JSON.stringify({ instance_id: id, actor: Number(amount) }));
   const checked = request.parseAdd(body);
@@ -69,7 +69,7 @@
 async function watch(setting: Setting, name: string, options: Options): Promise<number> {
   for (;;) {
     await showTotal(setting, name, options);
-    await timers.sleep(setting.world, WATCH_MS);
+    await timers.sleep(setting.clock, WATCH_MS);
   }
 }
 
--- a/src/cli/tenants.ts
+++ b/src/cli/tenants.ts
@@ -95,9 +95,9 @@
   isWatching: boolean;
 }
 
-async function printOnce(world: types.Clock, output: commands.Output, controls: readonly string[], isJson: boolean): Promise<number> {
+async function printOnce(clock: types.Clock, output: commands.Output, controls: readonly string[], isJson: boolean): Promise<number> {
   const noAddress = "no address was given; name all control nodes with --control HOST:PORT,...";
-  const statuses = await commands.statusesOf<OwnerStatus>(world, output, controls, noAddress);
+  const statuses = await commands.statusesOf<OwnerStatus>(clock, output, controls, noAddress);
   if (typeof statuses === "number") return statuses;
   const rows = rowsOf(statuses);
   if (isJson) output.line(JSON.stringify(rows));
@@ -107,14 +107,14 @@
 
 /** Asks all control nodes; 3 when none replies. */
 export async function tenants(
-  world: types.Clock,
+  clock: types.Clock,
   output: commands.Output,
   controls: readonly string[],
   options: TenantsOptions,
 ): Promise<number> {
   for (;;) {
-    const code = await printOnce(world, output, controls, options.isJson);
+    const code = await printOnce(clock, output, controls, options.isJson);
     if (!options.isWatching || code !== commands.EXIT.ok) return code;
-    await timers.sleep(world, WATCH_MS);
+    await timers.sleep(clock, WATCH_MS);
   }
 }
--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -27,7 +27,7 @@
 
 /** What the calls are answered with. */
 export interface BatchDependencies {
-  readonly world: types.Clock;
+  readonly clock: types.Clock;
   readonly register: Pick<registerReplica.RegisterReplica, "chosen" | "submitOrder" | "read">;
   readonly replicas: Pick<replicas.Replicas, "put" | "find">;
   readonly view: batchView.BatchView;
@@ -90,7 +90,7 @@
   }
 
   private async project(outline: submissions.Outline, wantsTable: boolean): Promise<object> {
-    const { view, forecast, world } = this.needs;
+    const { view, forecast, clock: world } = this.needs;
     const { table } = this;
     const service = view.serviceOf(outline.route)!;
     const rooms = view.roomsWithBatches(service, table);
--- a/src/control/batches/batch-loads.ts
+++ b/src/control/batches/batch-loads.ts
@@ -35,12 +35,12 @@
   private isAsking = false;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly feed: Pick<feeds.Feed, "followersOf">,
     private readonly members: Pick<membership.Membership, "readyRouters">,
     private readonly dial: Pick<dialer.Dialer, "links">,
   ) {
-    this.forecast = new loads.LoadForecast(world);
+    this.forecast = new loads.LoadForecast(clock);
   }
 
   /** Hears siblings. */
@@ -53,7 +53,7 @@
 
   turn(): void {
     this.forecast.turn();
-    const now = this.world.now();
+    const now = this.clock.now();
     if (this.isAsking || now - this.askedAt < ASK_EVERY_MS) return;
     const spanMs = now - this.askedAt;
     this.askedAt = now;
--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -43,18 +43,18 @@
 
   /** heldControls: this node and the control nodes whose sessions it holds itself. */
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly options: BatchRegisterOptions,
     private readonly dial: dialer.Dialer,
     private readonly heldControls: () => schema.NodeInfo[],
   ) {
     const { life, address, seeds, isBootstrap } = options;
     const first = registerValue.initialValue(isBootstrap ? seeds : []);
-    this.core = new registerReplica.RegisterReplica(world, { life, address, first, channel: this.channel() }, dial);
+    this.core = new registerReplica.RegisterReplica(clock, { life, address, first, channel: this.channel() }, dial);
     const folder = new files.RealFolder(path.join(options.dataDir, FOLDER));
-    const machine = { clock: world, folder, processes: owner.realProcesses };
+    const machine = { clock, folder, processes: owner.realProcesses };
     this.disk = new voterDisk.VoterDisk(machine, { address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
-    this.voterManager = new voterManager.VoterManager(world, this.core, this.nodes.bind(this));
+    this.voterManager = new voterManager.VoterManager(clock, this.core, this.nodes.bind(this));
     dial.on("up", this.tell.bind(this));
     dial.on("down", (control) => this.disksByAddress.delete(control.address));
   }
@@ -101,7 +101,7 @@
   }
 
   turn(): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     if (now - this.toldAt >= TELL_MS) {
       this.toldAt = now;
       for (const control of this.dial.controls.values()) this.tell(control);
@@ -115,7 +115,7 @@
   private catchUp(): void {
     const controls = [...this.dial.controls.values()];
     if (controls.length === 0) return;
-    const control = controls[Math.floor(this.world.random() * controls.length)];
+    const control = controls[Math.floor(this.clock.random() * controls.length)];
     const known = this.core.chosen?.epoch;
     if (known !== undefined) void this.core.catchUp(control.link, (known + 1) as types.Epoch);
   }
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -48,9 +48,9 @@
 }
 
 /** Null where the setting `batches` is off, or there is no disk. */
-export function make(world: types.Clock, host: Host): Batches | null {
+export function make(clock: types.Clock, host: Host): Batches | null {
   const { batches, data_dir: dataDir } = host.startup;
-  return batches === "off" || !dataDir ? null : new Batches(world, host, dataDir);
+  return batches === "off" || !dataDir ? null : new Batches(clock, host, dataDir);
 }
 
 /** Made only where the setting `batches` is on. */
@@ -69,17 +69,17 @@
   private hasRecords = false;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly host: Host,
     dataDir: string,
   ) {
     const { life, address, startup, seeds, dial } = host;
     const isBootstrap = startup.batches_bootstrap ?? startup.bootstrap;
     const options = { life, address, dataDir, seeds, isBootstrap };
-    this.register = new batchRegister.BatchRegister(world, options, dial, host.heldControls.bind(host));
-    this.records = new records.Records(world, this.register.recordFolder());
-    this.replicas = new replicas.Replicas(world, this.register.core, this.records);
-    this.loads = new batchLoads.BatchLoads(world, host.feed, host.members, dial);
+    this.register = new batchRegister.BatchRegister(clock, options, dial, host.heldControls.bind(host));
+    this.records = new records.Records(clock, this.register.recordFolder());
+    this.replicas = new replicas.Replicas(clock, this.register.core, this.records);
+    this.loads = new batchLoads.BatchLoads(clock, host.feed, host.members, dial);
     this.view = new batchView.BatchView({
       configuration: host.configuration.bind(host),
       instances: () => host.cells.instances(),
@@ -87,11 +87,11 @@
       regionOf: (zone) => startup.zones[zone] ?? zone,
       forecast: this.loads.forecast,
     });
-    this.routers = new routers.PassedRouters(world, () => host.members.readyRouters());
+    this.routers = new routers.PassedRouters(clock, () => host.members.readyRouters());
     this.owner = new owners.Owner(this.ownerNeeds());
     const { view, replicas: replicated } = this;
     this.calls = new batchCalls.BatchCalls({
-      world,
+      clock,
       register: this.register.core,
       replicas: replicated,
       view,
@@ -103,9 +103,9 @@
   }
 
   private ownerNeeds(): owners.Dependencies {
-    const { world, host, view, replicas: replicated } = this;
+    const { clock: world, host, view, replicas: replicated } = this;
     return {
-      world,
+      clock: world,
       life: host.life,
       register: this.register.core,
       replicas: replicated,
@@ -136,7 +136,7 @@
     this.loads.turn();
     if (this.hasRecords) this.owner.turn();
     if (this.owner.isOwner()) this.routers.introduce();
-    const now = this.world.now();
+    const now = this.clock.now();
     if (this.isRepairing || !this.hasRecords || now - this.repairedAt < REPAIR_MS) return;
     this.repairedAt = now;
     void this.repair();
@@ -172,7 +172,7 @@
     const route = this.view.routeOf(batch.route);
     const item = submission?.items[send.index];
     if (!item || !route) return { kind: "not_run", againMs: OPEN_AGAIN_MS };
-    return sender.send(this.world, this.routers.in(send.region), { route, item });
+    return sender.send(this.clock, this.routers.in(send.region), { route, item });
   }
 
   reply(asked: serve.Asked): Promise<serve.Told> {
@@ -197,7 +197,7 @@
     } catch (cause) {
       log.count("batch.records_refused");
       log.state(`batch: the records can't be opened: ${errors.messageOf(cause)}`);
-      this.world.schedule(OPEN_AGAIN_MS, () => void this.openRecords());
+      this.clock.schedule(OPEN_AGAIN_MS, () => void this.openRecords());
     }
   }
 
--- a/src/control/endpoints.ts
+++ b/src/control/endpoints.ts
@@ -35,10 +35,10 @@
 }
 
 /** Where other control nodes and routers open their links. */
-export function internalChild(world: types.Clock, address: string, handlers: link.Handlers): tree.Child {
+export function internalChild(clock: types.Clock, address: string, handlers: link.Handlers): tree.Child {
   const server = net.createServer(accept);
   function accept(socket: net.Socket): void {
-    new link.Link(world, socket, handlers);
+    new link.Link(clock, socket, handlers);
   }
   return {
     name: "internal",
--- a/src/control/leases/lease-server.ts
+++ b/src/control/leases/lease-server.ts
@@ -23,14 +23,14 @@
   readonly quotas: quotas.Quotas;
 
   constructor(
-    world: types.Clock,
+    clock: types.Clock,
     life: string,
     bounds: LeaseBounds,
     private readonly core: registerReplica.RegisterReplica,
   ) {
-    this.tenure = new tenure.Tenure(world);
-    this.owner = new owner.LeaseOwner(world, life, bounds, this.tenure);
-    this.quotas = new quotas.Quotas(world, life, bounds, core);
+    this.tenure = new tenure.Tenure(clock);
+    this.owner = new owner.LeaseOwner(clock, life, bounds, this.tenure);
+    this.quotas = new quotas.Quotas(clock, life, bounds, core);
   }
 
   updateSettings(bounds: LeaseBounds): void {
--- a/src/control/leases/quotas.ts
+++ b/src/control/leases/quotas.ts
@@ -29,13 +29,13 @@
   private formerNote: slotNote.Note | null = null;
 
   constructor(
-    world: types.Clock,
+    clock: types.Clock,
     life: string,
     bounds: quotaPart.QuotaBounds,
     private readonly core: registerReplica.RegisterReplica,
   ) {
-    this.tenure = new quotaTenure.QuotaTenure(world, { fenceMs: quotaTenure.FENCE_MS, lifeMs: quotaClient.UNIT_MS });
-    this.owner = new quotaOwner.QuotaOwner(world, life, bounds, this.tenure);
+    this.tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: quotaTenure.FENCE_MS, lifeMs: quotaClient.UNIT_MS });
+    this.owner = new quotaOwner.QuotaOwner(clock, life, bounds, this.tenure);
   }
 
   /** Reads what a former life noted on this disk. */
--- a/src/control/operator/operator-chain.ts
+++ b/src/control/operator/operator-chain.ts
@@ -10,7 +10,7 @@
 
 /** The parts of one control node that decide where a call is answered. */
 export interface OperatorParts {
-  world: types.Clock;
+  clock: types.Clock;
   handlers: link.Handlers;
   dial: dialer.Dialer;
   core: registerReplica.RegisterReplica;
@@ -19,7 +19,7 @@
 
 /** Puts both before `calls`, which decides what reaches it. */
 export function chain(parts: OperatorParts, calls: serve.Reply): serve.Reply {
-  const { world, handlers, dial, core, contact } = parts;
+  const { clock: world, handlers, dial, core, contact } = parts;
   function controls(): Iterable<dialer.Control> {
     return dial.controls.values();
   }
--- a/src/control/operator/order-forwarder.ts
+++ b/src/control/operator/order-forwarder.ts
@@ -40,7 +40,7 @@
   private avoidedUntil: number = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly core: registerReplica.RegisterReplica,
     private readonly controls: () => Iterable<dialer.Control>,
     private readonly next: serve.Reply,
@@ -94,7 +94,7 @@
 
   private isFit(control: dialer.Control): boolean {
     const { beat } = control;
-    const now = this.world.now();
+    const now = this.clock.now();
     if (!beat || !features.hasFeature(beat, features.FORWARDED_ORDERS)) return false;
     if (!dialer.isHeardConfirmed(control, now) || dialer.isLeaving(control)) return false;
     return control.node.name !== this.avoided || now >= this.avoidedUntil;
@@ -110,7 +110,7 @@
     if (answer && answer.status < MIN_UNDECIDED_STATUS) return { status: answer.status, json: JSON.parse(answer.json) as unknown };
     log.count("operator.forward_failed");
     this.avoided = proposer.node.name;
-    this.avoidedUntil = this.world.now() + AVOID_MS;
+    this.avoidedUntil = this.clock.now() + AVOID_MS;
     return null;
   }
 
@@ -120,7 +120,7 @@
     void call.then(function end() {
       isOver = true;
     });
-    while (!isOver && dialer.isHeard(proposer, this.world.now())) await timers.sleep(this.world, LOOK_MS);
+    while (!isOver && dialer.isHeard(proposer, this.clock.now())) await timers.sleep(this.clock, LOOK_MS);
     // A call that has ended tells for itself.
     if (isOver) await call;
     return null;
--- a/src/control/operator/redirect.ts
+++ b/src/control/operator/redirect.ts
@@ -29,7 +29,7 @@
   private attempts = 0;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly contact: quorumContact.QuorumContact,
     private readonly controls: () => Iterable<dialer.Control>,
     private readonly next: serve.Reply,
@@ -61,7 +61,7 @@
   }
 
   private within(ms: number, event: "confirmed"): Promise<void> {
-    const { contact, world } = this;
+    const { contact, clock: world } = this;
     return new Promise(function wait(resolve) {
       const timer = world.schedule(ms, end);
       contact.once(event, end);
@@ -102,7 +102,7 @@
   }
 
   private isConfirmedNow(control: dialer.Control): boolean {
-    return dialer.isHeardConfirmed(control, this.world.now()) && control.node.outside !== "";
+    return dialer.isHeardConfirmed(control, this.clock.now()) && control.node.outside !== "";
   }
 
   /** The nearest one whose last beat said so lately; it sends nobody back here while this node isn't confirmed. */
@@ -122,7 +122,7 @@
    */
   private rememberedPeer(): Destination | null {
     const heard = new Set<string>();
-    for (const control of this.controls()) if (dialer.isFresh(control, this.world.now())) heard.add(control.node.name);
+    for (const control of this.controls()) if (dialer.isFresh(control, this.clock.now())) heard.add(control.node.name);
     const candidates = [...this.remembered.values()].filter(isUnheard).reverse();
     function isUnheard(destination: Destination): boolean {
       return !heard.has(destination.name);
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -57,25 +57,25 @@
   readonly root: tree.Supervisor;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private startup: settings.Settings,
   ) {
     const port = startup.internal_port_range[0];
     this.address = `${startup.ip_address}:${port}`;
-    this.dial = new dialer.Dialer(world, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
-    this.members = new membership.Membership(world, link.SILENT_MS, this.life);
+    this.dial = new dialer.Dialer(clock, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
+    this.members = new membership.Membership(clock, link.SILENT_MS, this.life);
     this.feed = new feeds.Feed(this.life);
     const seeds = settings.innerSeeds(startup);
     this.dial.know(seeds);
     const first = startup.bootstrap ? registerValue.initialValue(seeds) : registerValue.initialValue([]);
-    this.core = new registerReplica.RegisterReplica(world, { life: this.life, address: this.address, first }, this.dial);
-    this.leases = new leaseServer.LeaseServer(world, this.life, startup.bounds, this.core);
-    this.contact = new quorumContact.QuorumContact(world, this.core, this.dial, this.leases.recordFenceReply.bind(this.leases));
-    this.cells = new fleetObserver.FleetObserver(world, startup, this.dial, this.feed, this.core, this.members, this.fitness.bind(this));
-    this.voterManager = new voterManager.VoterManager(world, this.core, this.heldControls.bind(this));
+    this.core = new registerReplica.RegisterReplica(clock, { life: this.life, address: this.address, first }, this.dial);
+    this.leases = new leaseServer.LeaseServer(clock, this.life, startup.bounds, this.core);
+    this.contact = new quorumContact.QuorumContact(clock, this.core, this.dial, this.leases.recordFenceReply.bind(this.leases));
+    this.cells = new fleetObserver.FleetObserver(clock, startup, this.dial, this.feed, this.core, this.members, this.fitness.bind(this));
+    this.voterManager = new voterManager.VoterManager(clock, this.core, this.heldControls.bind(this));
     this.tallies = tallies.make({ ...this.parts(), settings: () => this.startup });
     this.batches = this.makeBatches(seeds);
-    this.root = new tree.Supervisor("control", world, []);
+    this.root = new tree.Supervisor("control", clock, []);
     this.handle();
     this.plan(seeds);
   }
@@ -118,8 +118,8 @@
 
   /** For parts with messages of their own. */
   private parts() {
-    const { world, life, address, dial, handlers, members, core } = this;
-    return { world, life, address, dial, handlers, members, core };
+    const { clock, life, address, dial, handlers, members, core } = this;
+    return { clock, life, address, dial, handlers, members, core };
   }
 
   private makeBatches(seeds: string[]): batches.Batches | null {
@@ -127,19 +127,19 @@
     const isConfirmed = (): boolean => !this.isLeaving && this.contact.isConfirmed();
     const heldControls = this.heldControls.bind(this);
     const host = { ...this.parts(), startup, seeds, feed, cells, isConfirmed, heldControls };
-    return batches.make(this.world, { ...host, configuration: () => core.chosen });
+    return batches.make(this.clock, { ...host, configuration: () => core.chosen });
   }
 
   private plan(seeds: string[]): void {
     const { root, startup } = this;
     const operator = new operators.Operator(this.core, new Set(Object.keys(startup.zones)), this.status.bind(this), this.batches);
     const reply = operatorChain.chain(
-      { world: this.world, handlers: this.handlers, dial: this.dial, core: this.core, contact: this.contact },
+      { clock: this.clock, handlers: this.handlers, dial: this.dial, core: this.core, contact: this.contact },
       operator.reply.bind(operator),
     );
     const stillServes = this.members.stillServes.bind(this.members);
     const directory = { routers: this.resolvable.bind(this), stillServes, chosen: () => this.core.chosen };
-    root.add(endpoints.internalChild(this.world, this.address, this.handlers));
+    root.add(endpoints.internalChild(this.clock, this.address, this.handlers));
     root.add(endpoints.operatorChild(startup, tallies.before(this.tallies, reply)));
     root.add(endpoints.directoryChild(startup, directory));
     root.add(root.turns("beats", link.BEAT_MS, this.beat.bind(this)));
@@ -152,7 +152,7 @@
   private openDisk(seeds: string[]): void {
     const { data_dir: name, bootstrap: isBootstrap } = this.startup;
     if (!name) return;
-    const machine = { clock: this.world, folder: new files.RealFolder(name), processes: owner.realProcesses };
+    const machine = { clock: this.clock, folder: new files.RealFolder(name), processes: owner.realProcesses };
     this.disk = new voterDisk.VoterDisk(machine, { address: this.address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
     this.disk.start();
     void this.leases.quotas.open(machine.folder);
@@ -241,7 +241,7 @@
     this.contact.withdraw();
     this.tallies.leave();
     this.tell();
-    await Promise.all([timers.sleep(this.world, LEAVE_MS), this.voterManager.handOver(HAND_OVER_MS), this.batches?.handOver(HAND_OVER_MS)]);
+    await Promise.all([timers.sleep(this.clock, LEAVE_MS), this.voterManager.handOver(HAND_OVER_MS), this.batches?.handOver(HAND_OVER_MS)]);
     this.dial.end();
     this.members.closeSessions();
     await this.root.stop();
--- a/src/control/register-replica.ts
+++ b/src/control/register-replica.ts
@@ -44,16 +44,16 @@
   private readonly channel: channel.Channel;
 
   constructor(
-    world: types.Clock,
+    clock: types.Clock,
     private readonly options: ReplicaOptions,
     private readonly dial: dialer.Dialer,
   ) {
     super();
     this.channel = options.channel ?? channel.CONFIGURATION;
     this.voterReach = new voterReach.VoterReach(options.address, this.channel, dial, () => this.disk);
-    this.proposer = new proposer.Proposer(world, options.life, this, options.first, this.publishChosen.bind(this));
-    this.recovery = new recovery.Recovery(world, this);
-    this.queue = new stepQueue.StepQueue(world, this.proposer.change.bind(this.proposer));
+    this.proposer = new proposer.Proposer(clock, options.life, this, options.first, this.publishChosen.bind(this));
+    this.recovery = new recovery.Recovery(clock, this);
+    this.queue = new stepQueue.StepQueue(clock, this.proposer.change.bind(this.proposer));
   }
 
   get disk(): string {
--- a/src/control/tallies.ts
+++ b/src/control/tallies.ts
@@ -16,7 +16,7 @@
 
 /** The control node around the tallies. */
 export interface TallyNode {
-  world: types.Clock;
+  clock: types.Clock;
   life: string;
   address: string;
   dial: dialer.Dialer;
@@ -28,8 +28,8 @@
 
 /** Makes the tallies of a control node. */
 export function make(node: TallyNode): tallies.Tallies {
-  const { world, life, address, dial, handlers, members, core } = node;
-  return new tallies.Tallies(world, {
+  const { clock, life, address, dial, handlers, members, core } = node;
+  return new tallies.Tallies(clock, {
     life,
     address,
     isCounted: node.settings().failure_counted,
--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -92,22 +92,22 @@
   private readonly policies: policyChain.Policy[];
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     size: Fleet,
   ) {
-    this.fleet = new runnerFleet.RunnerFleet(world, new Map());
+    this.fleet = new runnerFleet.RunnerFleet(clock, new Map());
     const listed: schema.Instance[] = [];
     const regions: string[] = [];
     for (let region = 0; region < size.regions; region += 1) regions.push(`region-${region}`);
     for (const region of regions) for (let index = 0; index < size.runnersEach; index += 1) listed.push(instanceOf(region, index));
     this.fleet.applySnapshot(listed);
-    const admission = new admissions.Admission(world, {
+    const admission = new admissions.Admission(clock, {
       runners: this.fleet.inRegion.bind(this.fleet),
       prefill: this.known,
       routerCount: one,
     });
     this.policies = [
-      new homesPolicy.HomesPolicy(this.fleet, new zoneRotation.ZoneRotation(world)),
+      new homesPolicy.HomesPolicy(this.fleet, new zoneRotation.ZoneRotation(clock)),
       new cellPolicy.CellPolicy(regions[0], this.fleet.summaries),
       new runnerPolicy.RunnerPolicy(this.known),
       new admissionPolicy.AdmissionPolicy(admission),
@@ -120,7 +120,7 @@
     const reports: schema.Report[] = [];
     for (const runner of this.fleet.all()) {
       if (runner.region !== region) continue;
-      const active = Math.floor(this.world.random() * CAPACITY);
+      const active = Math.floor(this.clock.random() * CAPACITY);
       reports.push({
         id: runner.id,
         isSpeaking: true,
@@ -130,18 +130,18 @@
         kvCapacity: KV_CAPACITY,
       });
       const shared = this.prompt().slice(0, -1);
-      this.known.recordPrefill(runner.id, 0, promptParts.prefixKeys(shared), this.world.now());
+      this.known.recordPrefill(runner.id, 0, promptParts.prefixKeys(shared), this.clock.now());
     }
     this.fleet.applyReport({ region, reports });
     admission.applyReport({ region, reports });
   }
 
   private prompt(): promptParts.PromptPart[] {
-    const beginning = Math.floor(this.world.random() * BEGINNINGS);
+    const beginning = Math.floor(this.clock.random() * BEGINNINGS);
     return [
       { id: `b-${beginning}`, tokens: SHARED_TOKENS },
       { id: `m-${beginning}`, tokens: OWN_TOKENS },
-      { id: `o-${this.world.random()}`, tokens: OWN_TOKENS },
+      { id: `o-${this.clock.random()}`, tokens: OWN_TOKENS },
     ];
   }
 
@@ -149,11 +149,11 @@
   once(prompt: ChainRow["prompt"]): number[] {
     const parts = prompt === "none" ? [] : this.prompt();
     const shared = parts.slice(0, -1);
-    const now = this.world.now();
+    const now = this.clock.now();
     let sharedTokens = 0;
     for (const part of shared) sharedTokens += part.tokens;
     const plan: routePlan.RoutePlan = {
-      requestId: types.small(`r-${this.world.random()}`),
+      requestId: types.small(`r-${this.clock.random()}`),
       entry: ENTRY,
       service: SERVICE,
       parts,
@@ -193,8 +193,8 @@
 }
 
 /** Times `times` choices at one fleet. */
-export function measure(world: types.Clock, size: Fleet, prompt: ChainRow["prompt"], times: number): ChainRow {
-  const chain = new Chain(world, size);
+export function measure(clock: types.Clock, size: Fleet, prompt: ChainRow["prompt"], times: number): ChainRow {
+  const chain = new Chain(clock, size);
   for (let index = 0; index < WARM_TIMES; index += 1) chain.once(prompt);
   const before = process.cpuUsage();
   const each: number[][] = [];
@@ -223,8 +223,8 @@
 }
 
 /** All fleets, with and without shared prompts. */
-export function table(world: types.Clock, times: number): ChainRow[] {
+export function table(clock: types.Clock, times: number): ChainRow[] {
   const found: ChainRow[] = [];
-  for (const size of FLEETS) for (const prompt of ["none", "shared"] as const) found.push(measure(world, size, prompt, times));
+  for (const size of FLEETS) for (const prompt of ["none", "shared"] as const) found.push(measure(clock, size, prompt, times));
   return found;
 }
--- a/src/experiment/changes.ts
+++ b/src/experiment/changes.ts
@@ -3,7 +3,7 @@
 import * as errors from "../runtime/errors.js";
 import * as types from "../wire/types.js";
 import * as timers from "../runtime/timers.js";
-import * as clock from "./clock.js";
+import * as measuringClock from "./measuring-clock.js";
 import type * as layout from "./layout.js";
 import type * as experiment from "./options.js";
 import * as routers from "./routers.js";
@@ -26,7 +26,7 @@
   private acknowledged: AcknowledgedChange[] = [];
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly options: experiment.Options,
     private readonly layout: layout.Layout,
   ) {}
@@ -40,9 +40,9 @@
     const start = this.sent % controls.length;
     const body = Buffer.from(JSON.stringify(document));
     const headers = { "Content-Type": "application/json", "X-Cranewind-Base-Version": String(this.revision) };
-    const sentMs = clock.machineMs();
+    const sentMs = measuringClock.machineMs();
     this.sent += 1;
-    const outcome = await client.send(this.world, [...controls.slice(start), ...controls.slice(0, start)], {
+    const outcome = await client.send(this.clock, [...controls.slice(start), ...controls.slice(0, start)], {
       method: "POST",
       path,
       headers,
@@ -51,7 +51,7 @@
     if (outcome.isErr) return outcome.error;
     this.revision = revision;
     this.bytes = body.length;
-    this.acknowledged.push({ revision, sentMs, atMs: clock.machineMs() });
+    this.acknowledged.push({ revision, sentMs, atMs: measuringClock.machineMs() });
     return null;
   }
 
@@ -61,7 +61,7 @@
     for (let round = 0; round < 5; round += 1) {
       failure = await this.send("/-/Config.Replace", this.layout.configuration(1), 1);
       if (!failure) return null;
-      await timers.sleep(this.world, 500);
+      await timers.sleep(this.clock, 500);
     }
     return failure;
   }
@@ -71,19 +71,19 @@
     this.sent = 0;
     this.acknowledged = [];
     const { changesPerS, routes } = this.options;
-    const startedMs = this.world.now();
+    const startedMs = this.clock.now();
     const mostCount = Math.round(seconds * changesPerS);
     for (let index = 0; index < mostCount; index += 1) {
-      const waitMs = startedMs + ((index + 0.5) * 1000) / changesPerS - this.world.now();
-      if (waitMs > 0) await timers.sleep(this.world, waitMs);
-      if (this.world.now() - startedMs >= seconds * 1000) break;
+      const waitMs = startedMs + ((index + 0.5) * 1000) / changesPerS - this.clock.now();
+      if (waitMs > 0) await timers.sleep(this.clock, waitMs);
+      if (this.clock.now() - startedMs >= seconds * 1000) break;
       const revision = this.revision + 1;
       const route = this.layout.route(index % routes, DEADLINES_MS[index % DEADLINES_MS.length]);
       // A change that fails leaves its revision unused: the next one is sent on the same base.
       await this.send("/-/Config.Update", { revision, upsert: { routes: [route] } }, revision);
     }
-    const leftMs = startedMs + seconds * 1000 - this.world.now();
-    if (leftMs > 0) await timers.sleep(this.world, leftMs);
+    const leftMs = startedMs + seconds * 1000 - this.clock.now();
+    if (leftMs > 0) await timers.sleep(this.clock, leftMs);
   }
 
   /** The row of this run: from each acknowledgement until the revision was in force at each router. */
--- a/src/experiment/command.ts
+++ b/src/experiment/command.ts
@@ -7,7 +7,7 @@
 import * as errors from "../runtime/errors.js";
 import type * as types from "../wire/types.js";
 import * as chains from "./chain.js";
-import * as clock from "./clock.js";
+import * as measuringClock from "./measuring-clock.js";
 import * as experiment from "./options.js";
 import * as rows from "./rows.js";
 import * as sweep from "./sweep.js";
@@ -55,9 +55,9 @@
   return error.code === "usage" ? commands.EXIT.usage : commands.EXIT.denied;
 }
 
-async function play(world: types.Clock, output: commands.Output, places: readonly sweep.SweepPoint[], raw: Raw): Promise<number> {
+async function play(clock: types.Clock, output: commands.Output, places: readonly sweep.SweepPoint[], raw: Raw): Promise<number> {
   const failure = await sweep.play(places, {
-    world,
+    clock,
     program: process.argv[1],
     out: String(raw["out"]),
     hasPlots: raw["plots"] !== false,
@@ -68,13 +68,13 @@
   return commands.EXIT.ok;
 }
 
-async function runOne(world: types.Clock, output: commands.Output, raw: Raw): Promise<number> {
+async function runOne(clock: types.Clock, output: commands.Output, raw: Raw): Promise<number> {
   const options = experiment.check(numbersOf(raw));
   if (options.isErr) return denied(output, options.error);
-  return play(world, output, [{ sweep: "one", field: "routers", options: options.value }], raw);
+  return play(clock, output, [{ sweep: "one", field: "routers", options: options.value }], raw);
 }
 
-async function runSweep(world: types.Clock, output: commands.Output, raw: Raw): Promise<number> {
+async function runSweep(clock: types.Clock, output: commands.Output, raw: Raw): Promise<number> {
   const file = String(raw["plan"]);
   let bytes: Buffer;
   try {
@@ -87,7 +87,7 @@
   }
   const places = check.parseJson(bytes).andThen(sweep.pointsOf);
   if (places.isErr) return denied(output, places.error);
-  return play(world, output, places.value, raw);
+  return play(clock, output, places.value, raw);
 }
 
 /** Writes the table of measurements that are repeated so many times. */
@@ -104,7 +104,7 @@
 }
 
 /** Adds the command to the program. */
-export function add(program: commander.Command, world: types.Clock, output: commands.Output): void {
+export function add(program: commander.Command, clock: types.Clock, output: commands.Output): void {
   const command = program
     .command("experiment")
     .description("measure control by real control nodes, hollow routers and hollow runners on loopback");
@@ -116,7 +116,7 @@
     .option("--no-plots", "tables alone");
   for (const [field, about] of ABOUT) one.option(`--${flagOf(field)} <count>`, about, String(experiment.DEFAULTS[field]));
   one.action(async function run(raw: Raw) {
-    process.exitCode = await runOne(world, output, raw);
+    process.exitCode = await runOne(clock, output, raw);
   });
   command
     .command("sweep")
@@ -125,7 +125,7 @@
     .requiredOption("--out <folder>", "where tables and plots go")
     .option("--no-plots", "tables alone")
     .action(async function sweep(raw: Raw) {
-      process.exitCode = await runSweep(world, output, raw);
+      process.exitCode = await runSweep(clock, output, raw);
     });
   command
     .command("chain")
@@ -133,7 +133,7 @@
     .requiredOption("--out <folder>", "where the table goes")
     .option("--times <count>", "choices timed at each place", "1000")
     .action(function chain(raw: Raw) {
-      process.exitCode = runTable(output, raw, "chain.csv", (times) => chains.table(new clock.SeededWorld(1), times));
+      process.exitCode = runTable(output, raw, "chain.csv", (times) => chains.table(new measuringClock.SeededClock(1), times));
     });
   command
     .command("tenants")
@@ -141,7 +141,7 @@
     .requiredOption("--out <folder>", "where the table goes")
     .option("--times <count>", "checks and grants timed at each place", "20000")
     .action(function measureTenants(raw: Raw) {
-      process.exitCode = runTable(output, raw, "tenants.csv", (times) => tenants.table(world, times));
+      process.exitCode = runTable(output, raw, "tenants.csv", (times) => tenants.table(clock, times));
     });
   command.command("worker <seed>", { hidden: true }).action(function hold(seed: string) {
     worker.run(Number(seed));
--- a/src/experiment/hosts.ts
+++ b/src/experiment/hosts.ts
@@ -50,7 +50,7 @@
   /** Control nodes that are to end with this host. */
   guardedPids: number[] = [];
 
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   /** One command; the response is plain data. */
   async handle(order: HostCommand): Promise<unknown> {
@@ -58,10 +58,10 @@
     if (order.kind === "report") return this.routers?.report();
     if (order.kind === "guard") this.guardedPids = order.pids;
     else if (order.kind === "routers") {
-      this.routers = new routers.RouterGroup(this.world);
+      this.routers = new routers.RouterGroup(this.clock);
       await this.routers.start(order.routers);
     } else {
-      this.runners = new runners.RunnerGroup(this.world);
+      this.runners = new runners.RunnerGroup(this.clock);
       await this.runners.start(order.platform, order.instances, order.listChangesPerS);
     }
     return null;
--- a/src/experiment/clock.ts
+++ b/src/experiment/measuring-clock.ts
@@ -14,7 +14,7 @@
 }
 
 /** Real time, and Mulberry32 in place of the system's random numbers. */
-export class SeededWorld extends timers.SystemClock {
+export class SeededClock extends timers.SystemClock {
   constructor(private seed: number) {
     super();
   }
--- a/src/experiment/routers.ts
+++ b/src/experiment/routers.ts
@@ -6,7 +6,7 @@
 import * as counts from "../wire/counts.js";
 import * as types from "../wire/types.js";
 import * as timers from "../runtime/timers.js";
-import * as clock from "./clock.js";
+import * as measuringClock from "./measuring-clock.js";
 
 const SAMPLE_INTERVAL_MS = 5;
 /** Well within the time for which a region counts as used (design/usage 4.1). */
@@ -68,20 +68,20 @@
   private dialed = 0;
   private readonly timers: types.Timer[] = [];
 
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   /** Starts the routers one after the other; throws on bad settings. */
   async start(all: readonly HollowRouterOptions[]): Promise<void> {
     for (const options of all) {
       const parsed = settings.parse(options.settings);
       if (parsed.isErr) throw parsed.error;
-      const program = new routerProgram.RouterProgram(this.world, parsed.value);
+      const program = new routerProgram.RouterProgram(this.clock, parsed.value);
       this.hollows.push({ program, regions: options.regions, lastStanding: program.position() });
       await program.root.start();
     }
     this.timers.push(
-      timers.runPeriodically(this.world, SAMPLE_INTERVAL_MS, this.sample.bind(this)),
-      timers.runPeriodically(this.world, RECORD_USE_INTERVAL_MS, this.recordUse.bind(this)),
+      timers.runPeriodically(this.clock, SAMPLE_INTERVAL_MS, this.sample.bind(this)),
+      timers.runPeriodically(this.clock, RECORD_USE_INTERVAL_MS, this.recordUse.bind(this)),
     );
   }
 
@@ -90,7 +90,7 @@
   }
 
   private sample(): void {
-    const atMs = clock.machineMs();
+    const atMs = measuringClock.machineMs();
     for (const [index, hollow] of this.hollows.entries()) {
       const now = hollow.program.position();
       if (now.revision !== hollow.lastStanding.revision) this.revisions.push({ router: index, revision: now.revision, atMs });
@@ -120,7 +120,7 @@
   /** What was seen since the last report. */
   report(): RouterGroupReport {
     const report = {
-      atMs: clock.machineMs(),
+      atMs: measuringClock.machineMs(),
       vitals: vitals.vitals(),
       links: [...counts.linkCounts()],
       revisions: this.revisions,
--- a/src/experiment/run.ts
+++ b/src/experiment/run.ts
@@ -11,7 +11,7 @@
 import * as types from "../wire/types.js";
 import * as timers from "../runtime/timers.js";
 import * as changes from "./changes.js";
-import * as clock from "./clock.js";
+import * as measuringClock from "./measuring-clock.js";
 import * as hosts from "./hosts.js";
 import * as layout from "./layout.js";
 import * as losses from "./losses.js";
@@ -48,7 +48,7 @@
   private readonly point: rows.Point;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly launcher: hosts.Launcher,
     private readonly options: experiment.Options,
     private readonly folder: string,
@@ -56,7 +56,7 @@
     sweep: string,
   ) {
     this.layout = new layout.Layout(options, layout.netOf(process.pid), folder);
-    this.changes = new changes.Changes(world, options, this.layout);
+    this.changes = new changes.Changes(clock, options, this.layout);
     this.point = rows.pointOf(sweep, options);
   }
 
@@ -114,24 +114,24 @@
     const failure = await this.changes.first();
     if (failure) throw failure;
     await this.waitUntil("the first configuration is in force at all routers", SETTLE_TIMEOUT_MS, this.isInForce.bind(this));
-    await timers.sleep(this.world, QUIET_MS);
+    await timers.sleep(this.clock, QUIET_MS);
   }
 
   private async waitUntil(what: string, withinMs: number, isSo: () => Promise<boolean>): Promise<void> {
-    const startedMs = this.world.now();
+    const startedMs = this.clock.now();
     while (!(await isSo())) {
-      if (this.world.now() - startedMs > withinMs) {
+      if (this.clock.now() - startedMs > withinMs) {
         throw new errors.TimeoutError(
           `not so within ${withinMs / 1000} s: ${what}`,
           "give fewer nodes or wait until the machine is less busy",
         );
       }
-      await timers.sleep(this.world, POLL_INTERVAL_MS);
+      await timers.sleep(this.clock, POLL_INTERVAL_MS);
     }
   }
 
   private async statusOf(index: number): Promise<ControlStatus | null> {
-    const outcome = await client.send(this.world, [this.layout.controls()[index]], { method: "GET", path: "/-/status" });
+    const outcome = await client.send(this.clock, [this.layout.controls()[index]], { method: "GET", path: "/-/status" });
     return outcome.isOk ? (outcome.value.json as ControlStatus) : null;
   }
 
@@ -171,7 +171,7 @@
       const status = await this.statusOf(index);
       if (!status) throw new errors.TimeoutError(`${this.layout.controlName(index)} tells no status`, `read its log in ${this.folder}`);
       readings.push({
-        atMs: clock.machineMs(),
+        atMs: measuringClock.machineMs(),
         vitals: status.vitals,
         links: new Map(Object.entries(status.links)),
         reports: status.counters["runner.report"] ?? 0,
@@ -217,7 +217,7 @@
     const lost = this.controls[index];
     const followers = following.get(lost.name) ?? 0;
     await this.routerReports();
-    const atMs = clock.machineMs();
+    const atMs = measuringClock.machineMs();
     if (manner === "frozen") lost.freeze();
     else await lost.kill();
     const census = this.census.bind(this);
@@ -227,7 +227,7 @@
     });
     if (manner === "frozen") await lost.kill();
     this.controls[index] = await this.startControl(index, false);
-    await timers.sleep(this.world, RETURN_MS);
+    await timers.sleep(this.clock, RETURN_MS);
     const accounts = await this.routerReports();
     this.outcome.losses.push(losses.lossRow(this.point, manner, lost.name, atMs, followers, accounts));
     await this.waitUntil("the control nodes reach a majority again", SETTLE_TIMEOUT_MS, this.isSettled.bind(this));
--- a/src/experiment/runners.ts
+++ b/src/experiment/runners.ts
@@ -25,7 +25,7 @@
   private changed = 0;
   private timer: types.Timer | null = null;
 
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   /** Listens at each runner's address, then at the platform's. */
   async start(platformAddress: string, instances: platform.Listed[], listChangesPerS: number): Promise<void> {
@@ -37,7 +37,7 @@
     }
     this.platform.instances = instances;
     await this.platform.start(platformAddress);
-    if (listChangesPerS > 0) this.timer = timers.runPeriodically(this.world, 1000 / listChangesPerS, this.changeList.bind(this));
+    if (listChangesPerS > 0) this.timer = timers.runPeriodically(this.clock, 1000 / listChangesPerS, this.changeList.bind(this));
   }
 
   private opened(socket: net.Socket): void {
@@ -71,8 +71,8 @@
       models: [],
       utilization: false,
       sequence: 0,
-      waiting_requests: Math.floor(this.world.random() * 3),
-      active: Math.floor(this.world.random() * CAPACITY),
+      waiting_requests: Math.floor(this.clock.random() * 3),
+      active: Math.floor(this.clock.random() * CAPACITY),
       kv_used: this.reports % KV_TOKENS,
       kv_capacity: KV_TOKENS,
       supported_models: 0,
--- a/src/experiment/sweep.ts
+++ b/src/experiment/sweep.ts
@@ -61,7 +61,7 @@
 
 /** What the runs work with: where results go, and where progress is printed. */
 export interface Environment {
-  world: types.Clock;
+  clock: types.Clock;
   program: string;
   out: string;
   hasPlots: boolean;
@@ -84,7 +84,7 @@
   process.on("SIGINT", stop);
   process.on("SIGTERM", stop);
   try {
-    const outcome = await new run.Run(environment.world, launcher, point.options, folder, progress, point.sweep).play();
+    const outcome = await new run.Run(environment.clock, launcher, point.options, folder, progress, point.sweep).play();
     fs.rmSync(folder, { recursive: true });
     return outcome;
   } finally {
--- a/src/experiment/tenants.ts
+++ b/src/experiment/tenants.ts
@@ -83,8 +83,8 @@
   }
 }
 
-function grantUs(world: types.Clock, list: Configured[], times: number): number {
-  const owner = new quotaOwner.QuotaOwner(world, "life", BOUNDS, new OpenTenure(world, { fenceMs: 1, lifeMs: 1 }));
+function grantUs(clock: types.Clock, list: Configured[], times: number): number {
+  const owner = new quotaOwner.QuotaOwner(clock, "life", BOUNDS, new OpenTenure(clock, { fenceMs: 1, lifeMs: 1 }));
   owner.setLimits(new Map(list.map(({ name, rate_per_s: perS, burst }) => [name, { perS, burst }])));
   return meanOf(times, (index) => {
     const tenant = list[index % list.length].name;
@@ -93,7 +93,7 @@
 }
 
 /** Times one number of tenants. */
-export function measure(world: types.Clock, count: number, times: number): TenantRow {
+export function measure(clock: types.Clock, count: number, times: number): TenantRow {
   const list = configured(count, 0);
   const splitter = new keys.Splitter();
   let items: ReadonlyMap<string, Buffer> = new Map();
@@ -110,7 +110,7 @@
     tenants: count,
     times,
     keyCheckUs,
-    grantUs: grantUs(world, list, times),
+    grantUs: grantUs(clock, list, times),
     askBytes: tenantSchema.quotaAsk.toBuffer(ask).length,
     replyBytes: tenantSchema.quotaReply.toBuffer(reply).length,
     itemBytes: items.get("tenant:tenant-1")!.length,
@@ -121,6 +121,6 @@
 }
 
 /** All numbers of tenants. */
-export function table(world: types.Clock, times: number): TenantRow[] {
-  return COUNTS.map((count) => measure(world, count, times));
+export function table(clock: types.Clock, times: number): TenantRow[] {
+  return COUNTS.map((count) => measure(clock, count, times));
 }
--- a/src/experiment/worker.ts
+++ b/src/experiment/worker.ts
@@ -2,7 +2,7 @@
  * A process that holds hollow nodes: commands come by the channel from the process that started it, and it ends with
  * that (design/experiment 2).
  */
-import * as clock from "./clock.js";
+import * as measuringClock from "./measuring-clock.js";
 import * as hosts from "./hosts.js";
 
 /** A command with its number on the channel. */
@@ -20,7 +20,7 @@
 
 /** Serves commands until the channel closes. */
 export function run(seed: number): void {
-  const handler = new hosts.CommandHandler(new clock.SeededWorld(seed));
+  const handler = new hosts.CommandHandler(new measuringClock.SeededClock(seed));
   process.on("message", onMessage);
   process.on("disconnect", onDisconnect);
   // An interrupt at the terminal goes to all: the process that started this one ends it.
--- a/src/feed/dialer.ts
+++ b/src/feed/dialer.ts
@@ -50,7 +50,7 @@
   private isOver = false;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly own: string,
     private readonly handlers: link.Handlers,
     private readonly describe: () => schema.NodeInfo,
@@ -124,7 +124,7 @@
   /** Ends silent links and dials what is due; called each 100 ms. */
   turn(): void {
     if (this.isOver) return;
-    const now = this.world.now();
+    const now = this.clock.now();
     for (const control of [...this.controls.values()]) {
       if (control.link.silentMs() > this.silentMs) control.link.end("silent");
     }
@@ -138,20 +138,20 @@
 
   /** Whether a connection is tried in vain for so long that its first packet may be lost. */
   private isStale(target: Target): boolean {
-    return target.state === "dialing" && this.world.now() - target.dialedAt >= STALE_DIAL_MS;
+    return target.state === "dialing" && this.clock.now() - target.dialedAt >= STALE_DIAL_MS;
   }
 
   private begin(address: string, target: Target): void {
     if (this.isOver || this.controls.size >= MAX_LINKS) return;
     if (target.state === "dialing") target.failures += 1;
     target.state = "dialing";
-    target.dialedAt = this.world.now();
+    target.dialedAt = this.clock.now();
     void this.dial(address, target);
   }
 
   /** Simulations hand in links of their own here. */
   protected connect(address: string): Promise<link.Link | null> {
-    return link.connect(this.world, address, this.handlers, CONNECT_MS);
+    return link.connect(this.clock, address, this.handlers, CONNECT_MS);
   }
 
   private async dial(address: string, target: Target): Promise<void> {
@@ -168,10 +168,10 @@
 
   private async greet(address: string, target: Target, made: link.Link): Promise<void> {
     target.state = "greeting";
-    const asked = this.world.now();
+    const asked = this.clock.now();
     const known = await made.call(calls.hello, { node: this.describe() }, CONNECT_MS);
     if (known && made.isOpen && !this.isOver) {
-      this.hold(address, target, { link: made, known, tripMs: this.world.now() - asked });
+      this.hold(address, target, { link: made, known, tripMs: this.clock.now() - asked });
       return;
     }
     made.end("no hello");
@@ -188,7 +188,7 @@
     target.state = "idle";
     target.failures += 1;
     this.selector?.forget(target);
-    target.notBefore = this.world.now() + Math.min(mostMs, target.pauseMs) * (0.7 + 0.6 * this.world.random());
+    target.notBefore = this.clock.now() + Math.min(mostMs, target.pauseMs) * (0.7 + 0.6 * this.clock.random());
     target.pauseMs = Math.min(mostMs, target.pauseMs * 2);
   }
 
@@ -206,7 +206,7 @@
       place: known.place,
       link: made,
       beat: null,
-      beatAt: this.world.now(),
+      beatAt: this.clock.now(),
       wasConfirmed: known.isConfirmed,
       tripMs,
     };
@@ -221,7 +221,7 @@
     this.controls.delete(control.address);
     target.state = "idle";
     if (!target.isReleased) target.failures = 1;
-    target.notBefore = this.world.now() + FIRST_PAUSE_MS;
+    target.notBefore = this.clock.now() + FIRST_PAUSE_MS;
     log.state(`link: down to ${control.node.name}: ${cause}`);
     this.emit("down", control);
   }
@@ -231,7 +231,7 @@
     for (const control of this.controls.values()) {
       if (control.link !== from) continue;
       control.beat = beat;
-      control.beatAt = this.world.now();
+      control.beatAt = this.clock.now();
       this.emit("beat", control);
       return;
     }
--- a/src/feed/follower.ts
+++ b/src/feed/follower.ts
@@ -37,7 +37,7 @@
   private isWaiting = false;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly region: string,
     private readonly dial: dialer.Dialer,
     handlers: link.Handlers,
@@ -72,7 +72,7 @@
   }
 
   private isFresh(control: dialer.Control): boolean {
-    return control.link.isOpen && this.world.now() - control.beatAt < FRESH_MS;
+    return control.link.isOpen && this.clock.now() - control.beatAt < FRESH_MS;
   }
 
   private rankOf(control: dialer.Control): number {
@@ -152,7 +152,7 @@
     if (this.asking.has(topic)) return;
     this.asking.add(topic);
     const again = this.again.bind(this, from, topic, isAll);
-    this.world.schedule(isAll ? MISMATCH_MS : GAP_MS, again);
+    this.clock.schedule(isAll ? MISMATCH_MS : GAP_MS, again);
   }
 
   private again(from: link.Link, topic: string, isAll: boolean): void {
@@ -175,7 +175,7 @@
     if (this.isWaiting) return;
     this.isWaiting = true;
     const late = this.late.bind(this);
-    this.world.schedule(ms, late);
+    this.clock.schedule(ms, late);
   }
 
   /** The main control node has not brought what another noticed: that one is asked, later the next one. */
--- a/src/feed/session-selector.ts
+++ b/src/feed/session-selector.ts
@@ -88,7 +88,7 @@
   hasEnough = false;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly self: Self,
   ) {}
 
@@ -103,7 +103,7 @@
 
   /** Sets when each target is due to be dialled; releases those that are held beyond what it needs. */
   plan(targets: ReadonlyMap<string, controlLink.Target>, controls: ReadonlyMap<string, controlLink.Control>): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     const isLate = now - this.plannedAt > LATE_MS;
     this.plannedAt = now;
     const all: Place[] = [];
@@ -134,7 +134,7 @@
 
   /** Nobody was met yet: whoever replies first tells of all the others. */
   private start(all: readonly Place[], targets: ReadonlyMap<string, controlLink.Target>): void {
-    if (this.startedAt < 0) this.startedAt = this.world.now();
+    if (this.startedAt < 0) this.startedAt = this.clock.now();
     for (const [index, place] of rank(all, this.self, all).entries()) {
       const target = targets.get(place.address)!;
       if (target.state === "idle") target.dueAt = this.startedAt + index * STAGGER_MS;
@@ -148,12 +148,12 @@
       return;
     }
     if (urgency <= target.urgency) return;
-    const now = this.world.now();
+    const now = this.clock.now();
     const mostMs = urgency === AT_ONCE ? 0 : urgency === TO_REPLACE ? REPLACE_MS : MOVE_MS;
     // A pause that grew while it was not needed does not hold up what is needed now.
     if (target.urgency === TO_MOVE) target.notBefore = Math.min(target.notBefore, now + REPLACE_MS);
     target.urgency = urgency;
-    target.dueAt = Math.min(target.dueAt, now + mostMs * this.world.random());
+    target.dueAt = Math.min(target.dueAt, now + mostMs * this.clock.random());
   }
 
   /** Dialled, up or no longer wanted: the next wait is drawn anew. */
@@ -174,8 +174,8 @@
       this.releaseAt = Infinity;
       return;
     }
-    const now = this.world.now();
-    if (this.releaseAt === Infinity) this.releaseAt = now + RELEASE_MS + MOVE_MS * this.world.random();
+    const now = this.clock.now();
+    if (this.releaseAt === Infinity) this.releaseAt = now + RELEASE_MS + MOVE_MS * this.clock.random();
     if (now < this.releaseAt) return;
     this.releaseAt = Infinity;
     for (const control of extra) {
--- a/src/forecast/loads.ts
+++ b/src/forecast/loads.ts
@@ -39,10 +39,10 @@
   readRate = 0;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly seasonMs = DAY_MS,
   ) {
-    this.stepAt = world.now();
+    this.stepAt = clock.now();
     this.stepMs = series.stepMsOf(seasonMs);
   }
 
@@ -71,7 +71,7 @@
 
   /** Called often; ends each step that is over. */
   turn(): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     while (now - this.stepAt >= this.stepMs) {
       this.stepAt = (this.stepAt + this.stepMs) as types.SteadyMs;
       for (const [key, entry] of this.entries) this.endStep(key, entry);
@@ -104,7 +104,7 @@
 
   /** How the load of a region `aheadMs` from now compares with now, and how sure that is; null: nothing was seen there. */
   outlook(region: string, aheadMs: number, weightOf: (route: string) => number): Outlook | null {
-    const now = this.world.now();
+    const now = this.clock.now();
     let present = 0;
     let future = 0;
     let main: { weight: number; series: series.RateSeries } | null = null;
--- a/src/hints/hint-exchange.ts
+++ b/src/hints/hint-exchange.ts
@@ -25,12 +25,12 @@
   private readonly throttle: throttle.Throttle;
 
   constructor(
-    world: types.Clock,
+    clock: types.Clock,
     private readonly marks: runnerHash.RunnerHashes<types.RunnerId>,
     private readonly handler: HintHandler,
     private readonly publish: (signs: schema.Signs) => void,
   ) {
-    this.throttle = new throttle.Throttle(world, this.flush.bind(this));
+    this.throttle = new throttle.Throttle(clock, this.flush.bind(this));
   }
 
   /** Hears signs from the links. */
--- a/src/hints/hint-relay.ts
+++ b/src/hints/hint-relay.ts
@@ -58,10 +58,10 @@
   private readonly throttle: throttle.Throttle;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly targets: RelayTargets,
   ) {
-    this.throttle = new throttle.Throttle(world, this.flush.bind(this));
+    this.throttle = new throttle.Throttle(clock, this.flush.bind(this));
   }
 
   /** The regions of the runners listed. */
@@ -144,7 +144,7 @@
 
   private bucketOf(router: Peer, perS: number): TokenBucket {
     const most = perS * BURST_S;
-    const now = this.world.now();
+    const now = this.clock.now();
     let bucket = this.buckets.get(router);
     if (!bucket) {
       bucket = { bytes: most, at: now };
--- a/src/hints/throttle.ts
+++ b/src/hints/throttle.ts
@@ -13,7 +13,7 @@
   private timer: types.Timer | null = null;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly run: () => void,
     private readonly periodMs = PERIOD_MS,
   ) {}
@@ -21,14 +21,14 @@
   /** Asks for a run: now, or once at the end of the period. */
   request(): void {
     if (this.timer) return;
-    const waitMs = this.lastRunAt + this.periodMs - this.world.now();
+    const waitMs = this.lastRunAt + this.periodMs - this.clock.now();
     if (waitMs <= 0) this.fire();
-    else this.timer = this.world.schedule(waitMs, this.fire.bind(this));
+    else this.timer = this.clock.schedule(waitMs, this.fire.bind(this));
   }
 
   private fire(): void {
     this.timer = null;
-    this.lastRunAt = this.world.now();
+    this.lastRunAt = this.clock.now();
     this.run();
   }
 
--- a/src/limits/holdings.ts
+++ b/src/limits/holdings.ts
@@ -40,18 +40,18 @@
   /** Something was wanted and not there since needs were told last. */
   isShort = false;
 
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   /** Wanted now: counted whether it was there or not. */
   want(kind: leaseSchema.Kind, key: string, perS: number): void {
     const demand = this.demandOf(kind, key, perS);
-    demand.hits.push(this.world.now());
+    demand.hits.push(this.clock.now());
     if (demand.hits.length > 2 * MAX_WANTED) demand.hits.shift();
   }
 
   /** May be wanted soon: one is kept ready while the owners have plenty. */
   stand(key: string, forMs: number): void {
-    this.demandOf(leaseSchema.TRIES, key, 0).standingUntil = this.world.now() + forMs;
+    this.demandOf(leaseSchema.TRIES, key, 0).standingUntil = this.clock.now() + forMs;
   }
 
   private demandOf(kind: leaseSchema.Kind, key: string, perS: number): Demand {
@@ -66,7 +66,7 @@
 
   private open(kind: leaseSchema.Kind, key: string): Lease[] {
     const name = `${kind}${key}`;
-    const now = this.world.now();
+    const now = this.clock.now();
     const all = this.leases.get(name);
     if (!all) return [];
     const open: Lease[] = [];
@@ -115,7 +115,7 @@
 
   /** What is wanted on top of what is held. */
   needs(): leaseSchema.Need[] {
-    const now = this.world.now();
+    const now = this.clock.now();
     this.isShort = false;
     const needs: leaseSchema.Need[] = [];
     const cold: leaseSchema.Need[] = [];
@@ -156,7 +156,7 @@
 
   /** sentAt: when the ask was sent, on the own clock. */
   grant(reply: leaseSchema.LeaseReply, sentAt: number): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     for (const { id, kind, key, amount, lifeMs } of reply.grants) {
       const lease = { id, life: reply.life, kind, key, left: amount, until: sentAt + lifeMs };
       if (lease.until <= now) this.end(lease);
--- a/src/limits/owner.ts
+++ b/src/limits/owner.ts
@@ -38,7 +38,7 @@
   private readonly holdings = new Map<string, Holding>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     readonly life: string,
     private bounds: parts.Bounds,
     private readonly tenure: tenure.Tenure,
@@ -51,7 +51,7 @@
 
   /** accepted: the newest voter epoch on the own disk; null: this node is not confirmed now, and grants nothing. */
   reply(ask: leaseSchema.LeaseAsk, accepted: types.Epoch | null): leaseSchema.LeaseReply {
-    const now = this.world.now();
+    const now = this.clock.now();
     this.sweep(now);
     if (ask.life === this.life) for (const done of ask.done) this.settle(ask.router, done, now);
     const isGranting = accepted !== null && this.tenure.isGranting(accepted);
--- a/src/limits/shares.ts
+++ b/src/limits/shares.ts
@@ -30,10 +30,10 @@
   readonly held: holdings.Holdings;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private bounds: Bounds,
   ) {
-    this.held = new holdings.Holdings(world);
+    this.held = new holdings.Holdings(clock);
   }
 
   /** How many routers there are: each keeps to its part of the connections (design 7.6). */
@@ -51,12 +51,12 @@
 
   /** Whether an owner was granting lately. */
   isValid(): boolean {
-    return this.world.now() - this.grantedAt < VALID_MS;
+    return this.clock.now() - this.grantedAt < VALID_MS;
   }
 
   /** sentAt: when the ask was sent, on the own clock. */
   grant(reply: leaseSchema.LeaseReply, sentAt: number): void {
-    if (reply.isGranting) this.grantedAt = this.world.now();
+    if (reply.isGranting) this.grantedAt = this.clock.now();
     this.held.grant(reply, sentAt);
   }
 
@@ -66,14 +66,14 @@
       window = { requests: [], repeats: [], taken: [] };
       this.windows.set(service, window);
     }
-    const from = this.world.now() - this.bounds.retry_window_s * 1000;
+    const from = this.clock.now() - this.bounds.retry_window_s * 1000;
     while (window.requests.length > 0 && window.requests[0] < from) window.requests.shift();
     while (window.repeats.length > 0 && window.repeats[0] < from) window.repeats.shift();
     return window;
   }
 
   countRequest(service: string): void {
-    this.windowOf(service).requests.push(this.world.now());
+    this.windowOf(service).requests.push(this.clock.now());
     this.held.stand(service, this.bounds.retry_window_s * 1000);
   }
 
@@ -93,7 +93,7 @@
   takeRepeat(service: string): boolean {
     const window = this.windowOf(service);
     if (this.hasOwn(window)) {
-      window.repeats.push(this.world.now());
+      window.repeats.push(this.clock.now());
       this.took(window, null);
       return true;
     }
--- a/src/limits/tenure.ts
+++ b/src/limits/tenure.ts
@@ -46,10 +46,10 @@
   round = 0;
 
   constructor(
-    protected readonly world: types.Clock,
+    protected readonly clock: types.Clock,
     protected readonly terms = LEASES,
   ) {
-    this.startedAt = world.now();
+    this.startedAt = clock.now();
   }
 
   get slot(): number {
@@ -78,7 +78,7 @@
   take(value: schema.Value, disk: string): void {
     const before = this.era;
     if (before && (value.voterEpoch < before.epoch || (value.voterEpoch === before.epoch && disk === this.disk))) return;
-    const now = this.world.now();
+    const now = this.clock.now();
     const disks = value.voters.map(diskOf);
     const slot = disk === "" ? -1 : disks.indexOf(disk);
     const isNext = before !== null && disk === this.disk && value.voterEpoch === before.epoch + 1;
@@ -104,7 +104,7 @@
 
   /** For how long the epoch is known here as chosen; -1: it isn't. */
   knownMs(epoch: types.Epoch): number {
-    return this.era && this.era.epoch === epoch ? this.world.now() - this.era.knownAt : -1;
+    return this.era && this.era.epoch === epoch ? this.clock.now() - this.era.knownAt : -1;
   }
 
   /** A voter's word; sentAt: when it was asked, on the own clock. */
@@ -112,7 +112,7 @@
     if (!this.era || reply.voterEpoch > this.era.epoch || !this.era.voters.has(reply.disk)) return;
     this.acks.set(reply.disk, Math.max(sentAt, this.acks.get(reply.disk) ?? -Infinity));
     // Whoever knows it for longer shows that it was chosen earlier; an opening only ever moves nearer.
-    const now = this.world.now();
+    const now = this.clock.now();
     if (asked === this.era.epoch && reply.knownMs >= 0 && now < this.openAt)
       this.openAt = Math.min(this.openAt, this.opening(now - reply.knownMs));
   }
@@ -123,11 +123,11 @@
    */
   isGranting(accepted: types.Epoch): boolean {
     const { era } = this;
-    return era !== null && era.slot >= 0 && this.world.now() >= this.openAt && this.hasMajority(era.slots, accepted <= era.epoch);
+    return era !== null && era.slot >= 0 && this.clock.now() >= this.openAt && this.hasMajority(era.slots, accepted <= era.epoch);
   }
 
   protected hasMajority(slots: number, isOwnCounted: boolean): boolean {
-    const since = this.world.now() - this.terms.fenceMs;
+    const since = this.clock.now() - this.terms.fenceMs;
     let count = isOwnCounted ? 1 : 0;
     for (const [disk, sentAt] of this.acks) if (disk !== this.disk && sentAt > since) count += 1;
     return count > slots / 2;
--- a/src/load/load-publisher.ts
+++ b/src/load/load-publisher.ts
@@ -30,7 +30,7 @@
   private summarisedAt = -Infinity;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly feed: Pick<feeds.Feed, "publish" | "amend">,
   ) {}
 
@@ -70,7 +70,7 @@
 
   /** Published by the orchestrator of the region, here or at another control node. */
   applyReport(report: schema.CellReport): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     this.reportsOf(report.region).apply(report.reports, now);
     this.feed.amend(feeds.cellTopic(report.region), this.items(report.reports), types.small(now));
   }
@@ -83,7 +83,7 @@
 
   /** Called by the control node's timer: publishes the summaries when their period is over. */
   publishSummariesWhenDue(): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     if (now - this.summarisedAt < SUMMARY_MS) return;
     this.summarisedAt = now;
     const current = new Map<string, schema.Summary>();
--- a/src/load/load-reader.ts
+++ b/src/load/load-reader.ts
@@ -49,12 +49,12 @@
   private readonly followed = new Map<string, FollowedRegion>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly fleet: ReportedFleet,
     ownRegion: string,
     private readonly onPeriod: (region: string) => void,
   ) {
-    this.interest = new regionInterest.RegionInterest(world, ownRegion);
+    this.interest = new regionInterest.RegionInterest(clock, ownRegion);
   }
 
   /** A request went to a runner of the region. */
@@ -105,7 +105,7 @@
 
   /** Each period moves the stamp of a cell; one that stands still is stale, and its usage fades (design/usage 3.4). */
   refresh(mirror: mirrors.Mirror): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     if (this.listVersion !== this.fleet.membershipVersion) this.relist(mirror);
     const regions = new Set(this.interest.regions());
     for (const region of this.followed.keys()) if (!regions.has(region)) this.unfollow(region);
--- a/src/load/region-interest.ts
+++ b/src/load/region-interest.ts
@@ -9,18 +9,18 @@
   private readonly lastUsedAt = new Map<string, types.SteadyMs>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly ownRegion: string,
   ) {}
 
   /** A request went there, or would have gone there first. */
   recordUse(region: string): void {
-    this.lastUsedAt.set(region, this.world.now());
+    this.lastUsedAt.set(region, this.clock.now());
   }
 
   /** The own region first, then those used within the retention time; the others are dropped. */
   regions(): string[] {
-    const now = this.world.now();
+    const now = this.clock.now();
     const found = [this.ownRegion];
     for (const [region, at] of this.lastUsedAt) {
       if (now - at >= RETENTION_MS) this.lastUsedAt.delete(region);
@@ -33,6 +33,6 @@
   has(region: string): boolean {
     if (region === this.ownRegion) return true;
     const at = this.lastUsedAt.get(region);
-    return at !== undefined && this.world.now() - at < RETENTION_MS;
+    return at !== undefined && this.clock.now() - at < RETENTION_MS;
   }
 }
--- a/src/router/tenant-gate.ts
+++ b/src/router/tenant-gate.ts
@@ -37,12 +37,12 @@
   private readonly keyOutage: outages.Outage;
   private readonly quotaOutage: outages.Outage;
 
-  constructor(world: types.Clock, region: string, controls: ReadonlyMap<string, dialer.Control>, bounds: keyLease.RevocationBounds) {
-    this.lease = new keyLease.KeyLease(world, bounds);
-    this.keyOutage = new outages.Outage(world, KEY_OUTAGE_RETRY_MS);
-    this.quotaOutage = new outages.Outage(world, QUOTA_OUTAGE_RETRY_MS);
-    const owners = new quotaSources.Sources(world, region, controls);
-    this.quota = new quotaClient.QuotaClient(world, owners, this.lease.hear.bind(this.lease));
+  constructor(clock: types.Clock, region: string, controls: ReadonlyMap<string, dialer.Control>, bounds: keyLease.RevocationBounds) {
+    this.lease = new keyLease.KeyLease(clock, bounds);
+    this.keyOutage = new outages.Outage(clock, KEY_OUTAGE_RETRY_MS);
+    this.quotaOutage = new outages.Outage(clock, QUOTA_OUTAGE_RETRY_MS);
+    const owners = new quotaSources.Sources(clock, region, controls);
+    this.quota = new quotaClient.QuotaClient(clock, owners, this.lease.hear.bind(this.lease));
   }
 
   /** The settings were read again. */
--- a/src/runtime/timers.ts
+++ b/src/runtime/timers.ts
@@ -23,12 +23,12 @@
 }
 
 /** Runs `turn` at once and again and again, `ms` apart, until stopped. */
-export function runPeriodically(world: types.Clock, ms: number, turn: () => void): types.Timer {
-  let tick = world.schedule(0, again);
+export function runPeriodically(clock: types.Clock, ms: number, turn: () => void): types.Timer {
+  let tick = clock.schedule(0, again);
   let stopped = false;
   function again(): void {
     if (stopped) return;
-    tick = world.schedule(ms, again);
+    tick = clock.schedule(ms, again);
     turn();
   }
   return {
@@ -40,17 +40,17 @@
 }
 
 /** Resolves after so many milliseconds. */
-export function sleep(world: types.Clock, ms: number): Promise<void> {
+export function sleep(clock: types.Clock, ms: number): Promise<void> {
   return new Promise(function wait(resolve) {
-    world.schedule(ms, resolve);
+    clock.schedule(ms, resolve);
   });
 }
 
 /** Whether the work ended within `ms` milliseconds; a rejection of it passes through. No timer outlives the call. */
-export async function endsWithin(world: types.Clock, ms: number, work: Promise<unknown>): Promise<boolean> {
+export async function endsWithin(clock: types.Clock, ms: number, work: Promise<unknown>): Promise<boolean> {
   let timer: types.Timer | undefined;
   const elapsed = new Promise<boolean>(function wait(resolve) {
-    timer = world.schedule(ms, () => resolve(false));
+    timer = clock.schedule(ms, () => resolve(false));
   });
   try {
     return await Promise.race([work.then(() => true), elapsed]);
--- a/src/tallies/acknowledgements.ts
+++ b/src/tallies/acknowledgements.ts
@@ -12,7 +12,7 @@
 
 /** What decides on acknowledgements. */
 export interface AcknowledgementParts {
-  world: types.Clock;
+  clock: types.Clock;
   store: stores.TallyStore;
   peers: peers.Peers;
   /** Whether the loss of this node is counted: only then does its disk count. */
@@ -41,7 +41,7 @@
   private readonly startedAt: types.SteadyMs;
 
   constructor(private readonly parts: AcknowledgementParts) {
-    this.startedAt = parts.world.now();
+    this.startedAt = parts.clock.now();
   }
 
   /** Adds that wait now. */
@@ -52,7 +52,7 @@
   /** Resolves once the stream is held up to the position by enough disks, or after the time. */
   wait(stream: string, position: number, withinMs: number): Promise<Outcome> {
     return new Promise((resolve) => {
-      const timer = this.parts.world.schedule(withinMs, () => this.end(item, "unknown"));
+      const timer = this.parts.clock.schedule(withinMs, () => this.end(item, "unknown"));
       const item: Waiting = { stream, position, resolve, timer };
       this.waiting.add(item);
       this.judge(item, this.isApart());
@@ -97,7 +97,7 @@
    * way; one that is silent together with all routers of its zone is taken for cut off.
    */
   isApart(): boolean {
-    const { world } = this.parts;
+    const { clock: world } = this.parts;
     if (world.now() - this.startedAt < START_MS || this.inReach() >= this.parts.required()) return false;
     for (const address of this.parts.expected()) if (this.isCutOff(address)) return true;
     return false;
@@ -107,7 +107,7 @@
     const peer = this.parts.peers.get(address);
     if (!peer || peer.zone === "") return true;
     if (this.parts.peers.isInTouch(peer)) return false;
-    const isHeard = this.parts.world.now() - peer.toldAt <= peers.TOUCH_MS;
+    const isHeard = this.parts.clock.now() - peer.toldAt <= peers.TOUCH_MS;
     return isHeard || !this.parts.hearsZone(peer.zone);
   }
 
--- a/src/tallies/eras.ts
+++ b/src/tallies/eras.ts
@@ -19,10 +19,10 @@
   private since: types.SteadyMs;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly store: stores.TallyStore,
   ) {
-    this.since = world.now();
+    this.since = clock.now();
   }
 
   /** Called each second with all members; null where one of them was never met. */
@@ -31,12 +31,12 @@
     if (!members || !store.isWhole || !this.isDue()) return;
     const mayEnd = members.every((peer) => peer.era >= store.ledger.era && this.holdsAllOf(peer));
     if (!mayEnd || store.durableEra < store.ledger.era) return;
-    this.since = this.world.now();
+    this.since = this.clock.now();
     void store.enterEra(store.ledger.era + 1);
   }
 
   private isDue(): boolean {
-    const elapsed = this.world.now() - this.since;
+    const elapsed = this.clock.now() - this.since;
     return elapsed >= ERA_MS || (elapsed >= MIN_MS && this.store.ledger.ids >= MANY_IDS);
   }
 
--- a/src/tallies/log.ts
+++ b/src/tallies/log.ts
@@ -55,7 +55,7 @@
   private source: SnapshotSource | null = null;
 
   private constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly opened: files.StoreFile[],
     private readonly capacities: number[],
     private newest: number,
@@ -63,26 +63,26 @@
   ) {}
 
   /** The log and the records that it held. Rejects if the disk refuses; `start` must follow. */
-  static async open(world: types.Clock, folder: files.StoreFolder): Promise<{ log: TallyLog; records: TallyRecord[] }> {
+  static async open(clock: types.Clock, folder: files.StoreFolder): Promise<{ log: TallyLog; records: TallyRecord[] }> {
     await folder.make();
     const opened: files.StoreFile[] = [];
     try {
       for (const name of FILES) opened.push(await folder.open(name));
       await folder.sync();
-      return await TallyLog.read(world, opened);
+      return await TallyLog.read(clock, opened);
     } catch (cause) {
       await closeAll(opened);
       throw cause;
     }
   }
 
-  private static async read(world: types.Clock, opened: files.StoreFile[]): Promise<{ log: TallyLog; records: TallyRecord[] }> {
+  private static async read(clock: types.Clock, opened: files.StoreFile[]): Promise<{ log: TallyLog; records: TallyRecord[] }> {
     const contents: generations.GenerationContent[] = [];
     for (const file of opened) contents.push(await generations.read(file));
     const newest = contents[1].generation > contents[0].generation ? 1 : 0;
     const capacities = contents.map((content) => content.capacity);
     const { generation, records } = contents[newest];
-    return { log: new TallyLog(world, opened, capacities, newest, generation), records };
+    return { log: new TallyLog(clock, opened, capacities, newest, generation), records };
   }
 
   /** Writes the first snapshot of this life; resolves once it is durable. */
@@ -96,7 +96,7 @@
 
   /** What failed last; empty while the disk takes writes. */
   status(): { error: string; waitingMs: number; generation: number; bytes: number } {
-    const waitingMs = this.busySince === null ? 0 : Math.round(this.world.now() - this.busySince);
+    const waitingMs = this.busySince === null ? 0 : Math.round(this.clock.now() - this.busySince);
     return { error: this.error, waitingMs, generation: this.generation, bytes: this.writer?.bytes ?? 0 };
   }
 
@@ -157,7 +157,7 @@
 
   private async rewrite(source: SnapshotSource): Promise<void> {
     const file = (this.newest + 1) % this.opened.length;
-    const place = { generation: this.generation + 1, salt: Math.floor(this.world.random() * SALTS) };
+    const place = { generation: this.generation + 1, salt: Math.floor(this.clock.random() * SALTS) };
     const writer = new generations.GenerationWriter(this.opened[file], place, this.capacities[file]);
     this.mustRewrite = false;
     try {
@@ -186,7 +186,7 @@
   /** Tries again until it succeeds or the log is closed. */
   private async persistently(attempt: () => Promise<void>): Promise<void> {
     while (!this.isClosed) {
-      this.busySince = this.world.now();
+      this.busySince = this.clock.now();
       try {
         await attempt();
         this.succeeded();
@@ -194,7 +194,7 @@
       } catch (cause) {
         this.failed(cause);
       }
-      await timers.sleep(this.world, RETRY_MS);
+      await timers.sleep(this.clock, RETRY_MS);
     }
   }
 
--- a/src/tallies/peers.ts
+++ b/src/tallies/peers.ts
@@ -30,7 +30,7 @@
 export class Peers {
   private readonly peers = new Map<string, Peer>();
 
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   all(): Iterable<Peer> {
     return this.peers.values();
@@ -69,7 +69,7 @@
     peer.isCounted = beat.isCounted;
     peer.isWhole = beat.isWhole;
     peer.era = beat.era;
-    peer.toldAt = this.world.now();
+    peer.toldAt = this.clock.now();
     for (const { stream, position } of beat.held) this.kept(peer, beat.store, stream, position);
     return peer;
   }
@@ -85,7 +85,7 @@
   }
 
   isInTouch(peer: Peer): boolean {
-    return this.world.now() - peer.answeredAt <= TOUCH_MS;
+    return this.clock.now() - peer.answeredAt <= TOUCH_MS;
   }
 
   /** Counted peers whose disks hold the stream up to the position. */
--- a/src/tallies/readiness.ts
+++ b/src/tallies/readiness.ts
@@ -17,7 +17,7 @@
 
 /** What decides on readiness. */
 export interface ReadinessParts {
-  world: types.Clock;
+  clock: types.Clock;
   store: stores.TallyStore;
   peers: peers.Peers;
   /** Disks that must hold an add. */
@@ -44,7 +44,7 @@
 
   /** Called each 100 ms and whenever a disk holds more. */
   turn(): void {
-    const { store, world } = this.parts;
+    const { store, clock: world } = this.parts;
     if (this.isReady || !store.isOpen) return;
     this.openedAt = Math.min(this.openedAt, world.now());
     if (!this.hasEnough()) return;
@@ -63,13 +63,13 @@
         this.removeListener("ready", end);
         resolve(this.isReady);
       };
-      const timer = this.parts.world.schedule(ms, end);
+      const timer = this.parts.clock.schedule(ms, end);
       this.once("ready", end);
     });
   }
 
   private hasEnough(): boolean {
-    const { peers: all, store, world } = this.parts;
+    const { peers: all, store, clock: world } = this.parts;
     const expected = [...this.parts.expected()];
     const members = expected.length + 1;
     const inTouch = [...all.all()].filter((peer) => peer.store !== "" && all.isInTouch(peer));
--- a/src/tallies/replication.ts
+++ b/src/tallies/replication.ts
@@ -28,7 +28,7 @@
 
 /** What replication needs of its node. */
 export interface ReplicationParts {
-  world: types.Clock;
+  clock: types.Clock;
   self: sessions.Self;
   /** Name of the own stream. */
   life: string;
@@ -53,7 +53,7 @@
 
   constructor(private readonly parts: ReplicationParts) {
     super();
-    this.snapshots = new snapshots.Snapshots(parts.world, parts.store);
+    this.snapshots = new snapshots.Snapshots(parts.clock, parts.store);
     parts.dial.on("beat", (control) => this.meet(control));
     parts.dial.on("down", (control) => this.sessions.delete(control));
   }
@@ -80,7 +80,7 @@
   }
 
   private meet(control: dialer.Control): void {
-    const { world, self, store, peers } = this.parts;
+    const { clock: world, self, store, peers } = this.parts;
     if (this.sessions.has(control) || !control.beat || !features.hasFeature(control.beat, features.TALLIES)) return;
     const peer = peers.of(control.address);
     peer.zone = control.node.zone;
@@ -125,7 +125,7 @@
 
   /** Passes on streams of others that the peer lacks. */
   private relay(session: sessions.Session): void {
-    const { store, life, world, peers } = this.parts;
+    const { store, life, clock: world, peers } = this.parts;
     const { peer } = session;
     if (peer.store === "" || !peers.isInTouch(peer)) return;
     for (const stream of store.ledger.streamNames()) {
--- a/src/tallies/session.ts
+++ b/src/tallies/session.ts
@@ -37,7 +37,7 @@
   private beatAt = -Infinity;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly self: Self,
     private readonly store: stores.TallyStore,
     private readonly peers: peers.Peers,
@@ -47,7 +47,7 @@
 
   /** Tells what this node holds, if that is due; `isBehind`: the other node has folded adds that this one lacks. */
   async beat(everyMs: number): Promise<{ isBehind: boolean }> {
-    const sentAt = this.world.now();
+    const sentAt = this.clock.now();
     if (this.isBeating || sentAt - this.beatAt < everyMs) return { isBehind: false };
     this.isBeating = true;
     this.beatAt = sentAt;
@@ -70,7 +70,7 @@
 
   /** Sends what the other node lacks of the stream; nothing where it was not told what that node holds. */
   push(stream: string): void {
-    const { peer, store, world } = this;
+    const { peer, store, clock: world } = this;
     if (peer.store === "" || !store.isOpen) return;
     const held = peer.held.get(stream) ?? 0;
     const sending = this.sendingOf(stream);
--- a/src/tallies/snapshots.ts
+++ b/src/tallies/snapshots.ts
@@ -30,7 +30,7 @@
   private isTaking = false;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly store: stores.TallyStore,
   ) {}
 
@@ -40,7 +40,7 @@
     const snapshot = this.open.get(token);
     if (!snapshot || snapshot.next !== ask.part) return GONE;
     snapshot.expiry.stop();
-    snapshot.expiry = this.world.schedule(KEPT_MS, this.end.bind(this, token));
+    snapshot.expiry = this.clock.schedule(KEPT_MS, this.end.bind(this, token));
     snapshot.next += 1;
     const told: TallyRecord[] = [];
     let isLast = false;
@@ -57,7 +57,7 @@
     if (this.open.size >= MAX_SNAPSHOTS || !this.store.isOpen) return "";
     this.lastToken += 1;
     const token = String(this.lastToken);
-    const expiry = this.world.schedule(KEPT_MS, this.end.bind(this, token));
+    const expiry = this.clock.schedule(KEPT_MS, this.end.bind(this, token));
     this.open.set(token, { records: this.store.begin()[Symbol.iterator](), next: 0, expiry });
     return token;
   }
--- a/src/tallies/store.ts
+++ b/src/tallies/store.ts
@@ -29,7 +29,7 @@
   private snapshots = 0;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly newStore: () => string,
   ) {}
 
@@ -40,7 +40,7 @@
   /** Opens the log, however often that takes; resolves once its content is durable. */
   async open(folder: files.StoreFolder): Promise<void> {
     try {
-      const opened = await logs.TallyLog.open(this.world, folder);
+      const opened = await logs.TallyLog.open(this.clock, folder);
       for (const record of opened.records) this.restore(record);
       this.wasWhole = this.isWhole;
       if (this.store === "") this.store = this.newStore();
@@ -52,7 +52,7 @@
     } catch (cause) {
       log.count("tallies.disk_refused");
       log.state(`tallies: the disk can't be opened: ${remedies.describe(cause)}`);
-      if (!this.isClosed) this.world.schedule(logs.RETRY_MS, () => void this.open(folder));
+      if (!this.isClosed) this.clock.schedule(logs.RETRY_MS, () => void this.open(folder));
     }
   }
 
--- a/src/tallies/tallies.ts
+++ b/src/tallies/tallies.ts
@@ -56,21 +56,21 @@
   private wasApart = false;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly host: Host,
   ) {
     const { life, address, isCounted, dial } = host;
-    this.foldedAt = world.now();
-    this.store = new stores.TallyStore(world, host.newStore.bind(host));
-    this.peers = new peers.Peers(world);
+    this.foldedAt = clock.now();
+    this.store = new stores.TallyStore(clock, host.newStore.bind(host));
+    this.peers = new peers.Peers(clock);
     const { store, peers: known } = this;
-    this.replication = new replication.Replication({ world, self: { address, isCounted }, life, store, peers: known, dial });
+    this.replication = new replication.Replication({ clock, self: { address, isCounted }, life, store, peers: known, dial });
     const required = this.required.bind(this);
     const expected = this.expected.bind(this);
     const hearsZone = host.hearsZone.bind(host);
-    this.acknowledgements = new acknowledgements.Acknowledgements({ world, store, peers: known, isCounted, required, expected, hearsZone });
-    this.readiness = new readinesses.Readiness({ world, store, peers: known, required, expected });
-    this.eras = new eras.Eras(world, store);
+    this.acknowledgements = new acknowledgements.Acknowledgements({ clock, store, peers: known, isCounted, required, expected, hearsZone });
+    this.readiness = new readinesses.Readiness({ clock, store, peers: known, required, expected });
+    this.eras = new eras.Eras(clock, store);
     this.replication.register(host.handlers);
     this.replication.on("moved", this.moved.bind(this));
   }
@@ -85,8 +85,8 @@
     this.replication.turn();
     this.moved();
     this.tellApart();
-    if (this.world.now() - this.foldedAt < FOLD_MS) return;
-    this.foldedAt = this.world.now();
+    if (this.clock.now() - this.foldedAt < FOLD_MS) return;
+    this.foldedAt = this.clock.now();
     this.fold();
   }
 
@@ -159,7 +159,7 @@
   }
 
   async stop(): Promise<void> {
-    await timers.endsWithin(this.world, CLOSE_MS, this.store.close());
+    await timers.endsWithin(this.clock, CLOSE_MS, this.store.close());
   }
 
   private moved(): void {
--- a/src/tenants/key-lease.ts
+++ b/src/tenants/key-lease.ts
@@ -31,7 +31,7 @@
   private provedAt = -Infinity;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private bounds: RevocationBounds,
   ) {}
 
@@ -65,7 +65,7 @@
   /** Whether what is held was lately proved to be the newest. */
   isFresh(): boolean {
     const provedFrom = this.provedAt - quorumConfirmation.MAX_ANSWER_AGE_MS;
-    return this.world.now() < provedFrom + this.bounds.revoke_delay_ms - SLACK_MS;
+    return this.clock.now() < provedFrom + this.bounds.revoke_delay_ms - SLACK_MS;
   }
 
   /** Whether a key that the held configuration knows may let a request run now. */
--- a/src/tenants/outage.ts
+++ b/src/tenants/outage.ts
@@ -19,13 +19,13 @@
   private metAt: number = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly bounds: OutageBounds,
   ) {}
 
   /** The outage is met: after how many milliseconds it is worth to come back. */
   met(): number {
-    const now = this.world.now();
+    const now = this.clock.now();
     if (this.since === null || now - this.metAt > FORGOTTEN_MS) this.since = now;
     this.metAt = now;
     return Math.min(this.bounds.mostMs, Math.max(this.bounds.leastMs, now - this.since));
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -31,7 +31,7 @@
   private turns = 0;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly owners: quotaSources.Sources,
     private readonly onWord: OnWord,
   ) {}
@@ -55,7 +55,7 @@
   private takeHeld(tenant: string): quotaClaim.Unit | null {
     const held = this.held.get(tenant);
     if (!held) return null;
-    const now = this.world.now();
+    const now = this.clock.now();
     const at = held.findIndex((unit) => unit.until > now);
     if (at < 0) return null;
     const [unit] = held.splice(at, 1);
@@ -85,7 +85,7 @@
     claim.asked.add(source.life);
     claim.pending += 1;
     const patienceMs = Math.min(MAX_PATIENCE_MS, PATIENCE_MS + TRIPS * source.control.tripMs);
-    const tick = this.world.schedule(patienceMs, () => this.late(claim, source));
+    const tick = this.clock.schedule(patienceMs, () => this.late(claim, source));
     void this.call(source, [{ tenant, wanted: 1, unused: source.takeUnused(tenant) }]).then((reply) => {
       tick.stop();
       claim.pending -= 1;
@@ -116,7 +116,7 @@
   }
 
   private async call(source: quotaSources.Source, takings: tenantSchema.Taking[]): Promise<Replied | null> {
-    const sentAt = this.world.now();
+    const sentAt = this.clock.now();
     const reply = await source.control.link.call(calls.quota, { life: source.life, takings }, UNIT_MS);
     if (!reply) return null;
     source.isLate = false;
@@ -125,7 +125,7 @@
       this.onWord(reply.epoch, sentAt);
     }
     const until = this.endOf(sentAt);
-    return { given: reply.isGranting ? reply.given : [], until, isLate: this.world.now() >= until };
+    return { given: reply.isGranting ? reply.given : [], until, isLate: this.clock.now() >= until };
   }
 
   /** When a unit that was asked for then may be used no longer. */
@@ -135,7 +135,7 @@
 
   /** Called often: lets old units go, and asks for the owners' word when no ask for a unit has brought it, each in turn. */
   turn(): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     this.owners.sweep();
     this.expire(now);
     const all = this.owners.ordered();
--- a/src/tenants/quota-owner.ts
+++ b/src/tenants/quota-owner.ts
@@ -26,12 +26,12 @@
   private readonly uses: quotaUse.QuotaUses;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     readonly life: string,
     private bounds: quotaPart.QuotaBounds,
     private readonly tenure: quotaTenure.QuotaTenure,
   ) {
-    this.uses = new quotaUse.QuotaUses(world);
+    this.uses = new quotaUse.QuotaUses(clock);
   }
 
   /** The settings were read again. */
@@ -47,7 +47,7 @@
   }
 
   private resizeAll(): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     for (const [tenant, bucket] of this.buckets) {
       const limit = this.limits.get(tenant);
       if (limit) bucket.resize(this.partOf(tenant, limit), now);
@@ -70,7 +70,7 @@
     const limit = this.limits.get(tenant);
     // A tenant without a limit here: the router's configuration is another than the chosen one for a moment.
     if (!limit) return { amount: taking.wanted, id: 0, waitMs: 0 };
-    const now = this.world.now();
+    const now = this.clock.now();
     const bucket = this.bucketOf(tenant, limit, now);
     if (isOwnLife) for (const unused of taking.unused) bucket.giveBack(unused, now);
     const id = this.nextId;
@@ -96,7 +96,7 @@
 
   /** Another tenure begins with nothing; buckets of tenants that are gone and full are forgotten. */
   private sweep(): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     if (this.round !== this.tenure.round) {
       this.round = this.tenure.round;
       this.buckets.clear();
--- a/src/tenants/quota-sources.ts
+++ b/src/tenants/quota-sources.ts
@@ -19,7 +19,7 @@
   private readonly unused = new Map<string, number[]>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     readonly control: dialer.Control,
   ) {}
 
@@ -29,18 +29,18 @@
 
   /** It said that it does not grant, or did not reply. */
   rest(): void {
-    this.restsUntil = this.world.now() + REST_MS;
+    this.restsUntil = this.clock.now() + REST_MS;
   }
 
   /** Its part of the tenant's quota is spent for so many milliseconds. */
   spend(tenant: string, waitMs: number): void {
     if (this.spentUntil.size >= MAX_SPENT) this.spentUntil.clear();
-    this.spentUntil.set(tenant, this.world.now() + waitMs);
+    this.spentUntil.set(tenant, this.clock.now() + waitMs);
   }
 
   /** How long its part of the tenant's quota is still known to be spent, in milliseconds. */
   spentMs(tenant: string): number {
-    return Math.max(0, (this.spentUntil.get(tenant) ?? 0) - this.world.now());
+    return Math.max(0, (this.spentUntil.get(tenant) ?? 0) - this.clock.now());
   }
 
   /** A unit of it was not used in its time. */
@@ -66,7 +66,7 @@
   }
 
   isResting(): boolean {
-    return this.restsUntil > this.world.now();
+    return this.restsUntil > this.clock.now();
   }
 }
 
@@ -75,7 +75,7 @@
   private readonly byLife = new Map<string, Source>();
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly region: string,
     private readonly controls: ReadonlyMap<string, dialer.Control>,
   ) {}
@@ -94,7 +94,7 @@
   private sourceOf(control: dialer.Control): Source {
     const known = this.byLife.get(control.node.life);
     if (known?.control === control) return known;
-    const source = new Source(this.world, control);
+    const source = new Source(this.clock, control);
     this.byLife.set(control.node.life, source);
     return source;
   }
--- a/src/tenants/quota-tenure.ts
+++ b/src/tenants/quota-tenure.ts
@@ -25,7 +25,7 @@
   protected override goOn(before: tenure.Place, next: tenure.Place): boolean {
     const goesOn = before.slot >= 0 && next.slot >= 0;
     if (goesOn && (before.slot !== next.slot || before.slots !== next.slots)) {
-      const until = (this.world.now() + this.terms.fenceMs + this.restMs()) as types.SteadyMs;
+      const until = (this.clock.now() + this.terms.fenceMs + this.restMs()) as types.SteadyMs;
       this.former.push({ slot: before.slot, slots: before.slots, until });
     }
     this.version += 1;
@@ -44,12 +44,12 @@
 
   /** Whether a former life may rely on this one: it is open, and nobody's former place binds any more. */
   isSettledIn(): boolean {
-    return this.slot >= 0 && this.world.now() >= this.openAt && this.places().length === 1;
+    return this.slot >= 0 && this.clock.now() >= this.openAt && this.places().length === 1;
   }
 
   /** The own place, and former ones that bind as well for now: of all parts the least may be granted. */
   places(): tenure.Place[] {
-    const now = this.world.now();
+    const now = this.clock.now();
     const binding = this.former.filter(({ until }) => until > now);
     if (binding.length !== this.former.length) this.version += 1;
     this.former = binding;
--- a/src/tenants/quota-use.ts
+++ b/src/tenants/quota-use.ts
@@ -27,11 +27,11 @@
 export class QuotaUses {
   private readonly counts = new Map<string, Count>();
 
-  constructor(private readonly world: types.Clock) {}
+  constructor(private readonly clock: types.Clock) {}
 
   /** So many requests of the tenant got a unit, and so many none. */
   add(tenant: string, granted: number, denied: number): void {
-    const count = this.counts.get(tenant) ?? { granted: 0, denied: 0, recentGranted: 0, recentDenied: 0, at: this.world.now() };
+    const count = this.counts.get(tenant) ?? { granted: 0, denied: 0, recentGranted: 0, recentDenied: 0, at: this.clock.now() };
     this.fade(count);
     count.granted += granted;
     count.denied += denied;
@@ -41,7 +41,7 @@
   }
 
   private fade(count: Count): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     const left = Math.exp((count.at - now) / FADE_MS);
     count.recentGranted *= left;
     count.recentDenied *= left;
--- a/src/whatif/batch-cells.ts
+++ b/src/whatif/batch-cells.ts
@@ -9,8 +9,8 @@
 const STRAY_KEPT = 0.9995;
 
 /** A draw of the standard normal distribution (Box and Muller). */
-export function normal(world: types.Clock): number {
-  return Math.sqrt(-2 * Math.log(1 - world.random())) * Math.cos(2 * Math.PI * world.random());
+export function normal(clock: types.Clock): number {
+  return Math.sqrt(-2 * Math.log(1 - clock.random())) * Math.cos(2 * Math.PI * clock.random());
 }
 
 /** One region's runners of the one service. */
@@ -29,22 +29,22 @@
   constructor(
     readonly region: batchScenario.BatchRegion,
     private readonly scenario: Pick<batchScenario.BatchScenario, "held_ms" | "noise">,
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
   ) {}
 
   /** Requests a second by the hour of the day and the stray. */
   private rate(): number {
     const { low_per_s: low, peak_per_s: peak, peak_at_h: peakAt } = this.region;
-    const phase = (this.world.now() / loads.DAY_MS - peakAt / DAY_HOURS) * 2 * Math.PI;
+    const phase = (this.clock.now() / loads.DAY_MS - peakAt / DAY_HOURS) * 2 * Math.PI;
     return (low + ((peak - low) * (1 + Math.cos(phase))) / 2) * Math.exp(this.stray);
   }
 
   /** Arrivals and ends of one second. */
   second(): void {
     const { held_ms: heldMs, noise } = this.scenario;
-    this.stray = STRAY_KEPT * this.stray + noise * Math.sqrt(1 - STRAY_KEPT ** 2) * normal(this.world);
+    this.stray = STRAY_KEPT * this.stray + noise * Math.sqrt(1 - STRAY_KEPT ** 2) * normal(this.clock);
     const mean = this.rate();
-    const arrivals = Math.max(0, Math.round(mean + Math.sqrt(mean) * normal(this.world)));
+    const arrivals = Math.max(0, Math.round(mean + Math.sqrt(mean) * normal(this.clock)));
     this.interactive += arrivals - (this.endings.shift() ?? 0);
     const seconds = Math.max(1, Math.round(heldMs / SECOND_MS));
     while (this.endings.length < seconds) this.endings.push(0);
--- a/src/whatif/batch.ts
+++ b/src/whatif/batch.ts
@@ -43,7 +43,7 @@
     readonly id: string,
     readonly region: string,
     private readonly figures: scenarios.Scenario["runner"],
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
   ) {}
 
   private tokensOf(job: Job): number {
@@ -75,15 +75,15 @@
   }
 
   private startQueued(): void {
-    for (let next = this.queue[0]; next && (this.fits(next.job) || next.job.deadline <= this.world.now()); next = this.queue[0]) {
+    for (let next = this.queue[0]; next && (this.fits(next.job) || next.job.deadline <= this.clock.now()); next = this.queue[0]) {
       this.queue.shift();
-      if (next.job.deadline <= this.world.now()) next.job.ended(false);
+      if (next.job.deadline <= this.clock.now()) next.job.ended(false);
       else this.run(next.job);
     }
   }
 
   private run(job: Job): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     const keys = promptParts.prefixKeys(job.parts);
     const unread = this.cachedPrompts.unread(this.id, job.parts, keys);
     this.cachedPrompts.recordPrefill(this.id, unread, keys, now);
@@ -95,8 +95,8 @@
     const firstAt = this.readingUntil + eventMs;
     const endAt = firstAt + (job.events - 1) * eventMs;
     const isWhole = endAt <= job.deadline;
-    if (firstAt <= job.deadline) this.world.schedule(firstAt - now, job.first.bind(job));
-    this.world.schedule(Math.min(endAt, job.deadline) - now, ended.bind(this));
+    if (firstAt <= job.deadline) this.clock.schedule(firstAt - now, job.first.bind(job));
+    this.clock.schedule(Math.min(endAt, job.deadline) - now, ended.bind(this));
     function ended(this: BatchRunner): void {
       this.active -= 1;
       this.kvUsed -= tokens;
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -44,7 +44,7 @@
 
 /** What the clients meet; the overload day is it. */
 export interface OverloadedFleet {
-  readonly world: types.Clock;
+  readonly clock: types.Clock;
   readonly runners: ReadonlyMap<string, batch.BatchRunner>;
   readonly routers: readonly system.ModelRouter[];
   /** The router of one try, by chance. */
@@ -83,15 +83,15 @@
     private readonly events: number,
     private readonly record: RequestRecord,
   ) {
-    this.deadline = fleet.world.now() + kind.deadline_ms;
+    this.deadline = fleet.clock.now() + kind.deadline_ms;
   }
 
   /** Begins a try; called again by the request itself after a refusal. */
   start(): void {
-    this.startedAt = this.fleet.world.now();
+    this.startedAt = this.fleet.clock.now();
     this.record.tries += 1;
     const router = this.fleet.pickRouter();
-    this.fleet.world.schedule(this.fleet.lagOf(router), this.send.bind(this, router, new Set<string>()));
+    this.fleet.clock.schedule(this.fleet.lagOf(router), this.send.bind(this, router, new Set<string>()));
   }
 
   private send(router: system.ModelRouter, tried: Set<string>): void {
@@ -109,14 +109,14 @@
     choice.runner.inflight += 1;
     const tripMs = router.region === model.region ? SAME_REGION_TRIP_MS : this.scenario.trip_ms;
     const send: Send = { router, runner: choice.runner, model, ticket: choice.observer, request, tried, tripMs };
-    this.fleet.world.schedule(tripMs, this.submit.bind(this, send));
+    this.fleet.clock.schedule(tripMs, this.submit.bind(this, send));
   }
 
   private submit(send: Send): void {
     const { fleet, kind } = this;
     const { router, runner, model, ticket } = send;
-    const tokens = system.publishReading(fleet.world, fleet.routers, router, model.id, send.request);
-    const sentAt = fleet.world.now();
+    const tokens = system.publishReading(fleet.clock, fleet.routers, router, model.id, send.request);
+    const sentAt = fleet.clock.now();
     const recordFirstEvent = this.first.bind(this, send.tripMs);
     const recordEnd = this.ended.bind(this);
     let hasFirst = false;
@@ -127,8 +127,8 @@
       deadline: this.deadline,
       first(): void {
         hasFirst = true;
-        router.known.learnRate(tokens, fleet.world.now() - sentAt);
-        runner.recordReceived(fleet.world.now());
+        router.known.learnRate(tokens, fleet.clock.now() - sentAt);
+        runner.recordReceived(fleet.clock.now());
         ticket.recordFirstEvent();
         recordFirstEvent();
       },
@@ -144,14 +144,14 @@
     }
     runner.inflight -= 1;
     ticket.recordEnd("not_run");
-    runner.recordRejection(fleet.world.now(), false);
+    runner.recordRejection(fleet.clock.now(), false);
     send.tried.add(model.id);
     if (send.tried.size < MAX_SENDS) this.send(router, send.tried);
     else this.onRefusal(HANDED_BACK_RETRY_S);
   }
 
   private first(tripMs: number): void {
-    const firstMs = this.fleet.world.now() + tripMs - this.startedAt;
+    const firstMs = this.fleet.clock.now() + tripMs - this.startedAt;
     const isInAim = firstMs <= this.kind.aim_ms;
     this.record.outcome = isInAim ? "in_aim" : "late";
     if (!isInAim) this.record.worth = WORTH.late;
@@ -165,7 +165,7 @@
   }
 
   private onRefusal(retryAfterS: number): void {
-    const { world } = this.fleet;
+    const { clock: world } = this.fleet;
     this.record.refusedMs.push(world.now() - this.startedAt);
     this.record.retryAfterS.push(retryAfterS);
     this.record.unused.push(this.fleet.unused());
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -19,7 +19,7 @@
 export class OverloadDay implements client.OverloadedFleet {
   /** One record a request, in the order of arrival. */
   readonly records: client.RequestRecord[] = [];
-  readonly world: worlds.PlannedWorld;
+  readonly clock: worlds.PlannedWorld;
   readonly runners = new Map<string, batch.BatchRunner>();
   readonly routers: system.ModelRouter[] = [];
   private readonly lags = new Map<system.ModelRouter, number>();
@@ -32,19 +32,19 @@
     private readonly scenario: scenarios.Scenario,
     isOn: boolean,
   ) {
-    this.world = new worlds.PlannedWorld(scenario.seed);
-    this.owner = new owner.SoleOwner(this.world, system.BOUNDS);
+    this.clock = new worlds.PlannedWorld(scenario.seed);
+    this.owner = new owner.SoleOwner(this.clock, system.BOUNDS);
     this.chance = new worlds.PlannedWorld(scenario.seed + 1);
     const table = system.tableOf(scenario);
     const regions = scenario.regions.map(nameOf);
     for (const region of scenario.regions) {
       for (let count = 0; count < region.runners; count += 1) {
         this.runnersStarted += 1;
-        const runner = new batch.BatchRunner(`${region.name}-${this.runnersStarted}`, region.name, scenario.runner, this.world);
+        const runner = new batch.BatchRunner(`${region.name}-${this.runnersStarted}`, region.name, scenario.runner, this.clock);
         this.runners.set(runner.id, runner);
       }
       for (let count = 0; count < region.routers; count += 1)
-        this.addRouter(new system.ModelRouter(region.name, this.world, regions, table), isOn);
+        this.addRouter(new system.ModelRouter(region.name, this.clock, regions, table), isOn);
     }
   }
 
@@ -60,16 +60,16 @@
     this.deal();
     this.report();
     this.onTimer();
-    for (const fault of this.scenario.faults) this.world.schedule(fault.at_s * 1000, this.injectFault.bind(this, fault));
-    for (const kind of this.scenario.kinds) this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
-    this.world.play(this.scenario.length_s * 1000);
+    for (const fault of this.scenario.faults) this.clock.schedule(fault.at_s * 1000, this.injectFault.bind(this, fault));
+    for (const kind of this.scenario.kinds) this.clock.schedule(this.gap(kind), this.arrive.bind(this, kind));
+    this.clock.play(this.scenario.length_s * 1000);
     // What is at work at the end is played to its end; nobody new arrives.
-    this.world.play(this.scenario.length_s * 2000 + 60_000);
+    this.clock.play(this.scenario.length_s * 2000 + 60_000);
     return this.records;
   }
 
   private isOver(): boolean {
-    return this.world.now() >= this.scenario.length_s * 1000;
+    return this.clock.now() >= this.scenario.length_s * 1000;
   }
 
   private deal(): void {
@@ -77,7 +77,7 @@
       router.share.deal(this.routers.length);
       this.owner.serve(`router-${index}`, router.share);
     }
-    this.world.schedule(DEAL_MS, this.deal.bind(this));
+    this.clock.schedule(DEAL_MS, this.deal.bind(this));
   }
 
   private report(): void {
@@ -91,12 +91,12 @@
         router.chooser.admission.applyReport({ region: region.name, reports });
       }
     }
-    this.world.schedule(REPORT_MS, this.report.bind(this));
+    this.clock.schedule(REPORT_MS, this.report.bind(this));
   }
 
   private onTimer(): void {
     for (const [router, ms] of this.lags) router.chooser.admission.recordLag(ms);
-    this.world.schedule(TIMER_MS, this.onTimer.bind(this));
+    this.clock.schedule(TIMER_MS, this.onTimer.bind(this));
   }
 
   private injectFault(fault: scenarios.Fault): void {
@@ -106,7 +106,7 @@
       const router = this.routers.find(isThere);
       if (!router) return;
       lags.set(router, fault.factor * TIMER_MS);
-      this.world.schedule(end, quick);
+      this.clock.schedule(end, quick);
       function quick(): void {
         lags.delete(router!);
       }
@@ -115,7 +115,7 @@
     const runner = [...this.runners.values()].find(isThere);
     if (!runner) return;
     runner.slow = fault.factor;
-    this.world.schedule(end, healed);
+    this.clock.schedule(end, healed);
     function isThere(item: { region: string }): boolean {
       return item.region === fault.region;
     }
@@ -125,7 +125,7 @@
   }
 
   private surge(kind: scenarios.Kind): number {
-    const at = this.world.now() / 1000;
+    const at = this.clock.now() / 1000;
     let factor = 1;
     for (const surge of this.scenario.surges) {
       if (surge.kind === kind.name && at >= surge.at_s && at < surge.at_s + surge.for_s) factor *= surge.factor;
@@ -139,7 +139,7 @@
 
   private arrive(kind: scenarios.Kind): void {
     if (this.isOver()) return;
-    this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
+    this.clock.schedule(this.gap(kind), this.arrive.bind(this, kind));
     const session = `${kind.name}-${Math.floor(this.chance.random() * kind.sessions)}`;
     const size = Math.min(LONGEST_SIZE, 0.5 - 0.5 * Math.log(1 - this.chance.random()));
     const parts: promptParts.PromptPart[] = [
@@ -150,7 +150,7 @@
     const events = Math.max(1, Math.round(kind.events * size));
     const record: client.RequestRecord = {
       kind: kind.name,
-      at: this.world.now(),
+      at: this.clock.now(),
       size,
       outcome: "open",
       tries: 0,
@@ -166,7 +166,7 @@
   }
 
   pickRouter(): system.ModelRouter {
-    return this.routers[Math.floor(this.world.random() * this.routers.length)];
+    return this.routers[Math.floor(this.clock.random() * this.routers.length)];
   }
 
   lagOf(router: system.ModelRouter): number {
--- a/src/whatif/owner.ts
+++ b/src/whatif/owner.ts
@@ -14,17 +14,17 @@
   private readonly owner: owner.LeaseOwner;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     bounds: shares.Bounds,
   ) {
-    const tenure = new tenures.Tenure(world);
+    const tenure = new tenures.Tenure(clock);
     tenure.take(registerValue.initialValue([ADDRESS]), registerValue.initialDisk(ADDRESS));
-    this.owner = new owner.LeaseOwner(world, LIFE, bounds, tenure);
+    this.owner = new owner.LeaseOwner(clock, LIFE, bounds, tenure);
   }
 
   /** What a router's turn of asking comes to, without a way between. */
   serve(router: string, share: shares.Shares): void {
     const ask: leaseSchema.LeaseAsk = { router, life: LIFE, needs: share.held.needs(), done: share.held.done(LIFE) };
-    share.grant(this.owner.reply(ask, types.FIRST_EPOCH), this.world.now());
+    share.grant(this.owner.reply(ask, types.FIRST_EPOCH), this.clock.now());
   }
 }
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -131,17 +131,17 @@
 
 /** Notes a reading where it is sent from, and tells the other routers a moment later, as signs do. */
 export function publishReading(
-  world: types.Clock,
+  clock: types.Clock,
   routers: readonly ModelRouter[],
   from: ModelRouter,
   runner: string,
   request: routeRequest.RouteRequest,
 ): number {
   const unread = Math.round(from.known.unread(runner, request.parts, request.prefixKeys));
-  from.read(runner, unread, request.prefixKeys, world.now());
-  world.schedule(SIGN_MS, deliver);
+  from.read(runner, unread, request.prefixKeys, clock.now());
+  clock.schedule(SIGN_MS, deliver);
   return unread;
   function deliver(): void {
-    for (const router of routers) if (router !== from) router.read(runner, unread, request.prefixKeys, world.now());
+    for (const router of routers) if (router !== from) router.read(runner, unread, request.prefixKeys, clock.now());
   }
 }
--- a/src/wire/http.ts
+++ b/src/wire/http.ts
@@ -120,10 +120,10 @@
 }
 
 /** Null when no whole reply came in time. */
-export function call(world: types.Clock, client: undici.Client, path: string, options: CallOptions): Promise<Reply | null> {
+export function call(clock: types.Clock, client: undici.Client, path: string, options: CallOptions): Promise<Reply | null> {
   return new Promise(function start(resolve) {
     let isOver = false;
-    const tick = world.schedule(options.withinMs, late);
+    const tick = clock.schedule(options.withinMs, late);
     const collector = new Collector(options.mostBytes ?? 8 * 1024 * 1024, options.onConnect ?? ignore, finish);
     function finish(reply: Reply | null): void {
       if (isOver) return;
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -57,16 +57,16 @@
 
   /** `firstCallId`: of the calls from this side; any will do, since the ids of the two sides are apart. */
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     readonly socket: net.Socket,
     private readonly handlers: Handlers,
     firstCallId = 1,
   ) {
     super();
     this.lastCallId = (firstCallId - 1) >>> 0;
-    this.heardAt = world.now();
+    this.heardAt = clock.now();
     socket.setNoDelay(true);
-    this.opening = new release.Opening(world, socket, SILENT_MS, this.over.bind(this));
+    this.opening = new release.Opening(clock, socket, SILENT_MS, this.over.bind(this));
     socket.on("data", this.read.bind(this));
     socket.on("error", (cause) => this.end(cause.message));
     socket.on("close", () => this.end("closed"));
@@ -90,7 +90,7 @@
   }
 
   silentMs(): number {
-    return this.world.now() - this.heardAt;
+    return this.clock.now() - this.heardAt;
   }
 
   private write(kind: number, code: number, id: number, body: Buffer): void {
@@ -115,7 +115,7 @@
   /** Null when no reply came in time or the link ended: nothing is known then. */
   call<Ask, Reply>(pair: calls.Pair<Ask, Reply>, ask: Ask, withinMs: number): Promise<Reply | null> {
     if (!this.isOpen) return Promise.resolve(null);
-    const { waiting, world } = this;
+    const { waiting, clock: world } = this;
     const nextCallId = this.nextCallId.bind(this);
     const write = this.write.bind(this);
     return new Promise(function start(resolve) {
@@ -141,7 +141,7 @@
 
   private read(bytes: Buffer): void {
     if (!this.isOpen) return;
-    this.heardAt = this.world.now();
+    this.heardAt = this.clock.now();
     const chunk = this.opening.isOver ? bytes : this.opening.take(bytes);
     if (chunk) this.frames(chunk);
   }
@@ -220,11 +220,11 @@
 }
 
 /** Dials; null where nothing came up in time. */
-export function connect(world: types.Clock, address: string, handlers: Handlers, withinMs: number): Promise<Link | null> {
+export function connect(clock: types.Clock, address: string, handlers: Handlers, withinMs: number): Promise<Link | null> {
   log.count("link.dials");
   return new Promise(function start(resolve) {
     const socket = net.connect({ host: types.hostOf(address), port: types.portOf(address) });
-    const tick = world.schedule(withinMs, giveUp);
+    const tick = clock.schedule(withinMs, giveUp);
     function giveUp(): void {
       socket.destroy();
       resolve(null);
@@ -236,7 +236,7 @@
     function opened(): void {
       tick.stop();
       socket.removeListener("error", failed);
-      resolve(new Link(world, socket, handlers));
+      resolve(new Link(clock, socket, handlers));
     }
     socket.once("error", failed);
     socket.once("connect", opened);
--- a/src/wire/release.ts
+++ b/src/wire/release.ts
@@ -41,13 +41,13 @@
 
   /** deny ends the link for the reason told. */
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly socket: net.Socket,
     withinMs: number,
     private readonly deny: (cause: string) => void,
   ) {
     this.host = socket.remoteAddress ?? "an unknown host";
-    this.tick = world.schedule(withinMs, this.late.bind(this));
+    this.tick = clock.schedule(withinMs, this.late.bind(this));
     socket.write(preamble(schema.RELEASE));
   }
 
@@ -95,7 +95,7 @@
     if (told.get(this.host) !== message) log.state(`link: denied: ${message}`);
     if (told.size >= MAX_TOLD) told.clear();
     told.set(this.host, message);
-    linger(this.world, this.socket);
+    linger(this.clock, this.socket);
     this.deny(message);
   }
 
@@ -107,8 +107,8 @@
 }
 
 /** Ends the own side and reads on for a moment: a reset would take the preamble from the other side. */
-function linger(world: types.Clock, socket: net.Socket): void {
-  const tick = world.schedule(LINGER_MS, socket.destroy.bind(socket));
+function linger(clock: types.Clock, socket: net.Socket): void {
+  const tick = clock.schedule(LINGER_MS, socket.destroy.bind(socket));
   socket.once("close", tick.stop.bind(tick));
   socket.end();
 }
--- a/tests/batches/history.ts
+++ b/tests/batches/history.ts
@@ -76,8 +76,8 @@
     return !this.isCalm && this.clock.random() < share;
   }
 
-  private wait(ms: number, world: types.Clock = this.clock): Promise<void> {
-    return new Promise((resolve) => world.schedule(ms, resolve));
+  private wait(ms: number, clock: types.Clock = this.clock): Promise<void> {
+    return new Promise((resolve) => clock.schedule(ms, resolve));
   }
 
   private start(name: string): void {
@@ -100,16 +100,16 @@
     this.clock.schedule(500 + 3000 * this.clock.random(), () => this.start(name));
   }
 
-  private needs(name: string, life: string, world: types.Clock): owners.Dependencies {
+  private needs(name: string, life: string, clock: types.Clock): owners.Dependencies {
     const { views } = this;
     return {
-      world,
+      clock,
       life,
       register: {
         get chosen() {
           return views.get(name) ?? null;
         },
-        submitOrder: (step) => this.order(name, life, step, world),
+        submitOrder: (step) => this.order(name, life, step, clock),
       },
       replicas: { put: (key, body) => this.put(name, key, body), find: (key) => this.find(name, key) },
       isConfirmed: () => !this.isCut(name) || this.clock.now() - this.cut.get(name)! < CONFIRMED_MS,
@@ -120,7 +120,7 @@
       roomsOf: () => [{ region: "r", places: 10, used: 0, waiting: 0, readPerMs: Infinity }],
       unreadOf: () => 0,
       longestMs: () => LONGEST_MS,
-      send: (send, batch) => this.run(name, send, batch, world),
+      send: (send, batch) => this.run(name, send, batch, clock),
       attemptEnded: () => undefined,
     };
   }
@@ -139,12 +139,12 @@
   }
 
   /** One change of the register: it may be lost, or applied without a word of it. */
-  private async order(name: string, life: string, step: registerStep.Step, world: types.Clock): Promise<registerStep.Outcome> {
+  private async order(name: string, life: string, step: registerStep.Step, clock: types.Clock): Promise<registerStep.Outcome> {
     await this.wait(5 + 60 * this.clock.random());
     const isLost = this.isCut(name) || this.chance(0.05);
     const outcome = isLost ? null : this.guard === "fence" ? this.unfenced(life, step) : step(this.value);
     if (outcome?.isOk) this.choose(outcome.value);
-    await this.wait(5 + 60 * this.clock.random(), world);
+    await this.wait(5 + 60 * this.clock.random(), clock);
     if (outcome?.isOk && outcome.value.epoch > this.views.get(name)!.epoch) this.views.set(name, outcome.value);
     if (!outcome || this.chance(0.05)) return result.err(new errors.NoQuorumError("silence", ""));
     return outcome;
@@ -195,11 +195,11 @@
   }
 
   /** A runner: full, answering, or breaking off with or without having run. */
-  private async run(name: string, send: worklist.Send, batch: schema.Batch, world: types.Clock): Promise<attempt.Answer> {
+  private async run(name: string, send: worklist.Send, batch: schema.Batch, clock: types.Clock): Promise<attempt.Answer> {
     const luck = this.isCalm ? 1 : this.clock.random();
     if (luck < 0.15) return { kind: "not_run", againMs: 200 };
     if (luck > 0.25) this.ran(batch, send.index);
-    await this.wait(LONGEST_MS * 0.8 * this.clock.random(), world);
+    await this.wait(LONGEST_MS * 0.8 * this.clock.random(), clock);
     if (luck < 0.4 || !this.owners.get(name)!.isUp) return { kind: "may_have_run" };
     return { kind: "answered", answer: { status: 200, contentType: "", seal: "s", body: Buffer.from("x") } };
   }
--- a/tests/choice.test.ts
+++ b/tests/choice.test.ts
@@ -1,6 +1,6 @@
 // The choice of a runner by its weight (design 7.4) against a plain reference: whole sorts, and a whole hash for each runner.
 import * as chains from "../src/experiment/chain.js";
-import * as clock from "../src/experiment/clock.js";
+import * as measuringClock from "../src/experiment/measuring-clock.js";
 import * as runnerFleet from "../src/runners/runner-fleet.js";
 import type * as runnerEndpoint from "../src/runners/runner-endpoint.js";
 import type * as routePlan from "../src/routing/route-plan.js";
@@ -12,7 +12,7 @@
 import * as types from "../src/wire/types.js";
 
 test("a hash in two pieces is the hash of the whole", () => {
-  const world = new clock.SeededWorld(1);
+  const world = new measuringClock.SeededClock(1);
   for (let turn = 0; turn < 500; turn += 1) {
     const text = `${world.random()}|${world.random()}`.slice(0, Math.floor(world.random() * 40));
     const cut = Math.floor(world.random() * (text.length + 1));
@@ -73,7 +73,7 @@
 }
 
 test.each([1, 2, 3, 4, 5, 6, 7, 8])("the order of runners is that of whole sorts, seed %d", (seed) => {
-  const world = new clock.SeededWorld(seed);
+  const world = new measuringClock.SeededClock(seed);
   const known = new prefillTracker.PrefillTracker();
   const fleet = new runnerFleet.RunnerFleet(world, new Map());
   const listed: schema.Instance[] = [];
--- a/tests/experiment-run.test.ts
+++ b/tests/experiment-run.test.ts
@@ -4,7 +4,7 @@
 import * as path from "node:path";
 import * as control from "../src/control/program.js";
 import * as chains from "../src/experiment/chain.js";
-import * as clock from "../src/experiment/clock.js";
+import * as measuringClock from "../src/experiment/measuring-clock.js";
 import * as hosts from "../src/experiment/hosts.js";
 import * as layout from "../src/experiment/layout.js";
 import * as run from "../src/experiment/run.js";
@@ -15,7 +15,7 @@
 
 /** Control nodes and hosts in this very process. */
 class LocalLauncher implements hosts.Launcher {
-  readonly world = new clock.SeededWorld(1);
+  readonly world = new measuringClock.SeededClock(1);
   readonly ends: (() => Promise<void>)[] = [];
   async host(name: string): Promise<hosts.Host> {
     const hands = new hosts.CommandHandler(this.world);
@@ -44,7 +44,7 @@
 });
 
 test.each(["none", "shared"] as const)("a choice is timed policy by policy, prompt: %s", (prompt) => {
-  const row = chains.measure(new clock.SeededWorld(1), { regions: 2, runnersEach: 3 }, prompt, 10);
+  const row = chains.measure(new measuringClock.SeededClock(1), { regions: 2, runnersEach: 3 }, prompt, 10);
   expect(row).toMatchObject({ regions: 2, runnersEach: 3, prompt, times: 10 });
   for (const us of [row.homesUs, row.cellsUs, row.runnerUs, row.admissionUs]) expect(us).toBeGreaterThan(0);
   expect(row.p50Us).toBeGreaterThanOrEqual(Math.max(row.homesUs, row.cellsUs, row.runnerUs, row.admissionUs));
--- a/tests/model/mutations.ts
+++ b/tests/model/mutations.ts
@@ -45,7 +45,7 @@
 }
 
 /** Sends new voters to all at once: former ones may accept them before any joiner has. */
-function acceptAtOnce(proposer: proposer.Proposer, world: types.Clock): void {
+function acceptAtOnce(proposer: proposer.Proposer, clock: types.Clock): void {
   const parts = proposer as unknown as ProposerParts;
   const isSetChosen = parts.isSetChosen.bind(proposer);
   parts.accept = async function accept(ballot, read, proposed) {
@@ -60,7 +60,7 @@
     function isEnough(): boolean {
       return isPossible(votes.granted);
     }
-    await phase.runPhase(world, { voters: registerValue.allVoters(read, proposed).values(), send, votes, isEnough, isPossible });
+    await phase.runPhase(clock, { voters: registerValue.allVoters(read, proposed).values(), send, votes, isEnough, isPossible });
     return isEnough();
   };
 }
@@ -91,11 +91,11 @@
     this.isIdentityKept = missing === "wipe_keeps_identity";
   }
 
-  makeCore(world: types.Clock, options: registerReplica.ReplicaOptions, dial: dialer.Dialer): registerReplica.RegisterReplica {
-    const core = new registerReplica.RegisterReplica(world, options, dial);
+  makeCore(clock: types.Clock, options: registerReplica.ReplicaOptions, dial: dialer.Dialer): registerReplica.RegisterReplica {
+    const core = new registerReplica.RegisterReplica(clock, options, dial);
     if (this.missing === "settle_unchosen") trustJointSets(core.proposer);
     if (this.missing === "empty_joiner_blocks") {
-      acceptAtOnce(core.proposer, world);
+      acceptAtOnce(core.proposer, clock);
       leaveUnfinished(core);
     }
     return core;
--- a/tests/model/network.ts
+++ b/tests/model/network.ts
@@ -103,7 +103,7 @@
     const handle = this.handle.bind(this, pair as calls.Pair<unknown, unknown>, pair.ask.toBuffer(ask));
     const silent = from.mutations.replyOfSilence(pair, ask) as Reply | null;
     return new Promise(function start(resolve) {
-      const timer = from.world.schedule(silent ? Math.min(withinMs, LIE_MS) : withinMs, giveUp);
+      const timer = from.clock.schedule(silent ? Math.min(withinMs, LIE_MS) : withinMs, giveUp);
       function giveUp(): void {
         resolve(silent);
       }
--- a/tests/model/node.ts
+++ b/tests/model/node.ts
@@ -44,7 +44,7 @@
   disk: disk.ModelDisk;
   handlers = new link.Handlers();
   readonly links = new Map<string, network.ModelLink>();
-  readonly world: types.Clock = new NodeWorld(this);
+  readonly clock: types.Clock = new NodeWorld(this);
   core: registerReplica.RegisterReplica | null = null;
   voter: acceptor.Acceptor | null = null;
   private dial: dialer.Dialer | null = null;
@@ -98,14 +98,14 @@
     const { generation } = this;
     this.handlers = new link.Handlers();
     const life = `${this.address}/${generation}`;
-    this.dial = new dialer.Dialer(this.world, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
+    this.dial = new dialer.Dialer(this.clock, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
     this.dial.know(this.seeds);
     const first = registerValue.initialValue(isBootstrap ? this.seeds : []);
-    this.core = this.mutations.makeCore(this.world, { life, address: this.address, first }, this.dial);
+    this.core = this.mutations.makeCore(this.clock, { life, address: this.address, first }, this.dial);
     this.core.on("chosen", this.onChosen);
     this.core.registerHandlers(this.handlers);
-    this.voterManager = new voterManager.VoterManager(this.world, this.core, this.members.bind(this));
-    this.world.schedule(UPKEEP_MS * this.world.random(), this.upkeep.bind(this));
+    this.voterManager = new voterManager.VoterManager(this.clock, this.core, this.members.bind(this));
+    this.clock.schedule(UPKEEP_MS * this.clock.random(), this.upkeep.bind(this));
     await this.readDisk(isBootstrap);
   }
 
@@ -113,14 +113,14 @@
   private async readDisk(isBootstrap: boolean): Promise<void> {
     const { generation } = this;
     try {
-      const { ring: records, newest } = await ring.Ring.open(this.disk.open(this.world), { layout: 1, newSetId: this.newSetId.bind(this) });
+      const { ring: records, newest } = await ring.Ring.open(this.disk.open(this.clock), { layout: 1, newSetId: this.newSetId.bind(this) });
       const state = newest ? acceptor.Acceptor.restore(newest) : this.blank(isBootstrap);
       if (!newest) await records.write(schema.disk.toBuffer(state));
       if (!this.isAlive(generation)) return;
       this.voter = this.mutations.makeVoter(records, state);
       this.core?.attachVoter(this.voter);
     } catch {
-      this.world.schedule(OPEN_AGAIN_MS, this.readDiskAgain.bind(this, isBootstrap));
+      this.clock.schedule(OPEN_AGAIN_MS, this.readDiskAgain.bind(this, isBootstrap));
     }
   }
 
@@ -130,7 +130,7 @@
 
   private newSetId(): Buffer {
     const id = Buffer.alloc(format.SET_ID_BYTES);
-    for (const index of id.keys()) id[index] = Math.floor(this.world.random() * 256);
+    for (const index of id.keys()) id[index] = Math.floor(this.clock.random() * 256);
     return id;
   }
 
@@ -169,7 +169,7 @@
   }
 
   private upkeep(): void {
-    this.world.schedule(UPKEEP_MS, this.upkeep.bind(this));
+    this.clock.schedule(UPKEEP_MS, this.upkeep.bind(this));
     const peers = new Set(this.network.nodes.values());
     for (const held of this.links.values()) peers.add(held.to);
     for (const peer of peers) if (peer !== this) this.keepLink(peer);
@@ -188,13 +188,13 @@
       dial.controls.delete(peer.address);
       held = undefined;
     }
-    if (!isReached || this.world.random() < this.network.weather.lost) return;
+    if (!isReached || this.clock.random() < this.network.weather.lost) return;
     if (!held) {
       held = new network.ModelLink(this.network, this, peer);
       this.links.set(peer.address, held);
     }
     const node = peer.describe();
-    held.heardMs = this.world.now();
+    held.heardMs = this.clock.now();
     const made = held.asLink();
     dial.controls.set(peer.address, {
       address: peer.address,
@@ -203,7 +203,7 @@
       link: made,
       wasConfirmed: true,
       beat: null,
-      beatAt: this.world.now(),
+      beatAt: this.clock.now(),
       tripMs: 1,
     });
     void this.core?.catchUp(made, node.epoch);
--- a/tests/regions.test.ts
+++ b/tests/regions.test.ts
@@ -1,5 +1,5 @@
 // The runners of a region are found without a look at all others (design 7.4).
-import * as clock from "../src/experiment/clock.js";
+import * as measuringClock from "../src/experiment/measuring-clock.js";
 import * as runnerFleet from "../src/runners/runner-fleet.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
@@ -15,7 +15,7 @@
 }
 
 test("through random changes, ends and forgetting, regions divide all runners", () => {
-  const world = new clock.SeededWorld(7);
+  const world = new measuringClock.SeededClock(7);
   const fleet = new runnerFleet.RunnerFleet(world, ZONES);
   const zones = [...ZONES.keys(), "unknown"];
   for (let turn = 0; turn < 400; turn += 1) {
@@ -35,7 +35,7 @@
 });
 
 test("reports and doubts of a region are those of its runners alone", () => {
-  const fleet = new runnerFleet.RunnerFleet(new clock.SeededWorld(1), ZONES);
+  const fleet = new runnerFleet.RunnerFleet(new measuringClock.SeededClock(1), ZONES);
   fleet.applySnapshot([listed("a", "n1"), listed("b", "n2"), listed("c", "s1")]);
   fleet.applyReport({
     region: "",
@@ -43,6 +43,6 @@
   });
   expect(fleet.reportsOf("north").map((report) => report.id)).toEqual(["a", "b"]);
   fleet.recordUnreachableRegion("south");
-  const now = new clock.SeededWorld(1).now();
+  const now = new measuringClock.SeededClock(1).now();
   expect([...fleet.all()].filter((runner) => runner.isSilent(now)).map((runner) => runner.id)).toEqual(["c"]);
 });
--- a/tests/sim/disk-world.ts
+++ b/tests/sim/disk-world.ts
@@ -9,7 +9,7 @@
 export const ADDRESS = "10.0.0.1:7000";
 
 /** Timers fire in the order of their time as soon as nothing else is to be done; none fires after `end`. */
-export class HastyWorld implements types.Clock {
+export class HastyClock implements types.Clock {
   private time = 0;
   private isEnded = false;
 
@@ -42,7 +42,7 @@
 }
 
 export interface SimulatedMachine {
-  clock: HastyWorld;
+  clock: HastyClock;
   folder: simulated.MountedDisk;
   processes: owner.ProcessTable;
 }
@@ -57,7 +57,7 @@
 };
 
 export function machineOf(folder: simulated.MountedDisk): SimulatedMachine {
-  return { clock: new HastyWorld(), folder, processes: unknownProcesses };
+  return { clock: new HastyClock(), folder, processes: unknownProcesses };
 }
 
 export function placeOf(isBootstrap: boolean): voterDisk.VoterNode {
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -48,10 +48,10 @@
 
 class BrokenConfirmation extends quorumConfirmation.Confirmation {
   constructor(
-    world: types.Clock,
+    clock: types.Clock,
     private readonly broken: Broken,
   ) {
-    super(world);
+    super(clock);
   }
   override recordAnswer(disk: string, answer: quorumConfirmation.Answer): void {
     super.recordAnswer(disk, this.broken === "any_epoch" ? { ...answer, epoch: types.NO_EPOCH } : answer);
@@ -119,7 +119,7 @@
     );
     const operator = new operators.Operator(this.core, ZONES, () => ({ contact: this.contact.status() }));
     const { handlers, dial, core, contact } = this;
-    this.reply = operatorChain.chain({ world, handlers, dial, core, contact }, operator.reply.bind(operator));
+    this.reply = operatorChain.chain({ clock: world, handlers, dial, core, contact }, operator.reply.bind(operator));
     this.handle();
     if (options.isVoter !== false) this.vote(first);
     this.run();
@@ -235,10 +235,10 @@
 }
 
 /** Each process at a phase of its own. */
-export function every(world: types.Clock, ms: number, run: () => void): void {
+export function every(clock: types.Clock, ms: number, run: () => void): void {
   const again = (): void => {
-    world.schedule(ms, again);
+    clock.schedule(ms, again);
     run();
   };
-  world.schedule(ms * world.random(), again);
+  clock.schedule(ms * clock.random(), again);
 }
--- a/tests/sim/network.ts
+++ b/tests/sim/network.ts
@@ -44,7 +44,7 @@
   }
 
   /** address: NAME:1. */
-  async connect(from: string, address: string, handlers: link.Handlers, world: types.Clock): Promise<link.Link | null> {
+  async connect(from: string, address: string, handlers: link.Handlers, clock: types.Clock): Promise<link.Link | null> {
     const to = address.slice(0, address.indexOf(":"));
     const until = this.clock.now() + CONNECT_MS;
     const isLost = this.losesDials && !(this.passes(from, to) && this.passes(to, from));
@@ -60,7 +60,7 @@
     near.other = far;
     far.other = near;
     new link.Link(new NodeWorld(this, to), far as unknown as net.Socket, target);
-    return new link.Link(world, near as unknown as net.Socket, handlers);
+    return new link.Link(clock, near as unknown as net.Socket, handlers);
   }
 
   private wait(ms: number): Promise<void> {
--- a/tests/support/tally-cluster.ts
+++ b/tests/support/tally-cluster.ts
@@ -63,12 +63,12 @@
     const dial = new SimDial();
     const handlers = new link.Handlers();
     const isDead = (): boolean => life.isDead;
-    const world: types.Clock = {
+    const clock: types.Clock = {
       now: () => cluster.clock.now(),
       random: () => cluster.clock.random(),
       schedule: (ms, run) => cluster.clock.schedule(ms, () => !isDead() && run()),
     };
-    const kept = new tallies.Tallies(world, {
+    const kept = new tallies.Tallies(clock, {
       life: name,
       address,
       isCounted: true,
--- a/tests/support/tally-disk.ts
+++ b/tests/support/tally-disk.ts
@@ -17,15 +17,15 @@
   losesSyncs = false;
 
   constructor(
-    private readonly world: types.Clock,
+    private readonly clock: types.Clock,
     private readonly syncMs: number,
   ) {}
 
   /** After a loss of power; a part of what was not synced may be there all the same. */
   losePower(): void {
     for (const file of this.files.values()) {
-      const kept = Math.floor(this.world.random() * (file.current.length + 1));
-      const isTorn = this.world.random() < 0.5;
+      const kept = Math.floor(this.clock.random() * (file.current.length + 1));
+      const isTorn = this.clock.random() < 0.5;
       file.current = isTorn ? Buffer.concat([file.current.subarray(0, kept), file.durable.subarray(kept)]) : Buffer.from(file.durable);
     }
   }
@@ -35,8 +35,8 @@
   }
 
   private async wait(isDead: () => boolean): Promise<void> {
-    await new Promise<void>((resolve) => this.world.schedule(this.syncMs * (0.5 + this.world.random()), resolve));
-    while (this.isStalled && !isDead()) await new Promise<void>((resolve) => this.world.schedule(STALL_STEP_MS, resolve));
+    await new Promise<void>((resolve) => this.clock.schedule(this.syncMs * (0.5 + this.clock.random()), resolve));
+    while (this.isStalled && !isDead()) await new Promise<void>((resolve) => this.clock.schedule(STALL_STEP_MS, resolve));
     if (isDead()) await new Promise<never>(() => {});
   }
 
--- a/tests/support/tally-guards.ts
+++ b/tests/support/tally-guards.ts
@@ -23,8 +23,8 @@
 export async function withEras<T>(eraMs: number, work: () => Promise<T>): Promise<T> {
   const prototype = eras.Eras.prototype as unknown as Record<string, unknown>;
   const usual = prototype["isDue"];
-  prototype["isDue"] = function isDue(this: { world: types.Clock; since: number }): boolean {
-    return this.world.now() - this.since >= eraMs;
+  prototype["isDue"] = function isDue(this: { clock: types.Clock; since: number }): boolean {
+    return this.clock.now() - this.since >= eraMs;
   };
   try {
     return await work();
--- a/tests/tallies/log.test.ts
+++ b/tests/tallies/log.test.ts
@@ -56,8 +56,8 @@
     if (life.isPowerLost) this.disk.losePower();
   }
 
-  private async live(world: types.Clock, folder: simulated.MountedDisk, life: Life): Promise<void> {
-    const opened = await this.open(world, folder);
+  private async live(clock: types.Clock, folder: simulated.MountedDisk, life: Life): Promise<void> {
+    const opened = await this.open(clock, folder);
     const ledger = new ledgers.Ledger();
     for (const record of opened.records) expect(records.restore(ledger, record)).toBe(true);
     expect(ledger.held("s")).toBeGreaterThanOrEqual(this.durable);
@@ -75,9 +75,9 @@
   }
 
   /** A disk that refuses is opened again, as the store does. */
-  private async open(world: types.Clock, folder: simulated.MountedDisk): ReturnType<typeof logs.TallyLog.open> {
+  private async open(clock: types.Clock, folder: simulated.MountedDisk): ReturnType<typeof logs.TallyLog.open> {
     for (;;) {
-      const opened = await logs.TallyLog.open(world, folder).catch(() => null);
+      const opened = await logs.TallyLog.open(clock, folder).catch(() => null);
       if (opened) return opened;
       await new Promise(setImmediate);
     }
