--- a/src/router/client/request-validation.ts
+++ b/src/router/client/request-validation.ts
@@ -52,7 +52,7 @@
   const fault = find(incoming);
   if (fault) {
     closingSockets.add(incoming.socket);
-    log.count("router.improper");
+    log.count("router.malformed");
   }
   return fault;
 }
@@ -114,7 +114,7 @@
 /** No tunnels: CONNECT is told so, and its connection ends. */
 export function rejectConnect(_incoming: nodeHttp.IncomingMessage, socket: net.Socket): void {
   log.count("router.requests");
-  log.count("router.improper");
+  log.count("router.malformed");
   log.count("router.reply_501");
   socket.on("error", ignore);
   socket.end("HTTP/1.1 501 Not Implemented\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
--- a/src/router/header-rules.ts
+++ b/src/router/header-rules.ts
@@ -1,9 +1,9 @@
-// A list of rules says what happens to each header, on the way in and on the way out (design 7.7).
+/** Which headers are forwarded, dropped and replaced, from the client to the runner and back (design 7.7). */
 import * as names from "../wire/names.js";
 
 type Rule = "drop" | "replace";
 
-/** Headers of one connection, and those that the router itself sets. All others are passed on untouched. */
+/** Hop-by-hop headers; all that no rule names are forwarded unchanged. */
 const CONNECTION_RULES: readonly [string, Rule][] = [
   ["connection", "drop"],
   ["keep-alive", "drop"],
@@ -29,9 +29,10 @@
 ]);
 const RESPONSE_RULES = new Map<string, Rule>(CONNECTION_RULES);
 
-/** What the runner works by goes to it as the client sent it, also where the client names it as one of its connection. */
+/** Forwarded even where the client lists them in Connection: the runner needs them. */
 const END_TO_END: ReadonlySet<string> = new Set([names.HEADER.model, names.HEADER.tokens, names.HEADER.prefix, names.HEADER.lastEventId]);
 
+/** The header names that a Connection field lists, which are hop-by-hop by that (RFC 9110, 7.6.1). */
 function connectionOptions(connection: string | undefined): ReadonlySet<string> {
   const found = new Set<string>();
   if (!connection) return found;
@@ -42,46 +43,49 @@
   return found;
 }
 
-/** A route of rank 0 goes a step before what names no priority at all, which a runner takes as 5. */
+/** Of rank 0: one step before requests without a priority, which runners take as 5. */
 const HIGHEST_PRIORITY = 4;
 const LOWEST_PRIORITY = 9;
 
-/** What the router itself sets on a send. */
+/** The values of the headers that the router itself sets. */
 export interface RouterHeaders {
+  /** Id of the runner that is to run the request. */
   target: string;
+  /** Until the deadline, in milliseconds. */
   budgetMs: number;
-  /** The route's rank; below it the runner lets in, and puts back, in its order. */
+  /** The route's rank, by which the runner admits and preempts. */
   rank: number;
+  /** The last complete event that the client has, for a runner that resumes the stream. */
   lastEventId: string | null;
-  /** Whom the client's key belongs to; null where the route needs no key. */
+  /** The tenant of the client's key; null where the route needs no key. */
   tenant: string | null;
 }
 
-/** Raw name and value pairs for the runner. */
-export function buildRequestHeaders(raw: readonly string[], connection: string | undefined, sending: RouterHeaders): string[] {
+/** The headers of a request to a runner, as raw name and value pairs. */
+export function buildRequestHeaders(raw: readonly string[], connection: string | undefined, values: RouterHeaders): string[] {
   const dropped = connectionOptions(connection);
   const result: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index].toLowerCase();
     if (REQUEST_RULES.has(name) || dropped.has(name)) continue;
-    if (sending.lastEventId !== null && name === names.HEADER.lastEventId) continue;
+    if (values.lastEventId !== null && name === names.HEADER.lastEventId) continue;
     result.push(raw[index], raw[index + 1]);
   }
-  const priority = Math.min(LOWEST_PRIORITY, HIGHEST_PRIORITY + sending.rank);
+  const priority = Math.min(LOWEST_PRIORITY, HIGHEST_PRIORITY + values.rank);
   result.push(
     "X-Cranewind-Request-Priority",
     String(priority),
     "X-Cranewind-Target-Instance",
-    sending.target,
+    values.target,
     "X-Cranewind-Time-Budget-Ms",
-    String(sending.budgetMs),
+    String(values.budgetMs),
   );
-  if (sending.tenant !== null) result.push("X-Cranewind-Tenant", sending.tenant);
-  if (sending.lastEventId !== null) result.push("Last-Event-Id", sending.lastEventId);
+  if (values.tenant !== null) result.push("X-Cranewind-Tenant", values.tenant);
+  if (values.lastEventId !== null) result.push("Last-Event-Id", values.lastEventId);
   return result;
 }
 
-/** Raw name and value pairs for the client. */
+/** The headers of a response to the client, as raw name and value pairs. */
 export function buildResponseHeaders(raw: readonly Buffer[], connection: string | undefined): string[] {
   const dropped = connectionOptions(connection);
   const result: string[] = [];
--- a/src/router/request-transaction.ts
+++ b/src/router/request-transaction.ts
@@ -1,30 +1,43 @@
-// One request through the router: explicit states, one function for every change (design 7.1).
+/**
+ * One request through the router (design 7.1): picks a runner, sends an attempt, forwards the response, retries where the
+ * request may run again, and ends in exactly one outcome. `transition` makes every change of state.
+ */
 import type * as nodeHttp from "node:http";
 import type * as admissionStats from "../admission/admission-stats.js";
+import type * as routePlan from "../routing/route-plan.js";
 import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
+import * as clientResponse from "./client/client-response.js";
 import * as responseHead from "./response-head.js";
+import * as routeRequest from "./route-request.js";
 import * as runnerAttempt from "./runner-attempt.js";
 import type * as runnerPicker from "./runner-picker.js";
-import * as clientResponse from "./client/client-response.js";
 import type * as transactionContext from "./transaction-context.js";
-import type * as routePlan from "../routing/route-plan.js";
-import * as routeRequest from "./route-request.js";
 import * as transactionState from "./transaction-state.js";
 
+/** With less time than this before the deadline no attempt is begun. */
 const MIN_REMAINING_MS = 10;
+/** Attempts that fail before a byte is sent, for lack of a connection. */
 const MAX_UNSENT_ATTEMPTS = 4;
+/** Between two checks of a runner that is silent and can't be left yet. */
 const SILENCE_CHECK_INTERVAL_MS = 250;
 
-/** One request of a client, from its body to the end of its answer. */
+/** A prefill that this router waits for: tokens that the runner has to process, and since when. */
+interface PendingPrefill {
+  tokens: number;
+  since: number;
+}
+
+/** One request of a client, from its complete body to the end of its response. */
 export class Transaction implements runnerAttempt.AttemptListener {
-  state: transactionState.TransactionState = "reading";
+  private state: transactionState.TransactionState = "receiving";
   private readonly attemptedRunners = new Set<string>();
+  /** Attempts of which a byte may have been sent. */
   private sendCount = 0;
   private unsentCount = 0;
   private attempt: runnerAttempt.Attempt | null = null;
   private deadlineTimer: types.Timer | null = null;
-  private prefill: { tokens: number; since: number } | null = null;
+  private prefill: PendingPrefill | null = null;
   private mayHaveRun = false;
   private nextSilenceCheckAt = 0;
   private readonly response: clientResponse.ClientResponse;
@@ -36,63 +49,63 @@
     outgoing: nodeHttp.ServerResponse,
   ) {
     this.response = new clientResponse.ClientResponse(outgoing, context.isDraining);
-    this.response.onClose(this.onClientClosed.bind(this));
+    this.response.onClose(() => this.onClientClosed());
   }
 
-  /** `end`: what it came to, with the last change. */
-  private transition(to: transactionState.TransactionState, end?: admissionStats.RequestOutcome): void {
+  /** The one place where the state changes. `outcome`: of the request, with the last transition. */
+  private transition(to: transactionState.TransactionState, outcome?: admissionStats.RequestOutcome): void {
     this.state = transactionState.transition(this.state, to);
-    if (!end) return;
-    this.context.picker.admission.stats.recordOutcome(end, this.request.rank);
+    if (!outcome) return;
+    this.context.picker.admission.stats.recordOutcome(outcome, this.request.rank);
     this.deadlineTimer?.stop();
     this.context.onFinished();
   }
 
+  /** Begins the first attempt. Called once. */
   start(): void {
-    this.deadlineTimer = this.context.clock.schedule(
-      Math.max(0, this.request.deadline - this.context.clock.now()),
-      this.onDeadline.bind(this),
-    );
+    this.deadlineTimer = this.context.clock.schedule(Math.max(0, this.remainingMs()), () => this.onDeadline());
     this.context.picker.countRequest(this.request);
-    this.transition("choosing");
+    this.transition("picking");
     this.pickRunner();
   }
 
-  /** Runs the chain and sends on; a rejection is told at once. */
+  private remainingMs(): number {
+    return this.request.deadline - this.context.clock.now();
+  }
+
   private pickRunner(): void {
-    const left = this.request.deadline - this.context.clock.now();
-    if (left < MIN_REMAINING_MS) {
+    if (this.remainingMs() < MIN_REMAINING_MS) {
       this.reject({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
       return;
     }
-    const choice = this.context.picker.pick(this.request, this.attemptedRunners, this.sendCount);
-    if ("status" in choice) this.reject(choice);
-    else this.sendTo(choice);
+    const pick = this.context.picker.pick(this.request, this.attemptedRunners, this.sendCount);
+    if ("status" in pick) this.reject(pick);
+    else this.sendTo(pick);
   }
 
-  private sendTo(choice: runnerPicker.Pick): void {
-    const left = this.request.deadline - this.context.clock.now();
-    this.attemptedRunners.add(choice.runner.id);
+  private sendTo(pick: runnerPicker.Pick): void {
+    const { clock } = this.context;
+    const remainingMs = this.remainingMs();
+    this.attemptedRunners.add(pick.runner.id);
     this.sendCount += 1;
-    const sending = { target: choice.runner.id, budgetMs: Math.max(1, Math.floor(left)), lastEventId: this.response.lastEventId };
-    this.attempt = new runnerAttempt.Attempt(
-      this.context.clock,
-      choice.runner,
-      choice.connection,
-      this,
-      routeRequest.buildOutgoingRequest(this.request, this.incoming, sending, choice.observer),
+    const outgoing = routeRequest.buildOutgoingRequest(
+      this.request,
+      this.incoming,
+      { target: pick.runner.id, budgetMs: Math.max(1, Math.floor(remainingMs)), lastEventId: this.response.lastEventId },
+      pick.observer,
     );
+    this.attempt = new runnerAttempt.Attempt(clock, pick.runner, pick.connection, this, outgoing);
     this.transition("sent");
-    this.prefill = { tokens: this.context.recordSend(this.request, choice.runner.id), since: this.context.clock.now() };
+    this.prefill = { tokens: this.context.recordSend(this.request, pick.runner.id), since: clock.now() };
     this.attempt.start(this.prefill.tokens);
   }
 
-  /** Whether no runner was ever chosen for it. */
+  /** Whether no runner was ever picked for it. */
   get wasNeverSent(): boolean {
     return this.attemptedRunners.size === 0;
   }
 
-  /** Nothing has run, and nothing will: only then may a promise be given. */
+  /** Ends a request that cannot be sent. A status that says "not executed" is given only if nothing of it has run. */
   private reject(rejection: routePlan.Rejection): void {
     log.count("router.denied");
     if (this.response.isHeadSent || this.mayHaveRun) this.fail();
@@ -104,42 +117,43 @@
     else this.respond(502, "the runner broke off and the request may have run", null, "lost");
   }
 
-  private respond(status: number, message: string, retryAfterS: number | null, end: admissionStats.RequestOutcome): void {
-    const { clock: world, picker: chooser } = this.context;
-    if (end === "denied")
-      chooser.admission.stats.recordRejection(world.now() - this.request.arrivedAt, message, this.attemptedRunners.size > 0);
+  private respond(status: number, message: string, retryAfterS: number | null, outcome: admissionStats.RequestOutcome): void {
+    const { clock, picker } = this.context;
+    if (outcome === "denied")
+      picker.admission.stats.recordRejection(clock.now() - this.request.arrivedAt, message, this.attemptedRunners.size > 0);
     this.response.sendLocal(status, message, retryAfterS);
-    this.transition("done", end);
+    this.transition("done", outcome);
   }
 
-  private abort(end: admissionStats.RequestOutcome): void {
+  private abort(outcome: admissionStats.RequestOutcome): void {
     log.count("router.broken_off");
     this.response.abort();
-    this.transition("done", end);
+    this.transition("done", outcome);
   }
 
   onHead(_attempt: runnerAttempt.Attempt, head: responseHead.ResponseHead): boolean {
     const { entry } = this.request;
     const isSuccess = responseHead.isSuccess(head);
     if (isSuccess && !responseHead.isSealed(head)) return false;
-    if (this.response.isHeadSent) return this.isSameStream(head);
-    // What doesn't say that the request has not run must not reach the client as a promise that it has not.
+    if (this.response.isHeadSent) return this.resumeStream(head);
+    // A status that clients read as "not executed" is forwarded only with the header that says so.
     if (responseHead.promisesNotExecuted(head)) return false;
     if (head.status >= 500 && entry.isRepeatable && this.hasAttemptsLeft()) return false;
     const isResumable = entry.route.route_type === "streaming" && isSuccess && entry.isRepeatable && !head.headers.has("content-length");
     this.response.sendHead(head, isResumable, () => this.attempt?.resume());
-    this.transition("passing");
+    this.transition("forwarding");
     return true;
   }
 
-  private isSameStream(head: responseHead.ResponseHead): boolean {
-    const isSame = head.status === 200 && this.response.isResumable;
-    if (isSame) this.transition("passing");
-    return isSame;
+  /** A further runner continues a stream whose head the client has already; false: its response can't continue it. */
+  private resumeStream(head: responseHead.ResponseHead): boolean {
+    const canResume = head.status === 200 && this.response.isResumable;
+    if (canResume) this.transition("forwarding");
+    return canResume;
   }
 
   onChunk(_attempt: runnerAttempt.Attempt, chunk: Buffer): boolean {
-    if (this.state !== "passing") return true;
+    if (this.state !== "forwarding") return true;
     if (this.prefill) this.context.picker.prefills.learnRate(this.prefill.tokens, this.context.clock.now() - this.prefill.since);
     this.prefill = null;
     return this.response.write(chunk);
@@ -151,14 +165,23 @@
 
   onEnd(attempt: runnerAttempt.Attempt, ending: runnerAttempt.AttemptEnding, head: responseHead.ResponseHead | null): void {
     if (this.state === "done" || attempt !== this.attempt) return;
-    if (ending === "complete") this.onComplete();
-    else if (ending === "not_sent") this.onNotSent();
-    else if (ending === "handed_back") this.onNotExecuted(attempt, head!);
-    else this.onInterrupted();
+    switch (ending) {
+      case "complete":
+        this.onComplete();
+        break;
+      case "not_sent":
+        this.onNotSent();
+        break;
+      case "not_executed":
+        this.onNotExecuted(attempt, head!);
+        break;
+      case "interrupted":
+        this.onInterrupted();
+    }
   }
 
   private onComplete(): void {
-    if (this.state !== "passing") {
+    if (this.state !== "forwarding") {
       this.onInterrupted();
       return;
     }
@@ -167,14 +190,15 @@
   }
 
   private onNotSent(): void {
-    if ((this.sendCount -= 1) > 0) this.context.picker.giveBack(this.request.service);
+    this.sendCount -= 1;
+    if (this.sendCount > 0) this.context.picker.returnRetry(this.request.service);
     this.unsentCount += 1;
     if (this.unsentCount > MAX_UNSENT_ATTEMPTS) this.reject({ status: 503, cause: "no runner takes a connection", retryAfterS: 0.4 });
     else this.retry();
   }
 
   private onNotExecuted(attempt: runnerAttempt.Attempt, head: responseHead.ResponseHead): void {
-    log.count("router.handed_back");
+    log.count("router.not_executed");
     attempt.runner.recordRejection(this.context.clock.now(), head.status === 421);
     if (head.status === 400) {
       this.respond(400, "the runner finds the request malformed; send X-Cranewind-Request-Id", null, "denied");
@@ -184,7 +208,7 @@
     else this.reject({ status: 503, cause: "the runner handed the request back", retryAfterS: 0.3 });
   }
 
-  /** Sent, and no whole reply: only what is repeatable goes on, a stream from its last whole event. */
+  /** The request may have run: only a repeatable one is retried, and a stream continues after its last complete event. */
   private onInterrupted(): void {
     this.mayHaveRun = true;
     this.response.discardPartialEvent();
@@ -193,59 +217,61 @@
   }
 
   private retry(): void {
-    this.transition("choosing");
-    log.count("router.again");
+    this.transition("picking");
+    log.count("router.retried");
     this.pickRunner();
   }
 
-  /** Whether another runner may take it up: repeatable, a try left, and no answer begun that cannot be resumed. */
+  /** Whether another runner may take it over: repeatable, with an attempt left, and no response begun that can't be resumed. */
   private canRetry(): boolean {
     return this.request.entry.isRepeatable && this.hasAttemptsLeft() && (!this.response.isHeadSent || this.response.isResumable);
   }
 
   /**
-   * A repeatable request leaves a runner that fell silent (design 7.9), but only for a further try that is granted,
-   * with a runner and a connection: without one it waits, since its runner may still be at work.
+   * A repeatable request leaves a silent runner (design 7.9), but only once a retry is granted, with a runner and a
+   * connection: without these it waits, since its runner may still be at work. Called periodically.
    */
   checkSilence(now: number): void {
     const { attempt, context } = this;
     if (!attempt?.isSent || attempt.isOver || now < this.nextSilenceCheckAt || !this.canRetry()) return;
-    const quiet = now - attempt.receivedAt;
-    if (quiet < context.picker.silenceTimeoutMs(this.request.entry, this.state === "passing", attempt.runner, now)) return;
+    const timeoutMs = context.picker.silenceTimeoutMs(this.request.entry, this.state === "forwarding", attempt.runner, now);
+    if (now - attempt.receivedAt < timeoutMs) return;
     if (this.nextSilenceCheckAt === 0) attempt.runner.recordSilence(now);
     this.nextSilenceCheckAt = now + SILENCE_CHECK_INTERVAL_MS;
-    const choice = context.picker.pick(this.request, this.attemptedRunners, this.sendCount);
-    if ("status" in choice) {
-      log.count("router.stayed");
+    const pick = context.picker.pick(this.request, this.attemptedRunners, this.sendCount);
+    if ("status" in pick) {
+      log.count("router.retry_withheld");
       return;
     }
     this.nextSilenceCheckAt = 0;
-    log.count("router.left_silent");
-    this.attempt = null;
-    attempt.cancel();
+    log.count("router.silent_abandoned");
+    this.cancelAttempt();
     this.mayHaveRun = true;
     this.response.discardPartialEvent();
-    this.transition("choosing");
-    this.sendTo(choice);
+    this.transition("picking");
+    this.sendTo(pick);
   }
 
-  private onDeadline(): void {
-    if (this.state === "done") return;
-    const attempt = this.attempt;
-    const isOut = attempt !== null && attempt.isSent && !attempt.isOver;
+  /** What the attempt's runner does from now on reaches nobody, and `onEnd` ignores its end. */
+  private cancelAttempt(): void {
+    const { attempt } = this;
     this.attempt = null;
     attempt?.cancel();
+  }
+
+  private onDeadline(): void {
+    if (this.state === "done") return;
+    const isRunning = this.attempt !== null && this.attempt.isSent && !this.attempt.isOver;
+    this.cancelAttempt();
     if (this.response.isHeadSent) this.abort("late");
-    else if (isOut || this.mayHaveRun) this.respond(504, "the deadline passed while the request ran", null, "late");
+    else if (isRunning || this.mayHaveRun) this.respond(504, "the deadline passed while the request ran", null, "late");
     else this.reject({ status: 503, cause: "the deadline has passed", retryAfterS: 0.2 });
   }
 
   private onClientClosed(): void {
     if (this.state === "done") return;
     log.count("router.client_gone");
-    const attempt = this.attempt;
-    this.attempt = null;
-    attempt?.cancel();
+    this.cancelAttempt();
     this.transition("done", "left");
   }
 }
--- a/src/router/response-head.ts
+++ b/src/router/response-head.ts
@@ -1,9 +1,11 @@
-// What the head of a runner's answer proves: whose answer it is, whether the request has run, and how its end is
-// told (design 7.8). Everything here is judged from the head alone; nothing is remembered between answers.
+/**
+ * What the head of a runner's response proves (design 7.8): which request it belongs to, whether that request has run, and
+ * how the end of the body is marked. Everything is decided from the head alone; there is no state between responses.
+ */
 import * as names from "../wire/names.js";
 import type * as types from "../wire/types.js";
 
-/** The head of one answer as it arrived. */
+/** The head of one response as it arrived. */
 export interface ResponseHead {
   status: number;
   /** Raw name and value pairs, in their order. */
@@ -14,13 +16,13 @@
 
 const MISDIRECTED = 421;
 const MIN_FAILURE_STATUS = 400;
-/** A client takes these as a promise that the request has not run and never will. */
+/** Clients take these as a promise that the request has not run and never will. */
 const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([408, MISDIRECTED, 429, 503]);
-/** Answers with these never have a body. */
+/** Responses with these have no body. */
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /**
- * Whether the answer bears this request's id, once or more often, and no other. Runners echo the id, so an answer
+ * Whether the response carries this request's id, once or more often, and no other. Runners echo the id, so a response
  * without one proves nothing about the request that waits for it.
  */
 export function isForRequest(head: ResponseHead, requestId: types.RequestId): boolean {
@@ -40,7 +42,7 @@
   return head.status >= 200 && head.status < 300;
 }
 
-/** A success counts only with its runner's seal, and only in the runner's own bytes: clients ask for no encoding. */
+/** Whether a success carries its runner's seal and no content encoding: clients request none, so an encoded body is not the runner's. */
 export function isSealed(head: ResponseHead): boolean {
   return head.headers.has(names.HEADER.seal) && !head.headers.has("content-encoding");
 }
@@ -55,7 +57,7 @@
   return NOT_EXECUTED_STATUSES.has(head.status);
 }
 
-/** Whether only the end of the connection tells the end of the body (RFC 9112, 6.3): neither a length nor chunks do. */
+/** Whether the body ends with the connection (RFC 9112, 6.3), since it has neither a length nor chunks. */
 export function isDelimitedByClose(head: ResponseHead, method: string): boolean {
   if (method === "HEAD" || BODILESS_STATUSES.has(head.status)) return false;
   return !head.headers.has("content-length") && head.headers.get("transfer-encoding")?.toLowerCase().includes("chunked") !== true;
--- a/src/router/route-request.ts
+++ b/src/router/route-request.ts
@@ -1,4 +1,4 @@
-// A request as the router holds it, and as a runner gets it (design 7.1).
+/** A request as the router routes it, and as a runner gets it (design 7.1). */
 import type * as nodeHttp from "node:http";
 import type * as attemptObserver from "../admission/attempt-observer.js";
 import * as routes from "../config/routes.js";
@@ -10,24 +10,24 @@
 import * as headerRules from "./header-rules.js";
 import * as promptParts from "../routing/prompt-parts.js";
 
-/** For clients that don't say how long they wait. */
+/** The time budget of clients that declare none. */
 const DEFAULT_BUDGET_MS = 60_000;
 const HASH_RANGE = 2 ** 32;
 
-/** One try of a client, read whole. */
+/** One request of a client, with its complete body. */
 export interface RouteRequest {
   requestId: types.RequestId;
   entry: routes.RouteEntry;
   /** Whose request it is; null where no key is needed. */
   tenant: tenant.Tenant | null;
   service: string;
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   rank: number;
   /** An item of a batch, sent by a control node. */
   isBatch: boolean;
   parts: promptParts.PromptPart[];
   prefixKeys: number[];
-  /** Both in ms of the steady clock. */
+  /** Milliseconds of the steady clock, as `deadline`. */
   arrivedAt: number;
   deadline: number;
   requestedTokens: promptParts.RequestedTokens;
@@ -38,18 +38,18 @@
   return typeof header === "string" ? header : (header?.[0] ?? "");
 }
 
-/** Empty when the client sent none. */
+/** The id that the client gave the request; empty where it gave none. */
 export function requestIdOf(incoming: nodeHttp.IncomingMessage): types.RequestId {
   return types.small(singleValue(incoming.headers[names.HEADER.requestId]));
 }
 
-/** How long a request may be held from its arrival: the least of the client's time and its route's, where the route is known. */
+/** How long after its arrival the request is due: the client's time budget or its route's deadline, whichever is shorter; milliseconds. */
 export function timeBudgetMs(incoming: nodeHttp.IncomingMessage, entry: routes.RouteEntry | null): number {
-  const asked = Number(singleValue(incoming.headers[names.HEADER.budgetMs]));
-  return Math.min(asked > 0 ? asked : DEFAULT_BUDGET_MS, entry?.route.deadline_ms ?? Infinity);
+  const requestedMs = Number(singleValue(incoming.headers[names.HEADER.budgetMs]));
+  return Math.min(requestedMs > 0 ? requestedMs : DEFAULT_BUDGET_MS, entry?.route.deadline_ms ?? Infinity);
 }
 
-/** What is known of a request once it was read whole. */
+/** What is known of a request once its body is complete. */
 export interface ReceivedRequest {
   requestId: types.RequestId;
   entry: routes.RouteEntry;
@@ -59,7 +59,7 @@
   isBatch: boolean;
 }
 
-/** The request of what was read. */
+/** Adds what the headers and the configuration say of the request. */
 export function buildRouteRequest(incoming: nodeHttp.IncomingMessage, received: ReceivedRequest): RouteRequest {
   const { requestId, entry, tenant, arrivedAt, isBatch } = received;
   const parts = promptParts.parsePromptParts(singleValue(incoming.headers[names.HEADER.prefix]));
@@ -78,21 +78,21 @@
 export function buildOutgoingRequest(
   request: RouteRequest,
   incoming: nodeHttp.IncomingMessage,
-  sending: Pick<headerRules.RouterHeaders, "target" | "budgetMs" | "lastEventId">,
-  ticket: attemptObserver.AttemptObserver,
+  routerHeaders: Pick<headerRules.RouterHeaders, "target" | "budgetMs" | "lastEventId">,
+  observer: attemptObserver.AttemptObserver,
 ): runnerAttempt.OutgoingRequest {
   const { method, url, rawHeaders, headers: parsed } = incoming;
   return {
     method: method ?? "GET",
     path: url ?? "/",
     headers: headerRules.buildRequestHeaders(rawHeaders, parsed.connection, {
-      ...sending,
+      ...routerHeaders,
       rank: request.rank,
       tenant: request.tenant?.name ?? null,
     }),
     body: request.body,
     requestId: request.requestId,
     isStream: request.entry.route.route_type === "streaming",
-    observer: ticket,
+    observer,
   };
 }
--- a/src/router/runner-attempt.ts
+++ b/src/router/runner-attempt.ts
@@ -1,5 +1,7 @@
-// One send to one runner. The point of no return is the send itself: only a reply that says so takes it
-// back (design 7.8).
+/**
+ * One attempt: the request sent to one runner over one connection (design 7.8). Once its first byte may have been sent the
+ * request counts as executed, unless the response says that it was not.
+ */
 import type * as undici from "undici";
 import type * as attemptObserver from "../admission/attempt-observer.js";
 import * as log from "../runtime/log.js";
@@ -10,23 +12,34 @@
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import * as idleTimeout from "../runners/idle-timeout.js";
 import type * as failureKind from "../runners/failure-kind.js";
+import type * as peerGroup from "../runners/peer-group.js";
 
 const CONNECT_TIMEOUT_MS = 450;
-/** After so many events the pace of a stream is known. */
+/** The gap between the chunks of a stream is averaged over so many. */
 const GAP_SAMPLE_CHUNKS = 6;
 
 /** How an attempt ended. */
 export type AttemptEnding =
-  | "not_sent" // no byte went out
-  | "handed_back" // the runner says that it did not run it
-  | "broken" // sent, and no whole reply: it may have run
+  | "not_sent" // no byte was sent
+  | "not_executed" // the runner says that it did not run the request
+  | "interrupted" // sent without a complete response: the request may have run
   | "complete";
 
-/** Hears of one attempt. */
+/** Each ending as admission learns from it. */
+const OBSERVED_OUTCOMES: Readonly<Record<AttemptEnding, attemptObserver.AttemptOutcome>> = {
+  not_sent: "not_run",
+  not_executed: "not_run",
+  interrupted: "stopped",
+  complete: "complete",
+};
+
+/** Is notified of the progress of one attempt. */
 export interface AttemptListener {
-  /** False: the head is not taken, and the attempt is over as broken. */
+  /** Returns false to refuse the response; the attempt then ends as `interrupted`. */
   onHead(attempt: Attempt, head: responseHead.ResponseHead): boolean;
+  /** Returns false to pause reading until `resume`. */
   onChunk(attempt: Attempt, chunk: Buffer): boolean;
+  /** Called exactly once; `head` is null where none was read. */
   onEnd(attempt: Attempt, ending: AttemptEnding, head: responseHead.ResponseHead | null): void;
 }
 
@@ -38,17 +51,18 @@
   body: Buffer | null;
   requestId: types.RequestId;
   isStream: boolean;
-  /** What was predicted of it; its reply teaches (design/admission 3). */
+  /** Compares the prediction with the response (design/admission 3). */
   observer: attemptObserver.AttemptObserver;
 }
 
-/** One send; reads the answer as the dispatcher hands it over. */
+/** One attempt; undici's dispatcher calls its `on` methods. */
 export class Attempt {
+  /** A byte may have been sent. */
   isSent = false;
   isOver = false;
+  /** When the last bytes arrived, or the attempt began; milliseconds of the steady clock. */
   receivedAt = 0;
-  head: responseHead.ResponseHead | null = null;
-  isForwarding = false;
+  private head: responseHead.ResponseHead | null = null;
   private connectTimer: types.Timer | null = null;
   private startedAt = 0;
   private prefillTokens = 0;
@@ -68,15 +82,15 @@
     private readonly request: OutgoingRequest,
   ) {}
 
-  /** `tokens`: of its prompt, those that the runner has to read. */
-  start(tokens = 0): void {
+  /** `prefillTokens`: of the prompt, those that the runner has not cached. */
+  start(prefillTokens = 0): void {
     this.isFirstUse = this.connection.isFresh;
-    if (this.isFirstUse) this.connectTimer = this.clock.schedule(CONNECT_TIMEOUT_MS, this.onConnectTimeout.bind(this));
+    if (this.isFirstUse) this.connectTimer = this.clock.schedule(CONNECT_TIMEOUT_MS, () => this.onConnectTimeout());
     this.runner.inflight += 1;
     this.receivedAt = this.startedAt = this.clock.now();
-    this.prefillTokens = tokens;
+    this.prefillTokens = prefillTokens;
     this.runner.outliers.recordSend(this.startedAt);
-    this.runner.awaitFirstByte(this, this.startedAt + this.runner.outliers.overdueMs(this.workKind(), tokens));
+    this.runner.awaitFirstByte(this, this.startedAt + this.runner.outliers.overdueMs(this.workKind(), prefillTokens));
     if (this.runner.inflight === 1) this.runner.busySince = this.receivedAt;
     const { method, path, headers, body } = this.request;
     try {
@@ -89,15 +103,15 @@
     }
   }
 
-  /** No connection came up: nothing was sent, and the request may go elsewhere. */
+  /** The connection was not established: nothing was sent, and the request may go to another runner. */
   private onConnectTimeout(): void {
     if (this.isSent || this.isOver) return;
     this.runner.recordFailure("unreached", this.clock.now());
     this.finish("not_sent", false);
   }
 
-  private workKind(): "start" | "reply" {
-    return this.request.isStream ? "start" : "reply";
+  private workKind(): peerGroup.WorkKind {
+    return this.request.isStream ? "stream_start" : "response";
   }
 
   onConnect(abort: (reason?: Error) => void): void {
@@ -116,9 +130,9 @@
     this.resumeRead = resume;
     const head = { status, raw, headers: http.headerMap(raw) };
     if (!responseHead.isForRequest(head, this.request.requestId)) {
-      // An answer too many, of an earlier request, or no runner's answer: nothing on this connection can be trusted.
+      // A surplus response, one to an earlier request, or none of a runner's: nothing on this connection can be trusted.
       log.count("router.foreign_answer");
-      this.discard("broken");
+      this.interrupt("interrupted");
       return true;
     }
     this.head = head;
@@ -126,31 +140,31 @@
       this.isNotExecuted = true;
       return true;
     }
-    this.isForwarding = this.listener.onHead(this, this.head);
-    if (!this.isForwarding) this.discard(this.failureKind() ?? "broken");
+    const isAccepted = this.listener.onHead(this, this.head);
+    if (!isAccepted) this.interrupt(this.failureKind() ?? "interrupted");
     return true;
   }
 
-  private discard(sign: failureKind.FailureKind): void {
-    this.runner.recordFailure(sign, this.clock.now());
-    this.finish("broken", false);
+  private interrupt(failure: failureKind.FailureKind): void {
+    this.runner.recordFailure(failure, this.clock.now());
+    this.finish("interrupted", false);
   }
 
-  /** A head alone proves nothing: a failure may follow, or be in it. */
+  /** Bytes arrived. This is no success yet: a failure may follow the head, or be in it. */
   private recordReceived(): void {
     this.receivedAt = this.clock.now();
     this.runner.recordReceived(this.receivedAt);
-    this.runner.firstByteArrived(this);
+    this.runner.recordFirstByte(this);
   }
 
   private failureKind(): failureKind.FailureKind | null {
     const status = this.head?.status ?? 0;
-    if (this.isNotExecuted) return status === 421 || status === 400 ? null : "shed";
+    if (this.isNotExecuted) return status === 421 || status === 400 ? null : "rejected";
     if (status < 500) return null;
     return status === 504 ? "late" : "error";
   }
 
-  /** Time to the first byte once, and between events once after some of them. */
+  /** Records the time to the first chunk of a success, and the mean gap of a stream once enough chunks have come. */
   private recordTimings(): void {
     const status = this.head?.status ?? 0;
     if (status < 200 || status >= 300) return;
@@ -158,21 +172,11 @@
     this.chunkCount += 1;
     if (this.chunkCount === 1) {
       this.firstChunkAt = receivedAt;
-      runner.outliers.recordDuration(
-        this.workKind(),
-        this.prefillTokens,
-        receivedAt - this.startedAt,
-        receivedAt,
-        runner.isLoaded(receivedAt),
-      );
+      const firstChunkMs = receivedAt - this.startedAt;
+      runner.outliers.recordDuration(this.workKind(), this.prefillTokens, firstChunkMs, receivedAt, runner.isLoaded(receivedAt));
     } else if (this.request.isStream && this.chunkCount === GAP_SAMPLE_CHUNKS + 1) {
-      runner.outliers.recordDuration(
-        "gap",
-        0,
-        (receivedAt - this.firstChunkAt) / GAP_SAMPLE_CHUNKS,
-        receivedAt,
-        runner.isLoaded(receivedAt),
-      );
+      const gapMs = (receivedAt - this.firstChunkAt) / GAP_SAMPLE_CHUNKS;
+      runner.outliers.recordDuration("gap", 0, gapMs, receivedAt, runner.isLoaded(receivedAt));
     }
   }
 
@@ -189,6 +193,7 @@
     return this.listener.onChunk(this, chunk);
   }
 
+  /** Reads on after `onChunk` returned false. */
   resume(): void {
     if (!this.isOver) this.resumeRead?.();
   }
@@ -200,11 +205,11 @@
       return;
     }
     this.recordOutcome();
-    const isLeaving = this.head?.headers.get("connection")?.toLowerCase().includes("close") === true;
-    this.finish(this.isNotExecuted ? "handed_back" : "complete", !isLeaving);
+    const isClosing = this.head?.headers.get("connection")?.toLowerCase().includes("close") === true;
+    this.finish(this.isNotExecuted ? "not_executed" : "complete", !isClosing);
   }
 
-  /** A body that ends with its connection is whole only if that ended in order (RFC 9112, 8). */
+  /** A body that ends with its connection is complete only if the connection was closed without an error (RFC 9112, 8). */
   private isTruncated(): boolean {
     return this.connection.hasFailed && this.head !== null && responseHead.isDelimitedByClose(this.head, this.request.method);
   }
@@ -219,28 +224,38 @@
   onError(cause?: { code?: unknown }): void {
     if (this.isOver) return;
     if (this.isSent && !this.head && idleTimeout.isConnectionReset(cause)) this.runner.connections.recordReset(this.connection);
-    const isStale = this.isSent && !this.isFirstUse && this.head === null;
-    const broken = isStale ? "stale" : "broken";
-    this.runner.recordFailure(this.isNotExecuted ? (this.failureKind() ?? "stale") : this.isSent ? broken : "refused", this.clock.now());
-    // A denial whose head was read stands, whatever became of the rest.
-    this.finish(this.isNotExecuted ? "handed_back" : this.isSent ? "broken" : "not_sent", false);
+    this.runner.recordFailure(this.errorKind(), this.clock.now());
+    // A head that says "not executed" counts, whatever became of the rest of the response.
+    this.finish(this.isNotExecuted ? "not_executed" : this.endingOfError(), false);
+  }
+
+  private errorKind(): failureKind.FailureKind {
+    if (this.isNotExecuted) return this.failureKind() ?? "stale";
+    if (!this.isSent) return "refused";
+    const isStale = !this.isFirstUse && this.head === null;
+    return isStale ? "stale" : "interrupted";
+  }
+
+  private endingOfError(): AttemptEnding {
+    return this.isSent ? "interrupted" : "not_sent";
   }
 
-  /** Gives the attempt up: what the runner does from now on reaches nobody. */
+  /** Gives the attempt up: nothing that the runner sends from now on is read. */
   cancel(): void {
-    this.finish(this.isSent ? "broken" : "not_sent", false);
+    this.finish(this.endingOfError(), false);
   }
 
-  private finish(ending: AttemptEnding, isClean: boolean): void {
+  /** `isReusable`: the connection is at the end of a response and may carry another request. */
+  private finish(ending: AttemptEnding, isReusable: boolean): void {
     if (this.isOver) return;
     this.isOver = true;
     this.connectTimer?.stop();
-    this.runner.firstByteArrived(this);
+    this.runner.recordFirstByte(this);
     this.runner.inflight -= 1;
-    this.request.observer.recordEnd(ending === "complete" ? "complete" : ending === "broken" ? "stopped" : "not_run");
+    this.request.observer.recordEnd(OBSERVED_OUTCOMES[ending]);
     if (this.isStreaming) this.runner.streamingCount -= 1;
-    if (!isClean) this.abortSend?.();
-    this.runner.connections.release(this.connection, isClean, this.head?.headers.get("keep-alive"));
+    if (!isReusable) this.abortSend?.();
+    this.runner.connections.release(this.connection, isReusable, this.head?.headers.get("keep-alive"));
     if (this.runner.status !== "ready") this.runner.connections.closeIdle();
     this.listener.onEnd(this, ending, this.head);
   }
--- a/src/router/runner-picker.ts
+++ b/src/router/runner-picker.ts
@@ -1,4 +1,4 @@
-// The fixed chain of policies and what it needs to send on: runner, connection, shares (design 7.2).
+/** Picks a runner and a connection for each attempt: the chain of policies, then the limits on retries, warm-up and connections (design 7.2). */
 import * as admissions from "../admission/admission.js";
 import * as recentRejections from "../admission/recent-rejections.js";
 import type * as attemptObserver from "../admission/attempt-observer.js";
@@ -19,14 +19,16 @@
 import type * as routeRequest from "./route-request.js";
 import type * as zoneRotation from "../runners/zone-rotation.js";
 
-/** Where a request goes, and by which connection. */
+/** Where an attempt goes, and over which connection. */
 export interface Pick {
   runner: runnerEndpoint.RunnerEndpoint;
   connection: connectionPool.Connection;
   observer: attemptObserver.AttemptObserver;
 }
 
+/** Connections to one runner that a router may open however many routers there are. */
 const MIN_CONNECTIONS = 2;
+/** A stream is silent after so many of its route's gaps, a response before its first byte after so many latency targets. */
 const SILENCE_TIMEOUT_GAPS = 0.75;
 const SILENCE_TIMEOUT_LATENCY_TARGETS = 1;
 const MIN_SILENCE_TIMEOUT_MS = 300;
@@ -37,7 +39,7 @@
   return Math.min(MAX_RETRY_S, Math.max(MIN_RETRY_S, seconds));
 }
 
-/** The chain of policies of one router. */
+/** One for each router. */
 export class RunnerPicker {
   private readonly policies: policyChain.Policy[];
   routeTable: routes.RouteTable | null = null;
@@ -51,42 +53,58 @@
     ownRegion: string,
     readonly prefills: prefillTracker.PrefillTracker,
   ) {
-    this.admission = new admissions.Admission(clock, { runners: fleet.inRegion.bind(fleet), prefill: prefills, routerCount: routers });
+    this.admission = new admissions.Admission(clock, {
+      runners: (region) => fleet.inRegion(region),
+      prefill: prefills,
+      routerCount: () => limits.routers,
+    });
     this.policies = [
       new homesPolicy.HomesPolicy(fleet, rotation),
       new cellPolicy.CellPolicy(ownRegion, fleet.summaries),
       new runnerPolicy.RunnerPolicy(prefills),
       new admissionPolicy.AdmissionPolicy(this.admission),
     ];
-    function routers(): number {
-      return limits.routers;
-    }
   }
 
-  /** Requests of clients earn further tries of their service; items of batches take and earn none. */
+  /** Requests of clients add to the retry budget of their service; items of batches neither add to it nor use it. */
   countRequest(request: routeRequest.RouteRequest): void {
     if (!request.isBatch) this.limits.countRequest(request.service);
   }
 
-  /** Runners that one try may be sent to. */
+  /** How many attempts a request may make, the first included. */
   maxAttempts(request: routeRequest.RouteRequest): number {
     return request.isBatch ? 1 : Math.max(1, request.entry.route.max_attempts ?? 1);
   }
 
-  /** How long a runner may be silent before a repeatable request leaves it. */
-  silenceTimeoutMs(entry: routes.RouteEntry, isPassing: boolean, runner: runnerEndpoint.RunnerEndpoint, now: number): number {
-    const { target_gap_ms: gap, target_latency_ms: aim } = entry.route;
-    const usual = isPassing ? (gap ?? 1000) * SILENCE_TIMEOUT_GAPS : (aim ?? 1000) * SILENCE_TIMEOUT_LATENCY_TARGETS;
-    // A runner that speaks to others is at work; one that is silent to all is not worth the wait.
-    if (runner.silentMs(now) < usual && runner.isReporting) return Math.max(2 * usual, 1500);
-    return Math.max(MIN_SILENCE_TIMEOUT_MS, usual);
+  /** How long a runner may be silent before a repeatable request leaves it; milliseconds. */
+  silenceTimeoutMs(entry: routes.RouteEntry, isForwarding: boolean, runner: runnerEndpoint.RunnerEndpoint, now: number): number {
+    const { target_gap_ms: gapMs, target_latency_ms: latencyTargetMs } = entry.route;
+    const typicalMs = isForwarding ? (gapMs ?? 1000) * SILENCE_TIMEOUT_GAPS : (latencyTargetMs ?? 1000) * SILENCE_TIMEOUT_LATENCY_TARGETS;
+    // A runner that sends to other requests is at work; one that is silent to all is left early.
+    if (runner.silentMs(now) < typicalMs && runner.isReporting) return Math.max(2 * typicalMs, 1500);
+    return Math.max(MIN_SILENCE_TIMEOUT_MS, typicalMs);
   }
 
-  pick(request: routeRequest.RouteRequest, tried: ReadonlySet<string>, sends: number): Pick | routePlan.Rejection {
-    const shared = request.parts.slice(0, -1);
+  /** `attemptedRunners`: of earlier attempts; `sendCount`: attempts that were sent: with one or more this is a retry, which needs budget. */
+  pick(request: routeRequest.RouteRequest, attemptedRunners: ReadonlySet<string>, sendCount: number): Pick | routePlan.Rejection {
+    const plan = this.buildPlan(request, attemptedRunners);
+    const rejection = policyChain.runPolicies(this.policies, plan);
+    if (rejection) return rejection;
+    const isRetry = sendCount > 0;
+    if (isRetry && !this.limits.takeRepeat(request.service)) {
+      log.count("router.budget_spent");
+      return { status: 503, cause: "the budget of further tries is spent", retryAfterS: 0.5 };
+    }
+    const pick = this.pickConnected(plan);
+    if (isRetry && "status" in pick) this.limits.returnRetry(request.service);
+    return pick;
+  }
+
+  private buildPlan(request: routeRequest.RouteRequest, attemptedRunners: ReadonlySet<string>): routePlan.RoutePlan {
+    const sharedParts = request.parts.slice(0, -1);
     let sharedTokens = 0;
-    for (const part of shared) sharedTokens += part.tokens;
-    const plan: routePlan.RoutePlan = {
+    for (const part of sharedParts) sharedTokens += part.tokens;
+    return {
       requestId: request.requestId,
       rank: request.rank,
       isBatch: request.isBatch,
@@ -95,9 +113,9 @@
       service: request.service,
       parts: request.parts,
       prefixKeys: request.prefixKeys,
-      sharedParts: shared,
+      sharedParts,
       sharedTokens,
-      attemptedRunners: tried,
+      attemptedRunners,
       now: this.clock.now(),
       deadline: request.deadline,
       requestedTokens: request.requestedTokens,
@@ -105,43 +123,36 @@
       cells: [],
       candidates: [],
     };
-    const rejection = policyChain.runPolicies(this.policies, plan);
-    if (rejection) return rejection;
-    if (sends > 0 && !this.limits.takeRepeat(request.service)) {
-      log.count("router.budget_spent");
-      return { status: 503, cause: "the budget of further tries is spent", retryAfterS: 0.5 };
-    }
-    const choice = this.pickConnected(plan);
-    if (sends > 0 && "status" in choice) this.limits.returnRetry(request.service);
-    return choice;
   }
 
-  /** A further try that was granted and never left is given back. */
-  giveBack(service: string): void {
+  /** The granted retry was never sent: its budget goes back. */
+  returnRetry(service: string): void {
     this.limits.returnRetry(service);
   }
 
-  /** When it is worth to come back: once the least pending of the candidates has read what it has ahead. */
+  /** When a rejected client may come back: once the candidate with the shortest prefill backlog has processed it; seconds. */
   private retryAfterS(plan: routePlan.RoutePlan): number {
-    let least = Infinity;
-    for (const runner of plan.candidates) least = Math.min(least, this.prefills.backlogMs(runner.id, plan.now));
-    return boundedRetryS(Number.isFinite(least) ? MIN_RETRY_S + least / 1000 : MIN_RETRY_S);
+    let shortestMs = Infinity;
+    for (const runner of plan.candidates) shortestMs = Math.min(shortestMs, this.prefills.backlogMs(runner.id, plan.now));
+    return boundedRetryS(Number.isFinite(shortestMs) ? MIN_RETRY_S + shortestMs / 1000 : MIN_RETRY_S);
   }
 
+  /** The first candidate that has a free connection and, while it warms up, a lease for one more request. */
   private pickConnected(plan: routePlan.RoutePlan): Pick | routePlan.Rejection {
     const service = this.routeTable?.services.get(plan.service);
-    const most = Math.max(MIN_CONNECTIONS, Math.floor((service?.max_connections ?? 1000) / this.limits.routers));
-    const perS = service?.warmup_per_s ?? 0;
-    let hasCold = false;
+    const maxConnections = Math.max(MIN_CONNECTIONS, Math.floor((service?.max_connections ?? 1000) / this.limits.routers));
+    const warmUpPerS = service?.warmup_per_s ?? 0;
+    let hasWarmingUp = false;
     for (const runner of plan.candidates) {
-      const isCold = perS > 0 && runner.isWarmingUp(plan.now);
-      hasCold ||= isCold;
-      if (isCold && !this.limits.takeCold(runner.id, perS)) continue;
-      const connection = runner.connections.acquire(most, plan.entry.isRepeatable);
+      const isWarmingUp = warmUpPerS > 0 && runner.isWarmingUp(plan.now);
+      hasWarmingUp ||= isWarmingUp;
+      if (isWarmingUp && !this.limits.takeCold(runner.id, warmUpPerS)) continue;
+      const connection = runner.connections.acquire(maxConnections, plan.entry.isRepeatable);
       if (connection) return { runner, connection, observer: this.admission.recordSend(plan, runner) };
     }
-    log.count(hasCold ? "router.all_cold" : "router.all_busy");
-    if (hasCold) return { status: 503, cause: "the runners are warming up", retryAfterS: boundedRetryS(this.limits.coldWaitS(perS)) };
+    log.count(hasWarmingUp ? "router.all_cold" : "router.all_busy");
+    if (hasWarmingUp)
+      return { status: 503, cause: "the runners are warming up", retryAfterS: boundedRetryS(this.limits.coldWaitS(warmUpPerS)) };
     return { status: 503, cause: "all runners are taken", retryAfterS: this.retryAfterS(plan) };
   }
 }
--- a/src/router/transaction-context.ts
+++ b/src/router/transaction-context.ts
@@ -1,7 +1,7 @@
-// What one transaction needs from around it (design 7.1).
+/** What one transaction needs of the router around it (design 7.1). */
 import type * as types from "../wire/types.js";
-import type * as runnerPicker from "./runner-picker.js";
 import type * as routeRequest from "./route-request.js";
+import type * as runnerPicker from "./runner-picker.js";
 
 /** Made once for each transaction. */
 export interface TransactionContext {
@@ -9,8 +9,8 @@
   picker: runnerPicker.RunnerPicker;
   /** Called once, when the transaction is done. */
   onFinished(): void;
-  /** A prompt is about to be read by this runner: the tokens that it has to read. The other routers learn of it. */
+  /** A request goes to this runner, and other routers are told of its prefill; returns the prompt's tokens that the runner has not cached. */
   recordSend(request: routeRequest.RouteRequest, runner: types.RunnerId): number;
-  /** Whether each answer is the last on its connection. */
+  /** Whether the router shuts down: each response is then the last on its connection. */
   readonly isDraining: () => boolean;
 }
--- a/src/router/transaction-state.ts
+++ b/src/router/transaction-state.ts
@@ -1,18 +1,22 @@
-// The states of a request in the router, and which may follow which (design 7.1).
+/** The states of a request in the router, and the transitions between them (design 7.1). */
 import * as tiny from "tiny-invariant";
 
-/** Of one request. */
-export type TransactionState = "reading" | "choosing" | "sent" | "passing" | "done";
-const MOVES = new Map<TransactionState, readonly TransactionState[]>([
-  ["reading", ["choosing", "done"]],
-  ["choosing", ["sent", "done"]],
-  ["sent", ["choosing", "passing", "done"]],
-  ["passing", ["choosing", "done"]],
+/**
+ * `receiving`: the body is not complete. `picking`: a runner is to be picked. `sent`: an attempt is under way, and
+ * nothing of its response has gone to the client. `forwarding`: the response goes to the client. `done`: final.
+ */
+export type TransactionState = "receiving" | "picking" | "sent" | "forwarding" | "done";
+
+const TRANSITIONS = new Map<TransactionState, readonly TransactionState[]>([
+  ["receiving", ["picking", "done"]],
+  ["picking", ["sent", "done"]],
+  ["sent", ["picking", "forwarding", "done"]],
+  ["forwarding", ["picking", "done"]],
   ["done", []],
 ]);
 
-/** The next state; throws where it may not follow. */
+/** Returns the next state; throws where the transition does not exist, which is a defect of the router. */
 export function transition(from: TransactionState, to: TransactionState): TransactionState {
-  tiny.default(MOVES.get(from)?.includes(to), `a transaction cannot move from ${from} to ${to}; report it with the log`);
+  tiny.default(TRANSITIONS.get(from)?.includes(to), `a transaction cannot move from ${from} to ${to}; report it with the log`);
   return to;
 }
--- a/src/runners/failure-kind.ts
+++ b/src/runners/failure-kind.ts
@@ -1,21 +1,22 @@
-// What may be seen of a runner by one request, and what it weighs (design/status 2).
-/** What may be seen of a request that went wrong; the weights are ours. */
+/** The kinds of failure that one request may show of its runner, and their weights (design/status 2). */
+
+/** What went wrong with one request. */
 export type FailureKind =
-  | "error" // a failure of the runner's own
-  | "broken" // sent, and broken off or spoiled
-  | "refused" // no connection, told at once
-  | "unreached" // no connection, in silence
-  | "silent" // nothing more came
-  | "stale" // a kept connection that the runner closed meanwhile
+  | "error" // the runner's own failure, by its status
+  | "interrupted" // sent, and the response is incomplete or invalid
+  | "refused" // the connection was refused
+  | "unreached" // the connection attempt timed out
+  | "silent" // nothing more arrived
+  | "stale" // a reused connection that the runner had closed meanwhile
   | "overdue" // no first byte for far longer than alike work takes
-  | "late" // its own failure at the deadline
-  | "slow" // several times slower than its siblings at alike work
-  | "shed"; // handed back although it is not full
+  | "late" // the runner's own time-out, by its status
+  | "slow" // several times slower than its peers at alike work
+  | "rejected"; // not executed, although the runner is not full
 
-/** How much each sign counts. */
+/** How much each counts; the weights are ours. */
 export const FAILURE_WEIGHTS = new Map<FailureKind, number>([
   ["error", 1],
-  ["broken", 1],
+  ["interrupted", 1],
   ["refused", 1],
   ["unreached", 1],
   ["silent", 1],
@@ -23,7 +24,8 @@
   ["overdue", 0.8],
   ["late", 0.5],
   ["slow", 0.7],
-  ["shed", 0.6],
+  ["rejected", 0.6],
 ]);
-/** These say nothing of a runner that has much to do. */
-export const LOAD_RELATED_FAILURES = new Set<FailureKind>(["silent", "overdue", "late", "slow", "shed"]);
+
+/** These prove nothing about a runner under load. */
+export const LOAD_RELATED_FAILURES = new Set<FailureKind>(["silent", "overdue", "late", "slow", "rejected"]);
--- a/src/runners/idle-timeout.ts
+++ b/src/runners/idle-timeout.ts
@@ -37,7 +37,7 @@
   /** A kept connection, idle for so long, was reset so soon after its next send, without a byte of reply. */
   recordReset(idleMs: number, resetAfterMs: number): void {
     if (idleMs < MIN_IDLE_MS || resetAfterMs > MAX_RESET_DELAY_MS) return;
-    log.count("runner.forgotten");
+    log.count("runner.idle_reset");
     const timeout = idleMs * LEARNED_FRACTION;
     if (timeout >= this.maxIdleMs()) return;
     this.learnedMs = timeout;
--- a/src/runners/outlier-detection.ts
+++ b/src/runners/outlier-detection.ts
@@ -35,7 +35,7 @@
 const MAX_PENALTY = 3;
 const NON_IDEMPOTENT_FACTOR = 2;
 const SLOW_FACTOR = 4;
-const MIN_SLOW_EXCESS_MS = { reply: 250, start: 250, gap: 60 } as const;
+const MIN_SLOW_EXCESS_MS = { response: 250, stream_start: 250, gap: 60 } as const;
 const OVERDUE_FACTOR = 4;
 const MIN_OVERDUE_MS = 700;
 
@@ -125,9 +125,9 @@
   }
 
   /** One sign of this router's own. Local ones are not told: the way may be at fault, and the way is ours alone. */
-  recordFailure(sign: failureKind.FailureKind, now: number, isLoaded: boolean, isLocal = false): void {
-    log.count(`runner.sign_${sign}`);
-    const weight = failureKind.LOAD_RELATED_FAILURES.has(sign) && isLoaded ? 0 : failureKind.FAILURE_WEIGHTS.get(sign)!;
+  recordFailure(failure: failureKind.FailureKind, now: number, isLoaded: boolean, isLocal = false): void {
+    log.count(`runner.failure_${failure}`);
+    const weight = failureKind.LOAD_RELATED_FAILURES.has(failure) && isLoaded ? 0 : failureKind.FAILURE_WEIGHTS.get(failure)!;
     if (weight === 0) return;
     // What breaks in one moment breaks of one cause.
     if (now - this.lastFailureAt < 1) return;
@@ -135,23 +135,23 @@
     this.samples.add(1, now);
     this.failures.add(Math.min(1, weight), now);
     this.ownScore.add(weight, now);
-    if (!failureKind.LOAD_RELATED_FAILURES.has(sign)) {
+    if (!failureKind.LOAD_RELATED_FAILURES.has(failure)) {
       // A silent way holds each request up for long: no trials there while the doubt is fresh.
-      this.failureStreak += sign === "unreached" ? 2 : 1;
+      this.failureStreak += failure === "unreached" ? 2 : 1;
       this.failingUntil = now + Math.min(MAX_FAILURE_BACKOFF_MS, FAILURE_BACKOFF_MS * this.failureStreak);
     }
     if (!isLocal) this.hasUnpublishedFailure = true;
-    this.addScore(weight, now, `${sign}, ${this.rateText(now)}`);
+    this.addScore(weight, now, `${failure}, ${this.rateText(now)}`);
   }
 
-  /** A sign of another router. */
+  /** A failure of another router. */
   recordRemoteReport(now: number): void {
     if (now - this.remoteReportsSince >= REPORT_WINDOW_MS) {
       this.remoteReportsSince = now;
       this.remoteReports = 0;
     }
     this.remoteReports += 1;
-    this.addScore(1, now, "told by others");
+    this.addScore(1, now, "reported by other routers");
   }
 
   private addScore(weight: number, now: number, why: string): void {
--- a/src/runners/peer-group.ts
+++ b/src/runners/peer-group.ts
@@ -14,7 +14,7 @@
 export const SCORE_HALF_LIFE_MS = 1500;
 
 /** What is timed: a whole reply, the begin of a stream, a pause in it. */
-export type WorkKind = "reply" | "start" | "gap";
+export type WorkKind = "response" | "stream_start" | "gap";
 
 /** A running median in the log domain: each sample moves it by one step, however far away it lies. */
 class MedianEstimator {
--- a/src/runners/runner-endpoint.ts
+++ b/src/runners/runner-endpoint.ts
@@ -92,7 +92,7 @@
     this.awaitingFirstByte.set(send, overdueAt);
   }
 
-  firstByteArrived(send: object): void {
+  recordFirstByte(send: object): void {
     this.awaitingFirstByte.delete(send);
   }
 
--- a/tests/sim/runners.ts
+++ b/tests/sim/runners.ts
@@ -185,7 +185,7 @@
         onChunk: () => true,
         onEnd: (_attempt, ending) => {
           tried.add(runner.id);
-          if ((ending === "not_sent" || ending === "handed_back" || (ending === "broken" && entry.isRepeatable)) && tried.size < 3)
+          if ((ending === "not_sent" || ending === "not_executed" || (ending === "interrupted" && entry.isRepeatable)) && tried.size < 3)
             this.send(from, type, id, tried);
         },
       },
