--- a/src/config/parts.ts
+++ b/src/config/parts.ts
@@ -1,7 +1,7 @@
 // The register's value in parts, as it is pushed to routers (design/parts 4): an item for each route, service
 // and other field, so that one changed route costs one item on the way and one parse at a router.
 import * as registerValue from "../register/register-value.js";
-import type * as mirrors from "../feed/mirror.js";
+import type * as feedReplica from "../feed/feed-replica.js";
 import * as tenant from "../tenants/tenant.js";
 import type * as schema from "../wire/schema.js";
 import type * as check from "./check.js";
@@ -116,7 +116,7 @@
   }
 
   /** Takes one epoch whole: all is parsed before anything is in force. */
-  take(applied: mirrors.Applied): void {
+  take(applied: feedReplica.AppliedChange): void {
     const parts = new Map<string, unknown>();
     for (const [key, body] of applied.changed) parts.set(key, JSON.parse(body.toString("utf8")));
     this.parsed += parts.size;
@@ -131,7 +131,7 @@
       else if (key === LIMITS) this.limits = part as check.Limits;
       else if (key === META) this.takeMeta(part as Meta);
     }
-    for (const key of applied.gone) {
+    for (const key of applied.removed) {
       if (key.startsWith(ROUTE)) amended.goneRoutes.push(key.slice(ROUTE.length));
       else if (key.startsWith(SERVICE)) amended.goneServices.push(key.slice(SERVICE.length));
       else if (key.startsWith(TENANT)) removed.push(key.slice(TENANT.length));
--- a/src/control/batches/batch-loads.ts
+++ b/src/control/batches/batch-loads.ts
@@ -8,7 +8,7 @@
 import type * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
 import type * as dialer from "../../feed/dialer.js";
-import type * as feeds from "../../feed/feed.js";
+import type * as feedPublisher from "../../feed/feed-publisher.js";
 import * as loads from "../../forecast/loads.js";
 import * as loadSummary from "../../load/load-summary.js";
 import type * as membership from "../members/membership.js";
@@ -36,7 +36,7 @@
 
   constructor(
     private readonly clock: types.Clock,
-    private readonly feed: Pick<feeds.Feed, "followersOf">,
+    private readonly feed: Pick<feedPublisher.FeedPublisher, "subscribersOf">,
     private readonly members: Pick<membership.Membership, "readyRouters">,
     private readonly dial: Pick<dialer.Dialer, "links">,
   ) {
@@ -62,7 +62,7 @@
 
   private async gather(spanMs: number): Promise<void> {
     this.isAsking = true;
-    const followers = new Set(this.feed.followersOf(loadSummary.SUMMARY_TOPIC));
+    const followers = new Set(this.feed.subscribersOf(loadSummary.SUMMARY_TOPIC));
     const asked: Promise<Heard | null>[] = [];
     for (const { node, link: to } of this.members.readyRouters()) if (followers.has(to)) asked.push(ask(node, to));
     const heard = await Promise.all(asked);
--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -7,6 +7,7 @@
 import type * as link from "../../wire/link.js";
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
+import type * as controlNode from "../../feed/control-node.js";
 import type * as dialer from "../../feed/dialer.js";
 import * as registerValue from "../../register/register-value.js";
 import * as files from "../../store/files.js";
@@ -88,7 +89,7 @@
     return new files.RealFolder(path.join(this.options.dataDir, FOLDER, "records"));
   }
 
-  private tell(control: dialer.Control): void {
+  private tell(control: controlNode.ControlNode): void {
     control.link.tell(calls.batchNode, { address: this.options.address, disk: this.core.disk });
   }
 
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -9,7 +9,7 @@
 import * as tables from "../../batch/table.js";
 import type * as worklist from "../../batch/worklist.js";
 import type * as dialer from "../../feed/dialer.js";
-import type * as feeds from "../../feed/feed.js";
+import type * as feedPublisher from "../../feed/feed-publisher.js";
 import * as errors from "../../runtime/errors.js";
 import * as log from "../../runtime/log.js";
 import type * as tree from "../../supervisor/tree.js";
@@ -37,7 +37,7 @@
   readonly seeds: string[];
   readonly dial: dialer.Dialer;
   readonly handlers: link.Handlers;
-  readonly feed: feeds.Feed;
+  readonly feed: feedPublisher.FeedPublisher;
   readonly members: membership.Membership;
   readonly cells: fleetObserver.FleetObserver;
   /** The newest chosen value of the configuration's register. */
--- a/src/control/channel.ts
+++ b/src/control/channel.ts
@@ -1,6 +1,6 @@
 /** By which calls the control nodes that share one register speak, and how they know each other's disks in it. */
 import * as calls from "../wire/calls.js";
-import type * as dialer from "../feed/dialer.js";
+import type * as controlNode from "../feed/control-node.js";
 
 /** One register's calls. Two registers of the same nodes have different calls, and disks of their own. */
 export interface Channel {
@@ -13,7 +13,7 @@
   readonly chosen: typeof calls.chosen;
   readonly ask: typeof calls.ask;
   /** The disk of a sibling; empty: not known yet, or none. */
-  diskOf(control: dialer.Control): string;
+  diskOf(control: controlNode.ControlNode): string;
 }
 
 /** The channel of the configuration's register: a sibling's hello names its disk. */
--- a/src/control/members/session-handlers.ts
+++ b/src/control/members/session-handlers.ts
@@ -27,18 +27,18 @@
   const { handlers, members, dial, replica, contact } = parts;
   handlers.on(calls.hello, (from, hello) => {
     members.openSession(hello.node, from);
-    if (hello.node.role === "control") dial.inReach(hello.node.address);
+    if (hello.node.role === "control") dial.dialWithoutBackoff(hello.node.address);
     return { node: parts.describe(), controls: parts.controls(), place: parts.feedIncarnation, isConfirmed: contact.isConfirmed() };
   });
   handlers.on(calls.beat, (from, heartbeat) => {
     members.receiveHeartbeat(from, heartbeat);
-    dial.heard(from, heartbeat);
+    dial.receiveHeartbeat(from, heartbeat);
     if (heartbeat.epoch > (replica.chosen?.epoch ?? types.NO_EPOCH)) void replica.catchUp(from, heartbeat.epoch);
     return null;
   });
   handlers.on(calls.sessions, (from, update) => {
     members.receiveRoster(from, update);
-    dial.learn(update.controls);
+    dial.addControls(update.controls);
     return null;
   });
   handlers.on(calls.whole, (from) => {
--- a/src/control/operator/operator-chain.ts
+++ b/src/control/operator/operator-chain.ts
@@ -1,6 +1,7 @@
 // What an operator's call passes at a control node: redirector, forwarder, and the calls themselves (design 6.2).
 import type * as link from "../../wire/link.js";
 import type * as types from "../../wire/types.js";
+import type * as controlNode from "../../feed/control-node.js";
 import type * as dialer from "../../feed/dialer.js";
 import type * as quorumContact from "../voters/quorum-contact.js";
 import type * as registerReplica from "../register-replica.js";
@@ -20,12 +21,12 @@
 /** Puts both before `calls`, which decides what reaches it. */
 export function chain(parts: OperatorParts, calls: serve.Reply): serve.Reply {
   const { clock: world, handlers, dial, core, contact } = parts;
-  function controls(): Iterable<dialer.Control> {
+  function controls(): Iterable<controlNode.ControlNode> {
     return dial.controls.values();
   }
   const forwarder = new orderForwarder.OrderForwarder(world, core, controls, calls);
   forwarder.register(handlers, contact);
   const redirector = new redirect.Redirector(world, contact, controls, forwarder.reply.bind(forwarder));
-  dial.on("beat", redirector.remember.bind(redirector));
+  dial.on("heartbeat", redirector.remember.bind(redirector));
   return redirector.reply.bind(redirector);
 }
--- a/src/control/operator/order-forwarder.ts
+++ b/src/control/operator/order-forwarder.ts
@@ -15,7 +15,7 @@
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
 import * as timers from "../../runtime/timers.js";
-import * as dialer from "../../feed/dialer.js";
+import * as controlNode from "../../feed/control-node.js";
 import type * as quorumContact from "../voters/quorum-contact.js";
 import type * as registerReplica from "../register-replica.js";
 import * as operatorPaths from "./operator-paths.js";
@@ -42,7 +42,7 @@
   constructor(
     private readonly clock: types.Clock,
     private readonly core: registerReplica.RegisterReplica,
-    private readonly controls: () => Iterable<dialer.Control>,
+    private readonly controls: () => Iterable<controlNode.ControlNode>,
     private readonly next: serve.Reply,
   ) {}
 
@@ -76,7 +76,7 @@
   }
 
   /** Null: this node proposes itself. */
-  private proposerOfAll(): dialer.Control | null {
+  private proposerOfAll(): controlNode.ControlNode | null {
     if (!this.core.isContended()) return null;
     const voters = [...(this.core.chosen?.voters ?? [])].sort(byAddress);
     for (const voter of voters) {
@@ -87,21 +87,21 @@
     return null;
   }
 
-  private controlOf(disk: string): dialer.Control | null {
+  private controlOf(disk: string): controlNode.ControlNode | null {
     for (const control of this.controls()) if (control.node.disk === disk) return control;
     return null;
   }
 
-  private isFit(control: dialer.Control): boolean {
-    const { beat } = control;
+  private isFit(control: controlNode.ControlNode): boolean {
+    const { heartbeat } = control;
     const now = this.clock.now();
-    if (!beat || !features.hasFeature(beat, features.FORWARDED_ORDERS)) return false;
-    if (!dialer.isHeardConfirmed(control, now) || dialer.isLeaving(control)) return false;
+    if (!heartbeat || !features.hasFeature(heartbeat, features.FORWARDED_ORDERS)) return false;
+    if (!controlNode.isAliveAndConfirmed(control, now) || controlNode.isDraining(control)) return false;
     return control.node.name !== this.avoided || now >= this.avoidedUntil;
   }
 
   /** Null where the other node decided nothing: the order may have been taken there, and is found so when it is proposed here. */
-  private async forward(proposer: dialer.Control, asked: serve.Asked): Promise<serve.Told | null> {
+  private async forward(proposer: controlNode.ControlNode, asked: serve.Asked): Promise<serve.Told | null> {
     log.count("operator.forwarded");
     const base = asked.headers[names.HEADER.base];
     const order = { path: asked.path, base: typeof base === "string" ? base : "", body: asked.body };
@@ -115,12 +115,12 @@
   }
 
   /** Resolves once the other node is heard no more, or the call has ended. */
-  private async silence(proposer: dialer.Control, call: Promise<unknown>): Promise<null> {
+  private async silence(proposer: controlNode.ControlNode, call: Promise<unknown>): Promise<null> {
     let isOver = false;
     void call.then(function end() {
       isOver = true;
     });
-    while (!isOver && dialer.isHeard(proposer, this.clock.now())) await timers.sleep(this.clock, LOOK_MS);
+    while (!isOver && controlNode.isAlive(proposer, this.clock.now())) await timers.sleep(this.clock, LOOK_MS);
     // A call that has ended tells for itself.
     if (isOver) await call;
     return null;
--- a/src/control/operator/redirect.ts
+++ b/src/control/operator/redirect.ts
@@ -2,7 +2,7 @@
 // (design/hardening/1-cut-off). Nothing is ever confirmed or refused by a minority.
 import type * as types from "../../wire/types.js";
 import * as log from "../../runtime/log.js";
-import * as dialer from "../../feed/dialer.js";
+import * as controlNode from "../../feed/control-node.js";
 import type * as quorumContact from "../voters/quorum-contact.js";
 import type * as serve from "../../wire/serve.js";
 
@@ -31,7 +31,7 @@
   constructor(
     private readonly clock: types.Clock,
     private readonly contact: quorumContact.QuorumContact,
-    private readonly controls: () => Iterable<dialer.Control>,
+    private readonly controls: () => Iterable<controlNode.ControlNode>,
     private readonly next: serve.Reply,
   ) {}
 
@@ -101,16 +101,16 @@
     if (this.remembered.size > MAX_REMEMBERED) this.remembered.delete(this.remembered.keys().next().value!);
   }
 
-  private isConfirmedNow(control: dialer.Control): boolean {
-    return dialer.isHeardConfirmed(control, this.clock.now()) && control.node.outside !== "";
+  private isConfirmedNow(control: controlNode.ControlNode): boolean {
+    return controlNode.isAliveAndConfirmed(control, this.clock.now()) && control.node.outside !== "";
   }
 
   /** The nearest one whose last beat said so lately; it sends nobody back here while this node isn't confirmed. */
   private confirmedPeer(): Destination | null {
-    let nearest: dialer.Control | null = null;
+    let nearest: controlNode.ControlNode | null = null;
     for (const control of this.controls()) {
       if (!this.isConfirmedNow(control)) continue;
-      if (!nearest || control.tripMs < nearest.tripMs) nearest = control;
+      if (!nearest || control.roundTripMs < nearest.roundTripMs) nearest = control;
     }
     return nearest && nearest.node;
   }
@@ -122,7 +122,7 @@
    */
   private rememberedPeer(): Destination | null {
     const heard = new Set<string>();
-    for (const control of this.controls()) if (dialer.isFresh(control, this.clock.now())) heard.add(control.node.name);
+    for (const control of this.controls()) if (controlNode.isFresh(control, this.clock.now())) heard.add(control.node.name);
     const candidates = [...this.remembered.values()].filter(isUnheard).reverse();
     function isUnheard(destination: Destination): boolean {
       return !heard.has(destination.name);
--- a/src/control/platform/endpoint-list.ts
+++ b/src/control/platform/endpoint-list.ts
@@ -2,14 +2,15 @@
  * The platform's endpoint list as control nodes keep and replicate it: one keyed item an instance, so that only changes
  * travel (design/parts 6).
  */
-import * as feeds from "../../feed/feed.js";
-import * as keyed from "../../feed/keyed.js";
+import type * as feedPublisher from "../../feed/feed-publisher.js";
+import * as feedTopics from "../../feed/feed-topics.js";
+import * as keyedItems from "../../feed/keyed-items.js";
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
 
 /** A remaining warm-up time that exceeds the expected one by less than this is no change. */
 const WARM_UP_TOLERANCE_MS = 400;
-const { NO_REGION } = feeds;
+const { NO_REGION } = feedTopics;
 
 interface Entry extends schema.Listed {
   readAt: types.SteadyMs;
@@ -29,7 +30,7 @@
 
 /** The endpoint list as keyed items with a digest over all of them. */
 export class EndpointList {
-  private readonly items = new keyed.Keyed();
+  private readonly items = new keyedItems.KeyedItems();
   private readonly entries = new Map<types.RunnerId, Entry>();
 
   /** The digest of all items: equal at nodes that hold the same list. */
@@ -45,7 +46,7 @@
   }
 
   /** Applies the complete list as just read from the platform, and returns what has changed. */
-  replaceAll(list: readonly schema.Instance[], now: types.SteadyMs): keyed.Plan {
+  replaceAll(list: readonly schema.Instance[], now: types.SteadyMs): keyedItems.ChangePlan {
     const changes = new Map<string, Buffer | null>();
     const listed = new Set<string>();
     for (const item of list) {
@@ -61,24 +62,24 @@
   }
 
   /** Applies a peer's update; null, and no change, when it builds on another state or its digest does not match. */
-  applyUpdate(change: schema.Change, now: types.SteadyMs): keyed.Plan | null {
+  applyUpdate(change: schema.Change, now: types.SteadyMs): keyedItems.ChangePlan | null {
     if (!change.isView && change.base !== this.items.digest) return null;
-    const changes = keyed.unpack(change);
-    const plan = change.isView ? this.items.planView(changes) : this.items.plan(changes);
+    const changes = keyedItems.unpackChanges(change);
+    const plan = change.isView ? this.items.planSnapshot(changes) : this.items.plan(changes);
     if (plan.digest !== change.digest) return null;
     this.apply(plan, now);
     return plan;
   }
 
-  private apply(plan: keyed.Plan, now: types.SteadyMs): void {
+  private apply(plan: keyedItems.ChangePlan, now: types.SteadyMs): void {
     this.items.apply(plan);
-    for (const id of plan.gone) this.entries.delete(types.small(id));
+    for (const id of plan.removed) this.entries.delete(types.small(id));
     for (const [id, body] of plan.changed) this.entries.set(types.small(id), { ...schema.listed.fromBuffer(body), readAt: now });
   }
 
   /** All items, for a peer that holds another list. */
-  snapshot(): ReturnType<typeof keyed.pack> {
-    return keyed.pack(this.items.bodies());
+  snapshot(): ReturnType<typeof keyedItems.packChanges> {
+    return keyedItems.packChanges(this.items.bodies());
   }
 }
 
@@ -93,7 +94,7 @@
 
   constructor(
     private readonly regionOfZone: ReadonlyMap<string, string>,
-    private readonly feed: feeds.Feed,
+    private readonly feed: feedPublisher.FeedPublisher,
   ) {
     for (const region of regionOfZone.values()) this.byRegion.set(region, new Map());
     this.byRegion.set(NO_REGION, new Map());
@@ -105,7 +106,7 @@
   }
 
   /** Applies a change of the list and publishes it in the topics of the regions that it touches. */
-  applyChange(plan: keyed.Plan, stamp: types.Stamp): void {
+  applyChange(plan: keyedItems.ChangePlan, stamp: types.Stamp): void {
     const changes = new Map<string, Map<string, Buffer | null>>();
     const addChange: AddChange = (region, id, body) => {
       const ofRegion = changes.get(region);
@@ -115,7 +116,7 @@
     // The first list publishes all topics, also those of regions without an instance.
     if (!this.isPublished) for (const region of this.byRegion.keys()) changes.set(region, new Map());
     this.isPublished = true;
-    for (const id of plan.gone) this.remove(id, addChange);
+    for (const id of plan.removed) this.remove(id, addChange);
     for (const [id, body] of plan.changed) {
       const { instance } = schema.listed.fromBuffer(body);
       const region = this.regionOfZone.get(instance.zone) ?? NO_REGION;
@@ -124,7 +125,7 @@
       this.byRegion.get(region)!.set(id, instance);
       addChange(region, id, body);
     }
-    for (const [region, ofRegion] of changes) this.feed.amend(feeds.listTopic(region), ofRegion, stamp);
+    for (const [region, ofRegion] of changes) this.feed.publishChanges(feedTopics.listTopic(region), ofRegion, stamp);
   }
 
   private remove(id: string, addChange: AddChange): void {
--- a/src/control/platform/endpoint-watcher.ts
+++ b/src/control/platform/endpoint-watcher.ts
@@ -6,8 +6,9 @@
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
 import * as log from "../../runtime/log.js";
+import type * as controlNode from "../../feed/control-node.js";
 import type * as dialer from "../../feed/dialer.js";
-import * as keyed from "../../feed/keyed.js";
+import * as keyedItems from "../../feed/keyed-items.js";
 import * as endpointList from "./endpoint-list.js";
 import * as platformClient from "./platform-client.js";
 
@@ -38,7 +39,7 @@
     ratePerS: number,
     private readonly dial: dialer.Dialer,
     private readonly rank: () => number,
-    private readonly onChange: (plan: keyed.Plan) => void,
+    private readonly onChange: (plan: keyedItems.ChangePlan) => void,
   ) {
     this.platform = new platformClient.PlatformClient(clock, address, ratePerS);
   }
@@ -79,23 +80,23 @@
     const base = this.endpoints.digest;
     const plan = this.endpoints.replaceAll(instances, this.clock.now());
     this.notifyChange(plan);
-    const change = this.makeChange(base, false, keyed.pack(keyed.changesOf(plan)));
+    const change = this.makeChange(base, false, keyedItems.packChanges(keyedItems.changesOf(plan)));
     for (const control of this.dial.controls.values()) void this.sendChange(control, change);
   }
 
   /** Sends also an empty change: it shows the peer that the list is being polled (design/parts 6). */
-  private async sendChange(control: dialer.Control, change: schema.Change): Promise<void> {
+  private async sendChange(control: controlNode.ControlNode, change: schema.Change): Promise<void> {
     const reply = await control.link.call(calls.instances, change, PEER_CALL_TIMEOUT_MS);
     if (!reply || reply.digest === change.digest) return;
     log.count("list.view");
     this.sendSnapshot(control);
   }
 
-  private sendSnapshot(control: dialer.Control): void {
-    control.link.tell(calls.instances, this.makeChange(keyed.EMPTY_DIGEST, true, this.endpoints.snapshot()));
+  private sendSnapshot(control: controlNode.ControlNode): void {
+    control.link.tell(calls.instances, this.makeChange(keyedItems.EMPTY_DIGEST, true, this.endpoints.snapshot()));
   }
 
-  private makeChange(base: types.Digest, isView: boolean, packed: ReturnType<typeof keyed.pack>): schema.Change {
+  private makeChange(base: types.Digest, isView: boolean, packed: ReturnType<typeof keyedItems.packChanges>): schema.Change {
     return {
       place: "",
       topic: "list",
@@ -109,7 +110,7 @@
   }
 
   /** A peer has connected: it is sent the list if this node polls it. */
-  sendSnapshotIfReader(control: dialer.Control): void {
+  sendSnapshotIfReader(control: controlNode.ControlNode): void {
     if (this.hasList && this.rank() === 0) this.sendSnapshot(control);
   }
 
@@ -123,9 +124,9 @@
     this.platform.close();
   }
 
-  private notifyChange(plan: keyed.Plan): void {
+  private notifyChange(plan: keyedItems.ChangePlan): void {
     const isFirst = !this.hasList;
     this.hasList = true;
-    if (isFirst || !keyed.isEmpty(plan)) this.onChange(plan);
+    if (isFirst || !keyedItems.isEmpty(plan)) this.onChange(plan);
   }
 }
--- a/src/control/platform/fleet-observer.ts
+++ b/src/control/platform/fleet-observer.ts
@@ -7,9 +7,11 @@
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
 import type * as settings from "../../settings/settings.js";
+import type * as controlNode from "../../feed/control-node.js";
 import type * as dialer from "../../feed/dialer.js";
-import * as feeds from "../../feed/feed.js";
-import type * as keyed from "../../feed/keyed.js";
+import type * as feedPublisher from "../../feed/feed-publisher.js";
+import * as feedTopics from "../../feed/feed-topics.js";
+import type * as keyedItems from "../../feed/keyed-items.js";
 import * as registerValue from "../../register/register-value.js";
 import type * as check from "../../config/check.js";
 import type * as registerReplica from "../register-replica.js";
@@ -38,7 +40,7 @@
     private readonly clock: types.Clock,
     private startup: settings.Settings,
     private readonly dial: dialer.Dialer,
-    private readonly feed: feeds.Feed,
+    private readonly feed: feedPublisher.FeedPublisher,
     register: registerReplica.RegisterReplica,
     private readonly members: membership.Membership,
     private readonly ownEligibility: () => singletonRole.Eligibility,
@@ -61,8 +63,8 @@
     );
     this.relay = new hintRelay.HintRelay(clock, this);
     register.on("chosen", (value: schema.Value) => this.applyConfiguration(value));
-    dial.on("up", (control: dialer.Control) => this.watcher.sendSnapshotIfReader(control));
-    dial.on("up", (control: dialer.Control) => this.sendReportSnapshots(control));
+    dial.on("up", (control: controlNode.ControlNode) => this.watcher.sendSnapshotIfReader(control));
+    dial.on("up", (control: controlNode.ControlNode) => this.sendReportSnapshots(control));
   }
 
   /** Registers the calls of peers and routers. */
@@ -91,16 +93,16 @@
 
   /** Routers that follow this control node; all of them subscribe to its summaries. */
   routerCount(): number {
-    return [...this.feed.followersOf(loadSummary.SUMMARY_TOPIC)].length;
+    return [...this.feed.subscribersOf(loadSummary.SUMMARY_TOPIC)].length;
   }
 
   /** Own routers that subscribe to the load reports of the region. */
   followersOf(region: string): Iterable<link.Link> {
-    return this.feed.followersOf(feeds.cellTopic(region));
+    return this.feed.subscribersOf(feedTopics.cellTopic(region));
   }
 
   /** A peer that has connected is sent all reports of the regions that this node polls. */
-  private sendReportSnapshots(control: dialer.Control): void {
+  private sendReportSnapshots(control: controlNode.ControlNode): void {
     for (const region of new Set(this.regionOfZone.values())) {
       if (this.orchestrator.isReader(region)) control.link.tell(calls.report, { region, reports: this.publisher.snapshot(region) });
     }
@@ -126,7 +128,7 @@
     for (const service of config?.services ?? []) if (service.runtime) this.reportingServices.add(service.name);
   }
 
-  private applyListChange(plan: keyed.Plan): void {
+  private applyListChange(plan: keyedItems.ChangePlan): void {
     this.endpoints.applyChange(plan, types.small(this.clock.now()));
     const instances = this.watcher.instances();
     const regions = new Map<types.RunnerId, string>();
--- a/src/control/platform/singleton-role.ts
+++ b/src/control/platform/singleton-role.ts
@@ -2,7 +2,7 @@
  * Singleton roles of the control plane: at any time one node polls the platform's endpoint list, and one the load
  * reports of each region. This module ranks the candidates (design/hardening/1-cut-off).
  */
-import * as dialer from "../../feed/dialer.js";
+import * as controlNode from "../../feed/control-node.js";
 
 /** The node is shutting down: it takes a role only when nobody else can. */
 export const DRAINING = 0;
@@ -21,9 +21,9 @@
 }
 
 /** The eligibility of another control node by the last heartbeat received from it. */
-export function eligibilityOf(control: dialer.Control): Eligibility {
-  if (dialer.isLeaving(control)) return DRAINING;
-  return dialer.isConfirmed(control) ? CONFIRMED : UNCONFIRMED;
+export function eligibilityOf(control: controlNode.ControlNode): Eligibility {
+  if (controlNode.isDraining(control)) return DRAINING;
+  return controlNode.isConfirmed(control) ? CONFIRMED : UNCONFIRMED;
 }
 
 /**
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -9,7 +9,8 @@
 import * as settings from "../settings/settings.js";
 import * as parts from "../config/parts.js";
 import * as dialer from "../feed/dialer.js";
-import * as feeds from "../feed/feed.js";
+import * as feedPublisher from "../feed/feed-publisher.js";
+import * as feedTopics from "../feed/feed-topics.js";
 import * as registerValue from "../register/register-value.js";
 import * as files from "../store/files.js";
 import * as owner from "../store/owner.js";
@@ -43,7 +44,7 @@
   private readonly handlers = new link.Handlers();
   private readonly dial: dialer.Dialer;
   private readonly members: membership.Membership;
-  private readonly feed: feeds.Feed;
+  private readonly feed: feedPublisher.FeedPublisher;
   private readonly core: registerReplica.RegisterReplica;
   private readonly contact: quorumContact.QuorumContact;
   private readonly cells: fleetObserver.FleetObserver;
@@ -64,9 +65,9 @@
     this.address = `${startup.ip_address}:${port}`;
     this.dial = new dialer.Dialer(clock, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
     this.members = new membership.Membership(clock, link.SILENT_MS, this.life);
-    this.feed = new feeds.Feed(this.life);
+    this.feed = new feedPublisher.FeedPublisher(this.life);
     const seeds = settings.innerSeeds(startup);
-    this.dial.know(seeds);
+    this.dial.addAddresses(seeds);
     const first = startup.bootstrap ? registerValue.initialValue(seeds) : registerValue.initialValue([]);
     this.core = new registerReplica.RegisterReplica(clock, { life: this.life, address: this.address, first }, this.dial);
     this.leases = new leaseServer.LeaseServer(clock, this.life, startup.bounds, this.core);
@@ -104,15 +105,24 @@
     core.registerHandlers(handlers);
     this.cells.registerHandlers(handlers);
     this.leases.registerHandlers(handlers, this.contact);
-    sessionHandlers.registerHandlers({ handlers, members, dial, replica: core, contact, describe, controls, feedIncarnation: feed.place });
+    sessionHandlers.registerHandlers({
+      handlers,
+      members,
+      dial,
+      replica: core,
+      contact,
+      describe,
+      controls,
+      feedIncarnation: feed.incarnation,
+    });
     dial.on("up", function met() {
       members.publishControls(controls());
     });
-    feed.register(handlers);
+    feed.registerHandlers(handlers);
     contact.on("confirmed", this.tell.bind(this));
     contact.on("lost", this.tell.bind(this));
     core.on("chosen", function chosen(value) {
-      feed.publish(feeds.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch));
+      feed.publishSnapshot(feedTopics.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch));
     });
   }
 
@@ -175,7 +185,7 @@
     const isSettled = this.contact.isConfirmed();
     const base = { isReady, epoch, isSettled, silentRegions: this.dial.silentRegions(), index: features.OWN_FEATURES };
     this.members.sendHeartbeats(base);
-    this.dial.tellAll({ ...base, members: 1 });
+    this.dial.sendHeartbeats({ ...base, members: 1 });
     this.members.publishRoster(this.describe(), this.dial.links(), this.controls());
   }
 
@@ -192,11 +202,11 @@
   /** This control node and those it has links to. */
   private controls(): schema.ControlInfo[] {
     const { node_name: name, zone, region } = this.startup;
-    return [{ address: this.address, name, zone, region }, ...this.dial.met()];
+    return [{ address: this.address, name, zone, region }, ...this.dial.connectedControls()];
   }
 
   private turn(): void {
-    this.dial.turn();
+    this.dial.maintainLinks();
     this.members.expireSilent();
     this.core.runPeriodically();
     this.contact.runPeriodically();
@@ -214,7 +224,7 @@
   /** Settings read again: seeds, bounds and the platform's address take effect; addresses of its own do not. */
   resettle(startup: settings.Settings): void {
     this.startup = startup;
-    this.dial.know(settings.innerSeeds(startup));
+    this.dial.addAddresses(settings.innerSeeds(startup));
     this.cells.applySettings(startup);
     this.leases.updateSettings(startup.bounds);
     log.state("settings: read again");
@@ -242,7 +252,7 @@
     this.tallies.leave();
     this.tell();
     await Promise.all([timers.sleep(this.clock, LEAVE_MS), this.voterManager.handOver(HAND_OVER_MS), this.batches?.handOver(HAND_OVER_MS)]);
-    this.dial.end();
+    this.dial.close();
     this.members.closeSessions();
     await this.root.stop();
     this.cells.stop();
--- a/src/control/register-replica.ts
+++ b/src/control/register-replica.ts
@@ -85,7 +85,7 @@
     this.voter = voter;
     if (voter.accepted) {
       this.proposer.learnAccepted(voter.accepted.value);
-      this.dial.know(addressesOf(voter.accepted.value));
+      this.dial.addAddresses(addressesOf(voter.accepted.value));
     }
   }
 
@@ -182,7 +182,7 @@
     this.chosen = value;
     this.isConfirmed = true;
     this.proposer.learnChosen(value);
-    this.dial.know(addressesOf(value));
+    this.dial.addAddresses(addressesOf(value));
     if (isNewSet || this.channel.logsEpochs)
       log.state(`${this.channel.name}: epoch ${value.epoch}, revision ${value.revision}, ${value.voters.length} voters`);
     this.emit("chosen", value);
--- a/src/control/voters/quorum-contact.ts
+++ b/src/control/voters/quorum-contact.ts
@@ -8,6 +8,7 @@
 import type * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
 import * as log from "../../runtime/log.js";
+import type * as controlNode from "../../feed/control-node.js";
 import type * as dialer from "../../feed/dialer.js";
 import * as quorumConfirmation from "../../register/quorum-confirmation.js";
 import type * as registerReplica from "../register-replica.js";
@@ -93,7 +94,7 @@
     else this.requestConfirmations();
   }
 
-  private requestConfirmation(control: dialer.Control): void {
+  private requestConfirmation(control: controlNode.ControlNode): void {
     const sentAt = this.clock.now();
     const voterEpoch = this.replica.chosen?.voterEpoch ?? types.NO_EPOCH;
     void control.link
@@ -101,7 +102,12 @@
       .then((reply) => reply && this.recordReply(control, voterEpoch, sentAt, reply));
   }
 
-  private recordReply(control: dialer.Control, voterEpoch: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
+  private recordReply(
+    control: controlNode.ControlNode,
+    voterEpoch: types.Epoch,
+    sentAt: types.SteadyMs,
+    reply: leaseSchema.FenceReply,
+  ): void {
     this.confirmation.recordAnswer(reply.disk, { sentAt, epoch: types.laterEpoch(reply.acceptedEpoch, reply.chosenEpoch) });
     this.onReply(voterEpoch, sentAt, reply);
     if (reply.chosenEpoch > (this.replica.chosen?.epoch ?? types.NO_EPOCH)) void this.replica.catchUp(control.link, reply.chosenEpoch);
--- a/src/feed/mirror.ts
+++ b/src/feed/feed-replica.ts
@@ -6,32 +6,32 @@
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
-import type * as feeds from "./feed.js";
-import * as keyed from "./keyed.js";
+import type * as feedPublisher from "./feed-publisher.js";
+import * as keyedItems from "./keyed-items.js";
 
 /** A change that was taken. */
-export interface Applied {
+export interface AppliedChange {
   kind: "applied";
   topic: string;
   stamp: types.Stamp;
   changed: ReadonlyMap<string, Buffer>;
-  gone: readonly string[];
+  removed: readonly string[];
   isFirst: boolean;
 }
 
 /** What became of a change. */
-export type Outcome = Applied | { kind: "known" | "stale" | "gap" | "mismatch" };
+export type Outcome = AppliedChange | { kind: "known" | "stale" | "gap" | "mismatch" };
 
-interface Held {
-  items: keyed.Keyed;
-  place: string;
-  number: number;
+interface TopicState {
+  items: keyedItems.KeyedItems;
+  incarnation: string;
+  offset: number;
   stamp: types.Stamp;
 }
 
 /** A follower's copy of its topics. */
-export class Mirror {
-  private readonly topics = new Map<string, Held>();
+export class FeedReplica {
+  private readonly topics = new Map<string, TopicState>();
 
   /** `ordered`: topics whose stamps mean the same at every source; these never go back. */
   constructor(private readonly ordered: ReadonlySet<string>) {}
@@ -45,7 +45,7 @@
   }
 
   digest(topic: string): types.Digest {
-    return this.topics.get(topic)?.items.digest ?? keyed.EMPTY_DIGEST;
+    return this.topics.get(topic)?.items.digest ?? keyedItems.EMPTY_DIGEST;
   }
 
   body(topic: string, key: string): Buffer | undefined {
@@ -57,63 +57,63 @@
   }
 
   /** Place of the last change; a source only believes numbers of its own place. */
-  place(topic: string): string {
-    return this.topics.get(topic)?.place ?? "";
+  incarnation(topic: string): string {
+    return this.topics.get(topic)?.incarnation ?? "";
   }
 
-  wanted(topic: string, mode: feeds.Mode, place: string): schema.Wanted {
+  subscription(topic: string, mode: feedPublisher.SubscriptionMode, place: string): schema.Wanted {
     const held = this.topics.get(topic);
-    return { topic, mode, from: held && held.place === place ? held.number : 0, digest: this.digest(topic) };
+    return { topic, mode, from: held && held.incarnation === place ? held.offset : 0, digest: this.digest(topic) };
   }
 
-  wantedView(topic: string, mode: feeds.Mode): schema.Wanted {
+  snapshotSubscription(topic: string, mode: feedPublisher.SubscriptionMode): schema.Wanted {
     return { topic, mode, from: 0, digest: types.small("") };
   }
 
   /** The keys of what was held. */
-  forget(topic: string): string[] {
+  remove(topic: string): string[] {
     const keys = [...(this.topics.get(topic)?.items.keys() ?? [])];
     this.topics.delete(topic);
     return keys;
   }
 
-  take(change: schema.Change): Outcome {
+  applyChange(change: schema.Change): Outcome {
     const held = this.topics.get(change.topic);
     const isOrdered = this.ordered.has(change.topic);
-    const items = held?.items ?? new keyed.Keyed();
-    if (held && change.digest === items.digest) return this.keepUp(held, change, isOrdered);
+    const items = held?.items ?? new keyedItems.KeyedItems();
+    if (held && change.digest === items.digest) return this.updateStamp(held, change, isOrdered);
     if (held && isOrdered && change.stamp <= held.stamp) return { kind: "stale" };
-    if (!change.isView && change.base !== items.digest) return this.refuse("gap");
-    const plan = this.read(items, change);
-    if (plan?.digest !== change.digest) return this.refuse("mismatch");
+    if (!change.isView && change.base !== items.digest) return this.reject("gap");
+    const plan = this.planChange(items, change);
+    if (plan?.digest !== change.digest) return this.reject("mismatch");
     items.apply(plan);
-    this.topics.set(change.topic, { items, place: change.place, number: change.number, stamp: change.stamp });
-    return { kind: "applied", topic: change.topic, stamp: change.stamp, changed: plan.changed, gone: plan.gone, isFirst: !held };
+    this.topics.set(change.topic, { items, incarnation: change.place, offset: change.number, stamp: change.stamp });
+    return { kind: "applied", topic: change.topic, stamp: change.stamp, changed: plan.changed, removed: plan.removed, isFirst: !held };
   }
 
   /** The same items: the stamp may have moved on, or another source may have caught up. */
-  private keepUp(held: Held, change: schema.Change, isOrdered: boolean): Outcome {
+  private updateStamp(held: TopicState, change: schema.Change, isOrdered: boolean): Outcome {
     const isNews = change.stamp > held.stamp;
     if (isNews || !isOrdered) {
       held.stamp = change.stamp;
-      held.place = change.place;
-      held.number = change.number;
+      held.incarnation = change.place;
+      held.offset = change.number;
     }
     return isNews && isOrdered
-      ? { kind: "applied", topic: change.topic, stamp: change.stamp, changed: new Map(), gone: [], isFirst: false }
+      ? { kind: "applied", topic: change.topic, stamp: change.stamp, changed: new Map(), removed: [], isFirst: false }
       : { kind: "known" };
   }
 
-  private read(items: keyed.Keyed, change: schema.Change): keyed.Plan | null {
+  private planChange(items: keyedItems.KeyedItems, change: schema.Change): keyedItems.ChangePlan | null {
     try {
-      const changes = keyed.unpack(change);
-      return change.isView ? items.planView(changes) : items.plan(changes);
+      const changes = keyedItems.unpackChanges(change);
+      return change.isView ? items.planSnapshot(changes) : items.plan(changes);
     } catch {
       return null;
     }
   }
 
-  private refuse(kind: "gap" | "mismatch"): Outcome {
+  private reject(kind: "gap" | "mismatch"): Outcome {
     log.count(`feed.${kind}`);
     return { kind };
   }
--- a/src/feed/keyed.ts
+++ b/src/feed/keyed-items.ts
@@ -2,10 +2,10 @@
 import * as zlib from "node:zlib";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as digest from "./digest.js";
+import * as itemHash from "./item-hash.js";
 
-const PACK_BYTES = 2048;
-const PACK_LEVEL = 4;
+const MIN_COMPRESSED_BYTES = 2048;
+const COMPRESSION_LEVEL = 4;
 
 interface Item {
   body: Buffer;
@@ -17,32 +17,32 @@
 export type Changes = ReadonlyMap<string, Buffer | null>;
 
 /** What a set of changes comes to; nothing is in force before `apply`. */
-export interface Plan {
+export interface ChangePlan {
   changed: Map<string, Buffer>;
-  gone: string[];
+  removed: string[];
   digest: types.Digest;
   items: Map<string, Item>;
   high: number;
   low: number;
 }
 
-function itemOf(key: string, body: Buffer): Item {
-  const [high, low] = digest.hash(key, body);
+function makeItem(key: string, body: Buffer): Item {
+  const [high, low] = itemHash.hashItem(key, body);
   // A copy of its own: a body kept for long must not hold on to the large buffer it was cut from.
   const kept = Buffer.allocUnsafeSlow(body.length);
   body.copy(kept);
   return { body: kept, high, low };
 }
 
-function textOf(high: number, low: number): types.Digest {
+function formatDigest(high: number, low: number): types.Digest {
   return types.small(high.toString(16).padStart(8, "0") + low.toString(16).padStart(8, "0"));
 }
 
 /** Of no items. */
-export const EMPTY_DIGEST = textOf(0, 0);
+export const EMPTY_DIGEST = formatDigest(0, 0);
 
 /** Items by key, with their digest kept up to date. */
-export class Keyed {
+export class KeyedItems {
   private readonly items = new Map<string, Item>();
   private high = 0;
   private low = 0;
@@ -67,8 +67,8 @@
   }
 
   /** The sums of all items' hashes, each half modulo 2^32: order-free, and only changed items are hashed. */
-  plan(changes: Changes): Plan {
-    const plan: Plan = { changed: new Map(), gone: [], digest: this.digest, items: new Map(), high: this.high, low: this.low };
+  plan(changes: Changes): ChangePlan {
+    const plan: ChangePlan = { changed: new Map(), removed: [], digest: this.digest, items: new Map(), high: this.high, low: this.low };
     for (const [key, body] of changes) {
       const before = this.items.get(key);
       if (body === null ? !before : before?.body.equals(body)) continue;
@@ -77,28 +77,28 @@
         plan.low = (plan.low - before.low) >>> 0;
       }
       if (body === null) {
-        plan.gone.push(key);
+        plan.removed.push(key);
         continue;
       }
-      const item = itemOf(key, body);
+      const item = makeItem(key, body);
       plan.high = (plan.high + item.high) >>> 0;
       plan.low = (plan.low + item.low) >>> 0;
       plan.items.set(key, item);
       plan.changed.set(key, body);
     }
-    plan.digest = textOf(plan.high, plan.low);
+    plan.digest = formatDigest(plan.high, plan.low);
     return plan;
   }
 
   /** As `plan`, for a view: what it does not hold is gone. */
-  planView(whole: Changes): Plan {
+  planSnapshot(whole: Changes): ChangePlan {
     const changes = new Map<string, Buffer | null>(whole);
     for (const key of this.items.keys()) if (!changes.has(key)) changes.set(key, null);
     return this.plan(changes);
   }
 
-  apply(plan: Plan): void {
-    for (const key of plan.gone) this.items.delete(key);
+  apply(plan: ChangePlan): void {
+    for (const key of plan.removed) this.items.delete(key);
     for (const [key, item] of plan.items) this.items.set(key, item);
     this.high = plan.high;
     this.low = plan.low;
@@ -107,21 +107,21 @@
 }
 
 /** Whether a plan changes nothing. */
-export function isEmpty(plan: Plan): boolean {
-  return plan.changed.size === 0 && plan.gone.length === 0;
+export function isEmpty(plan: ChangePlan): boolean {
+  return plan.changed.size === 0 && plan.removed.length === 0;
 }
 
 /** Items as they travel: packed where that is worth it. */
-export function pack(changes: Changes): { isPacked: boolean; items: Buffer } {
+export function packChanges(changes: Changes): { isPacked: boolean; items: Buffer } {
   const items: schema.Item[] = [];
   for (const [key, body] of changes) items.push({ key, body });
   const plain = schema.items.toBuffer({ items });
-  if (plain.length < PACK_BYTES) return { isPacked: false, items: plain };
-  return { isPacked: true, items: zlib.deflateRawSync(plain, { level: PACK_LEVEL }) };
+  if (plain.length < MIN_COMPRESSED_BYTES) return { isPacked: false, items: plain };
+  return { isPacked: true, items: zlib.deflateRawSync(plain, { level: COMPRESSION_LEVEL }) };
 }
 
 /** The changes of a frame; null: the item is gone. */
-export function unpack(change: schema.Change): Map<string, Buffer | null> {
+export function unpackChanges(change: schema.Change): Map<string, Buffer | null> {
   const { items } = schema.items.fromBuffer(change.isPacked ? zlib.inflateRawSync(change.items) : change.items);
   const changes = new Map<string, Buffer | null>();
   for (const { key, body } of items) changes.set(key, body);
@@ -129,8 +129,8 @@
 }
 
 /** The changes of a plan, ready to travel. */
-export function changesOf(plan: Plan): Map<string, Buffer | null> {
+export function changesOf(plan: ChangePlan): Map<string, Buffer | null> {
   const changes = new Map<string, Buffer | null>(plan.changed);
-  for (const key of plan.gone) changes.set(key, null);
+  for (const key of plan.removed) changes.set(key, null);
   return changes;
 }
--- a/src/feed/session-selector.ts
+++ b/src/feed/session-selector.ts
@@ -2,30 +2,30 @@
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
 import * as shares from "../limits/shares.js";
-import type * as controlLink from "./control-link.js";
+import type * as controlNode from "./control-node.js";
 
 /** Control nodes that a router holds sessions with. */
 export const MAX_SESSIONS = 3;
 /** Fewer than these left: a replacement is dialled at once. */
-const ENOUGH = 2;
-const REPLACE_MS = 600;
-const MOVE_MS = 4000;
-const RELEASE_MS = 1000;
-const FRESH_MS = 1200;
+const MIN_SESSIONS = 2;
+const MAX_REPLACE_DELAY_MS = 600;
+const MAX_REBALANCE_DELAY_MS = 4000;
+const MIN_RELEASE_DELAY_MS = 1000;
+const SILENCE_TIMEOUT_MS = 1200;
 /** A turn so late says that this process stood still, not that others are silent. */
-const LATE_MS = 400;
+const LATE_PLAN_MS = 400;
 /** A dial that takes longer is not waited for: another is tried beside it. */
-const SLOW_MS = 500;
+const SLOW_DIAL_MS = 500;
 /** At the start no regions are known: seeds are tried one after the other, so long apart, until one replies. */
-const STAGGER_MS = 150;
+const SEED_INTERVAL_MS = 150;
 
 const NOT_DUE = 0;
-const TO_MOVE = 1;
+const TO_REBALANCE = 1;
 const TO_REPLACE = 2;
 const AT_ONCE = 3;
 
 /** Where a control node stands. */
-export interface Place {
+export interface Candidate {
   address: string;
   /** "" when not met yet. */
   region: string;
@@ -38,7 +38,7 @@
 }
 
 /** Weighted rendezvous: the place with the highest score; each gets its part by weight (design/members 2). */
-function scoreOf(self: Self, place: Place, weight: number): number {
+function scoreOf(self: Self, place: Candidate, weight: number): number {
   const part = (shares.hash(`${self.name}\n${place.address}`) + 0.5) / 2 ** 32;
   return -weight / Math.log(part);
 }
@@ -47,7 +47,7 @@
  * The own region's best, the best of another region, then the best of the rest, up to MAX_SESSIONS. Weights come from all that
  * are known, usable or not: one that is lost then moves nobody but those that held it.
  */
-export function choose(places: readonly Place[], self: Self, known: readonly Place[] = places): Set<string> {
+export function chooseControls(places: readonly Candidate[], self: Self, known: readonly Candidate[] = places): Set<string> {
   const ranked = rank(places, self, known);
   const chosen = new Set<string>();
   const own = ranked.find(isOwn);
@@ -56,25 +56,25 @@
   if (other) chosen.add(other.address);
   for (const { address } of ranked) if (chosen.size < MAX_SESSIONS) chosen.add(address);
   return chosen;
-  function isOwn(place: Place): boolean {
+  function isOwn(place: Candidate): boolean {
     return place.region === self.region;
   }
-  function isOther(place: Place): boolean {
+  function isOther(place: Candidate): boolean {
     return place.region !== self.region && place.region !== "";
   }
 }
 
 /** All routers of a region hold its control nodes: those of small regions get less from routers of elsewhere. */
-function rank(places: readonly Place[], self: Self, known: readonly Place[]): Place[] {
+function rank(places: readonly Candidate[], self: Self, known: readonly Candidate[]): Candidate[] {
   const counts = new Map<string, number>();
   for (const { region } of known) counts.set(region, (counts.get(region) ?? 0) + 1);
   const isWeighed = counts.has(self.region);
-  const scores = new Map<Place, number>();
+  const scores = new Map<Candidate, number>();
   for (const place of places) {
     scores.set(place, scoreOf(self, place, isWeighed && place.region !== "" ? counts.get(place.region)! : 1));
   }
   return [...places].sort(byScore);
-  function byScore(left: Place, right: Place): number {
+  function byScore(left: Candidate, right: Candidate): number {
     return scores.get(right)! - scores.get(left)!;
   }
 }
@@ -85,7 +85,7 @@
   private plannedAt = -Infinity;
   private startedAt = -1;
   /** Enough good ones are held: what else is known may wait. */
-  hasEnough = false;
+  hasEnoughSessions = false;
 
   constructor(
     private readonly clock: types.Clock,
@@ -93,38 +93,38 @@
   ) {}
 
   /** One that says it is not settled, or is silent, does not count toward its sessions. */
-  private isGood(control: controlLink.Control, isLate: boolean): boolean {
-    return this.isHeard(control, isLate) && (!control.beat || control.beat.isSettled);
+  private isUsable(control: controlNode.ControlNode, isLate: boolean): boolean {
+    return this.isResponsive(control, isLate) && (!control.heartbeat || control.heartbeat.isSettled);
   }
 
-  private isHeard(control: controlLink.Control, isLate: boolean): boolean {
-    return control.link.isOpen && (isLate || control.link.silentMs() < FRESH_MS);
+  private isResponsive(control: controlNode.ControlNode, isLate: boolean): boolean {
+    return control.link.isOpen && (isLate || control.link.silentMs() < SILENCE_TIMEOUT_MS);
   }
 
   /** Sets when each target is due to be dialled; releases those that are held beyond what it needs. */
-  plan(targets: ReadonlyMap<string, controlLink.Target>, controls: ReadonlyMap<string, controlLink.Control>): void {
+  planDials(targets: ReadonlyMap<string, controlNode.DialTarget>, controls: ReadonlyMap<string, controlNode.ControlNode>): void {
     const now = this.clock.now();
-    const isLate = now - this.plannedAt > LATE_MS;
+    const isLate = now - this.plannedAt > LATE_PLAN_MS;
     this.plannedAt = now;
-    const all: Place[] = [];
-    const counted: Place[] = [];
+    const all: Candidate[] = [];
+    const counted: Candidate[] = [];
     let good = 0;
     for (const [address, target] of targets) {
       const control = controls.get(address);
       const place = { address, region: target.region };
       all.push(place);
-      if (control && this.isGood(control, isLate)) good += 1;
-      if (control ? this.isGood(control, isLate) : isFresh(target, now)) counted.push(place);
+      if (control && this.isUsable(control, isLate)) good += 1;
+      if (control ? this.isUsable(control, isLate) : isFresh(target, now)) counted.push(place);
     }
-    if (!all.some(isMet)) {
-      this.start(all, targets);
+    if (!all.some(hasKnownRegion)) {
+      this.planFirstDials(all, targets);
       return;
     }
-    const goal = choose(counted, this.self, all);
+    const goal = chooseControls(counted, this.self, all);
     const isShort = goal.size < Math.min(MAX_SESSIONS, all.length);
-    const ideal = choose(all, this.self);
-    this.hasEnough = good >= MAX_SESSIONS;
-    const urgency = good < ENOUGH ? AT_ONCE : good < MAX_SESSIONS ? TO_REPLACE : TO_MOVE;
+    const ideal = chooseControls(all, this.self);
+    this.hasEnoughSessions = good >= MAX_SESSIONS;
+    const urgency = good < MIN_SESSIONS ? AT_ONCE : good < MAX_SESSIONS ? TO_REPLACE : TO_REBALANCE;
     for (const [address, target] of targets) {
       const isWanted = isShort || goal.has(address) || ideal.has(address);
       if (target.state === "idle") this.setDue(target, isWanted ? urgency : NOT_DUE);
@@ -133,55 +133,55 @@
   }
 
   /** Nobody was met yet: whoever replies first tells of all the others. */
-  private start(all: readonly Place[], targets: ReadonlyMap<string, controlLink.Target>): void {
+  private planFirstDials(all: readonly Candidate[], targets: ReadonlyMap<string, controlNode.DialTarget>): void {
     if (this.startedAt < 0) this.startedAt = this.clock.now();
     for (const [index, place] of rank(all, this.self, all).entries()) {
       const target = targets.get(place.address)!;
-      if (target.state === "idle") target.dueAt = this.startedAt + index * STAGGER_MS;
+      if (target.state === "idle") target.dueAt = this.startedAt + index * SEED_INTERVAL_MS;
     }
   }
 
   /** A target's urgency only grows while it is idle, so that each wait is drawn once. */
-  private setDue(target: controlLink.Target, urgency: number): void {
+  private setDue(target: controlNode.DialTarget, urgency: number): void {
     if (urgency === NOT_DUE) {
-      this.forget(target);
+      this.clearDue(target);
       return;
     }
     if (urgency <= target.urgency) return;
     const now = this.clock.now();
-    const mostMs = urgency === AT_ONCE ? 0 : urgency === TO_REPLACE ? REPLACE_MS : MOVE_MS;
+    const mostMs = urgency === AT_ONCE ? 0 : urgency === TO_REPLACE ? MAX_REPLACE_DELAY_MS : MAX_REBALANCE_DELAY_MS;
     // A pause that grew while it was not needed does not hold up what is needed now.
-    if (target.urgency === TO_MOVE) target.notBefore = Math.min(target.notBefore, now + REPLACE_MS);
+    if (target.urgency === TO_REBALANCE) target.notBefore = Math.min(target.notBefore, now + MAX_REPLACE_DELAY_MS);
     target.urgency = urgency;
     target.dueAt = Math.min(target.dueAt, now + mostMs * this.clock.random());
   }
 
   /** Dialled, up or no longer wanted: the next wait is drawn anew. */
-  forget(target: controlLink.Target): void {
+  clearDue(target: controlNode.DialTarget): void {
     target.urgency = NOT_DUE;
     target.dueAt = Infinity;
   }
 
   private release(
-    targets: ReadonlyMap<string, controlLink.Target>,
-    controls: ReadonlyMap<string, controlLink.Control>,
+    targets: ReadonlyMap<string, controlNode.DialTarget>,
+    controls: ReadonlyMap<string, controlNode.ControlNode>,
     kept: ReadonlySet<string>,
     isAllowed: boolean,
   ): void {
-    const extra: controlLink.Control[] = [];
+    const extra: controlNode.ControlNode[] = [];
     for (const control of controls.values()) if (!kept.has(control.address)) extra.push(control);
     if (!isAllowed || extra.length === 0) {
       this.releaseAt = Infinity;
       return;
     }
     const now = this.clock.now();
-    if (this.releaseAt === Infinity) this.releaseAt = now + RELEASE_MS + MOVE_MS * this.clock.random();
+    if (this.releaseAt === Infinity) this.releaseAt = now + MIN_RELEASE_DELAY_MS + MAX_REBALANCE_DELAY_MS * this.clock.random();
     if (now < this.releaseAt) return;
     this.releaseAt = Infinity;
     for (const control of extra) {
       const target = targets.get(control.address)!;
       // One that is not good now must not be taken for a fresh one next.
-      target.failures = this.isGood(control, false) ? 0 : 1;
+      target.failures = this.isUsable(control, false) ? 0 : 1;
       target.isReleased = true;
       log.count("sessions.released");
       control.link.end("another control node is better");
@@ -190,15 +190,15 @@
 }
 
 /** Not known to be down: never tried, let go while it was good, or being dialled for a short while. */
-function isFresh(target: controlLink.Target, now: number): boolean {
-  return target.failures === 0 && (target.state === "idle" || target.state === "up" || now - target.dialedAt < SLOW_MS);
+function isFresh(target: controlNode.DialTarget, now: number): boolean {
+  return target.failures === 0 && (target.state === "idle" || target.state === "up" || now - target.dialedAt < SLOW_DIAL_MS);
 }
 
-function isMet(place: Place): boolean {
+function hasKnownRegion(place: Candidate): boolean {
   return place.region !== "";
 }
 
-function isAllUp(goal: ReadonlySet<string>, controls: ReadonlyMap<string, controlLink.Control>): boolean {
+function isAllUp(goal: ReadonlySet<string>, controls: ReadonlyMap<string, controlNode.ControlNode>): boolean {
   for (const address of goal) if (!controls.has(address)) return false;
   return true;
 }
--- a/src/load/load-publisher.ts
+++ b/src/load/load-publisher.ts
@@ -2,7 +2,8 @@
  * The control node's side of usage (design/usage 3, 4): the reports of all regions, published as differences in the
  * topics `cell:REGION`, and in short in the topic `summary`.
  */
-import * as feeds from "../feed/feed.js";
+import type * as feedPublisher from "../feed/feed-publisher.js";
+import * as feedTopics from "../feed/feed-topics.js";
 import * as runnerHash from "../hints/runner-hash.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
@@ -31,7 +32,7 @@
 
   constructor(
     private readonly clock: types.Clock,
-    private readonly feed: Pick<feeds.Feed, "publish" | "amend">,
+    private readonly feed: Pick<feedPublisher.FeedPublisher, "publishSnapshot" | "publishChanges">,
   ) {}
 
   private reportsOf(region: string): regionReports.RegionReports {
@@ -54,7 +55,11 @@
       known.retainOnly(regions);
       // The time of reading stands: a new list is no report.
       if (Number.isFinite(known.receivedAt))
-        this.feed.publish(feeds.cellTopic(known.region), this.items([...known.reports.values()]), types.small(known.receivedAt));
+        this.feed.publishSnapshot(
+          feedTopics.cellTopic(known.region),
+          this.items([...known.reports.values()]),
+          types.small(known.receivedAt),
+        );
     }
   }
 
@@ -72,7 +77,7 @@
   applyReport(report: schema.CellReport): void {
     const now = this.clock.now();
     this.reportsOf(report.region).apply(report.reports, now);
-    this.feed.amend(feeds.cellTopic(report.region), this.items(report.reports), types.small(now));
+    this.feed.publishChanges(feedTopics.cellTopic(report.region), this.items(report.reports), types.small(now));
   }
 
   private items(reports: readonly schema.Report[]): Map<string, Buffer> {
@@ -100,7 +105,7 @@
       this.summaries.set(key, summary);
       items.set(key, schema.summary.toBuffer(summary));
     }
-    this.feed.publish(loadSummary.SUMMARY_TOPIC, items, types.small(now));
+    this.feed.publishSnapshot(loadSummary.SUMMARY_TOPIC, items, types.small(now));
   }
 
   /** All regions with their reports, for `status`. */
--- a/src/load/load-reader.ts
+++ b/src/load/load-reader.ts
@@ -1,6 +1,6 @@
 /** The router's side of usage (design/usage 3, 4): which topics it follows, and what it takes from them. */
-import * as feeds from "../feed/feed.js";
-import type * as mirrors from "../feed/mirror.js";
+import * as feedTopics from "../feed/feed-topics.js";
+import type * as feedReplica from "../feed/feed-replica.js";
 import * as runnerHash from "../hints/runner-hash.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
@@ -65,18 +65,18 @@
   /** The topics to follow now: the summaries, and the cells of the regions of interest. */
   topics(): string[] {
     for (const region of this.fleet.summaries.drainRequestedRegions()) this.interest.recordUse(region);
-    return [loadSummary.SUMMARY_TOPIC, ...this.interest.regions().map(feeds.cellTopic)];
+    return [loadSummary.SUMMARY_TOPIC, ...this.interest.regions().map(feedTopics.cellTopic)];
   }
 
   /** Takes what the mirror has just applied of a topic. */
-  applyUpdate(applied: mirrors.Applied): void {
+  applyUpdate(applied: feedReplica.AppliedChange): void {
     if (applied.topic === loadSummary.SUMMARY_TOPIC) {
       for (const [key, body] of applied.changed) this.fleet.summaries.applyItem(key, body);
-      for (const key of applied.gone) this.fleet.summaries.applyItem(key, null);
+      for (const key of applied.removed) this.fleet.summaries.applyItem(key, null);
       this.isEstimateDue = true;
       return;
     }
-    const region = feeds.regionOf(applied.topic);
+    const region = feedTopics.regionOf(applied.topic);
     if (region !== null) this.takeItems(region, applied.changed);
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** What was told of runners before they were listed counts from now on. */
-  private relist(mirror: mirrors.Mirror): void {
+  private relist(mirror: feedReplica.FeedReplica): void {
     this.listVersion = this.fleet.membershipVersion;
     this.isEstimateDue = true;
     const ids: types.RunnerId[] = [];
@@ -99,12 +99,12 @@
     this.idsByKey = new Map();
     for (const id of ids) this.idsByKey.set(loadPublisher.keyOf(this.runnerHashes, id), id);
     for (const region of this.interest.regions()) {
-      if (!this.followed.get(region)?.isStale) this.takeItems(region, mirror.bodies(feeds.cellTopic(region)));
+      if (!this.followed.get(region)?.isStale) this.takeItems(region, mirror.bodies(feedTopics.cellTopic(region)));
     }
   }
 
   /** Each period moves the stamp of a cell; one that stands still is stale, and its usage fades (design/usage 3.4). */
-  refresh(mirror: mirrors.Mirror): void {
+  refresh(mirror: feedReplica.FeedReplica): void {
     const now = this.clock.now();
     if (this.listVersion !== this.fleet.membershipVersion) this.relist(mirror);
     const regions = new Set(this.interest.regions());
@@ -112,7 +112,7 @@
     for (const region of regions) {
       const followed = this.followed.get(region) ?? { stamp: null, movedAt: now, isStale: false };
       this.followed.set(region, followed);
-      const topic = feeds.cellTopic(region);
+      const topic = feedTopics.cellTopic(region);
       if (mirror.has(topic) && mirror.stamp(topic) !== followed.stamp) {
         followed.stamp = mirror.stamp(topic);
         followed.movedAt = now;
--- a/src/router/followed-topics.ts
+++ b/src/router/followed-topics.ts
@@ -1,5 +1,5 @@
 // Which lists this router follows (design/parts 3): all that its settings and routes may need.
-import * as feeds from "../feed/feed.js";
+import * as feedTopics from "../feed/feed-topics.js";
 
 /** Regions whose runners this router may need; all that the settings know, until a narrower choice is proved right. */
 export function neededRegions(zones: Readonly<Record<string, string>>): Set<string> {
@@ -8,7 +8,7 @@
 
 /** The topics that a router needs for these regions. */
 export function topicsOf(regions: Iterable<string>): string[] {
-  const topics = [feeds.listTopic(feeds.NO_REGION)];
-  for (const region of regions) topics.push(feeds.listTopic(region));
+  const topics = [feedTopics.listTopic(feedTopics.NO_REGION)];
+  for (const region of regions) topics.push(feedTopics.listTopic(region));
   return topics;
 }
--- a/src/router/limit-borrower.ts
+++ b/src/router/limit-borrower.ts
@@ -2,6 +2,7 @@
 import * as calls from "../wire/calls.js";
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
+import type * as controlNode from "../feed/control-node.js";
 import type * as dialer from "../feed/dialer.js";
 import type * as shares from "../limits/shares.js";
 
@@ -61,11 +62,11 @@
   }
 
   /** One that was not asked yet may be an owner. */
-  private isOwner(control: dialer.Control): boolean {
+  private isOwner(control: controlNode.ControlNode): boolean {
     return this.sources.get(control.node.life)?.isGranting ?? true;
   }
 
-  private requestFrom(control: dialer.Control, needs: leaseSchema.Need[], now: number): void {
+  private requestFrom(control: controlNode.ControlNode, needs: leaseSchema.Need[], now: number): void {
     const { life } = control.node;
     const done = this.limits.held.done(life);
     const source = this.sources.get(life) ?? { isGranting: true, requestedAt: -Infinity };
@@ -81,10 +82,10 @@
   }
 }
 
-function incarnationOf(control: dialer.Control): string {
+function incarnationOf(control: controlNode.ControlNode): string {
   return control.node.life;
 }
 
-function byAddress(left: dialer.Control, right: dialer.Control): number {
+function byAddress(left: controlNode.ControlNode, right: controlNode.ControlNode): number {
   return left.address < right.address ? -1 : 1;
 }
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -7,12 +7,12 @@
 import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
 import * as parts from "../config/parts.js";
-import * as cuts from "../feed/cuts.js";
+import * as networkPartitions from "../feed/network-partitions.js";
 import * as dialer from "../feed/dialer.js";
-import * as feeds from "../feed/feed.js";
+import * as feedTopics from "../feed/feed-topics.js";
 import * as sessionSelector from "../feed/session-selector.js";
-import * as followers from "../feed/follower.js";
-import type * as mirrors from "../feed/mirror.js";
+import * as feedSubscriber from "../feed/feed-subscriber.js";
+import type * as feedReplica from "../feed/feed-replica.js";
 import * as shares from "../limits/shares.js";
 import * as tree from "../supervisor/tree.js";
 import * as loadReader from "../load/load-reader.js";
@@ -37,12 +37,12 @@
 export type { RouterPosition as Standing } from "./router-status.js";
 
 /** One router; started and stopped by its root. */
-export class RouterProgram implements followers.Taker {
+export class RouterProgram implements feedSubscriber.FeedListener {
   private readonly incarnation = crypto.randomBytes(6).toString("hex");
   private readonly handlers = new link.Handlers();
   private readonly dial: dialer.Dialer;
   private readonly gate: serveGate.ServeGate;
-  private readonly follower: followers.Follower;
+  private readonly follower: feedSubscriber.FeedSubscriber;
   private readonly fleet: runnerFleet.RunnerFleet;
   private readonly rotation: zoneRotation.ZoneRotation;
   private readonly limits: shares.Shares;
@@ -72,16 +72,16 @@
     const selector = new sessionSelector.SessionSelector(clock, { name: startup.node_name, region: startup.region });
     this.dial = new dialer.Dialer(clock, "", this.handlers, this.nodeInfo.bind(this), link.SILENT_MS, selector);
     this.gate = new serveGate.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, this.onServing.bind(this));
-    this.dial.on("beat", this.updateServeGate.bind(this));
+    this.dial.on("heartbeat", this.updateServeGate.bind(this));
     this.batches = new routerBatches.RouterBatches(this.incarnation, this.prefills, this.picker.admission);
     this.batches.register(this.handlers);
     this.tenantGate = new tenantGate.TenantGate(clock, startup.region, this.dial.controls, startup.bounds);
     const { picker: chooser, gate, tenantGate: tenancy } = this;
     this.server = new routerServer.RouterServer(clock, chooser, gate.allows.bind(gate), sending, startup.limits, this.batches, tenancy);
-    this.follower = new followers.Follower(clock, startup.region, this.dial, this.handlers, this.topics.bind(this), this);
+    this.follower = new feedSubscriber.FeedSubscriber(clock, startup.region, this.dial, this.handlers, this.topics.bind(this), this);
     this.borrower = new limitBorrower.LimitBorrower(clock, this.incarnation, this.dial, this.limits);
-    this.dial.know(settings.innerSeeds(startup));
-    this.dial.register(this.handlers);
+    this.dial.addAddresses(settings.innerSeeds(startup));
+    this.dial.registerHandlers(this.handlers);
     this.prefillSharing.signSender.register(this.handlers);
     this.picker.admission.isOn = startup.admission === "on";
     this.root = new tree.Supervisor("router", clock, []);
@@ -94,7 +94,7 @@
 
   /** The first lists of all regions count together; later a region may come in while this router serves. */
   private updateServeGate(): void {
-    const hasAll = this.picker.routeTable !== null && this.follower.hasAll(feeds.isListTopic) && this.tenantGate.isReady;
+    const hasAll = this.picker.routeTable !== null && this.follower.hasAllTopics(feedTopics.isListTopic) && this.tenantGate.isReady;
     this.gate.update(this.epoch, hasAll);
   }
 
@@ -129,18 +129,18 @@
   }
 
   private sendHeartbeat(): void {
-    this.dial.tellAll({ isReady: this.isReady(), epoch: this.epoch, isSettled: true, index: 0, members: 1, silentRegions: [] });
+    this.dial.sendHeartbeats({ isReady: this.isReady(), epoch: this.epoch, isSettled: true, index: 0, members: 1, silentRegions: [] });
   }
 
   private runPeriodically(): void {
     this.updateServeGate();
     this.picker.admission.runPeriodically(WATCH_INTERVAL_MS);
-    this.dial.turn();
-    this.follower.elect();
-    this.follower.narrow();
-    this.load.refresh(this.follower.mirror);
-    const dealer = this.follower.main;
-    if (dealer?.beat && this.clock.now() - dealer.beatAt < link.BEAT_MS * 3) this.limits.deal(dealer.beat.members);
+    this.dial.maintainLinks();
+    this.follower.selectPrimary();
+    this.follower.updateSubscriptions();
+    this.load.refresh(this.follower.replica);
+    const dealer = this.follower.primary;
+    if (dealer?.heartbeat && this.clock.now() - dealer.heartbeatAt < link.BEAT_MS * 3) this.limits.deal(dealer.heartbeat.members);
     this.borrower.runPeriodically();
     this.tenantGate.runPeriodically();
     this.fleet.peerGroups.routers = this.limits.routers;
@@ -151,30 +151,31 @@
   }
 
   private sendHints(told: schema.Signs): void {
-    this.follower.main?.link.tell(calls.signs, told);
+    this.follower.primary?.link.tell(calls.signs, told);
   }
 
   /** The runners of a region that is cut off from here are doubted. */
   private suspectUnreachableRegions(): void {
-    for (const region of cuts.cutRegions(this.dial, this.startup.region, this.clock.now())) this.fleet.recordUnreachableRegion(region);
+    for (const region of networkPartitions.partitionedRegions(this.dial, this.startup.region, this.clock.now()))
+      this.fleet.recordUnreachableRegion(region);
   }
 
   private topics(): string[] {
     return [...followedTopics.topicsOf(followedTopics.neededRegions(this.startup.zones)), ...this.load.topics()];
   }
 
-  take(applied: mirrors.Applied): void {
-    if (applied.topic === feeds.REGISTER_TOPIC) this.applyConfiguration(applied);
-    else if (feeds.isListTopic(applied.topic)) this.applyMembership(applied);
+  onChange(applied: feedReplica.AppliedChange): void {
+    if (applied.topic === feedTopics.REGISTER_TOPIC) this.applyConfiguration(applied);
+    else if (feedTopics.isListTopic(applied.topic)) this.applyMembership(applied);
     else this.load.applyUpdate(applied);
   }
 
-  leave(topic: string, keys: readonly string[]): void {
-    if (feeds.isListTopic(topic)) this.fleet.unfollow(keys);
+  onUnsubscribe(topic: string, keys: readonly string[]): void {
+    if (feedTopics.isListTopic(topic)) this.fleet.unfollow(keys);
   }
 
   /** An epoch is taken whole, between two requests (design/parts 4). */
-  private applyConfiguration(applied: mirrors.Applied): void {
+  private applyConfiguration(applied: feedReplica.AppliedChange): void {
     const { config } = this;
     const isFirst = this.epoch < 0;
     config.take(applied);
@@ -188,11 +189,11 @@
     this.updateServeGate();
   }
 
-  private applyMembership(applied: mirrors.Applied): void {
+  private applyMembership(applied: feedReplica.AppliedChange): void {
     const changed: schema.Instance[] = [];
     for (const body of applied.changed.values()) changed.push(schema.listed.fromBuffer(body).instance);
-    this.fleet.applyChanges(changed, applied.gone);
-    if (applied.gone.length > 0) {
+    this.fleet.applyChanges(changed, applied.removed);
+    if (applied.removed.length > 0) {
       this.prefills.retainOnly(this.fleet);
       this.picker.admission.retainOnly(this.fleet);
     }
@@ -207,7 +208,7 @@
   /** Settings read again: seeds and bounds take effect; addresses of its own do not. */
   resettle(startup: settings.Settings): void {
     this.startup = startup;
-    this.dial.know(settings.innerSeeds(startup));
+    this.dial.addAddresses(settings.innerSeeds(startup));
     this.limits.resettle(startup.bounds);
     this.tenantGate.applySettings(startup.bounds);
     this.picker.admission.isOn = startup.admission === "on";
@@ -228,7 +229,7 @@
 
   /** What it goes by now, for watchers in the same process (docs/experiment.md). */
   position(): routerStatus.RouterPosition {
-    return { epoch: this.epoch, revision: this.config.revision, following: this.follower.main?.node.name ?? null };
+    return { epoch: this.epoch, revision: this.config.revision, following: this.follower.primary?.node.name ?? null };
   }
 
   /** Finishes what is at work, then ends. */
@@ -238,7 +239,7 @@
     await gracefulShutdown.drainRequests(this.clock, this.server, this.startup.bounds.grace_s * 1000);
     log.state(this.picker.admission.stats.logLine());
     await this.root.stop();
-    this.dial.end();
+    this.dial.close();
     this.fleet.closeIdle();
   }
 }
--- a/src/router/serve-gate.ts
+++ b/src/router/serve-gate.ts
@@ -5,7 +5,7 @@
  */
 import type * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
-import * as dialer from "../feed/dialer.js";
+import * as controlNode from "../feed/control-node.js";
 
 /** After so long with a configuration that nobody confirmed, it serves: its region may be cut off (*ours*). */
 export const UNCONFIRMED_WAIT_MS = 1200;
@@ -32,7 +32,7 @@
    */
   constructor(
     private readonly clock: types.Clock,
-    private readonly controls: ReadonlyMap<string, dialer.Control>,
+    private readonly controls: ReadonlyMap<string, controlNode.ControlNode>,
     private readonly unconfirmedMs: number,
     private readonly onOpen: () => void,
   ) {}
@@ -98,8 +98,8 @@
     return false;
   }
 
-  private isConfirmedBy(control: dialer.Control, epoch: types.Epoch): boolean {
-    const known = control.beat?.epoch ?? control.node.epoch;
-    return dialer.isFresh(control, this.clock.now()) && dialer.isConfirmed(control) && known <= epoch;
+  private isConfirmedBy(control: controlNode.ControlNode, epoch: types.Epoch): boolean {
+    const known = control.heartbeat?.epoch ?? control.node.epoch;
+    return controlNode.isFresh(control, this.clock.now()) && controlNode.isConfirmed(control) && known <= epoch;
   }
 }
--- a/src/router/tenant-gate.ts
+++ b/src/router/tenant-gate.ts
@@ -3,7 +3,7 @@
  * that was read whole becomes a transaction. Public routes, and configurations without tenants, need no key.
  */
 import type * as check from "../config/check.js";
-import type * as dialer from "../feed/dialer.js";
+import type * as controlNode from "../feed/control-node.js";
 import * as log from "../runtime/log.js";
 import * as keyLease from "../tenants/key-lease.js";
 import * as outages from "../tenants/outage.js";
@@ -37,7 +37,12 @@
   private readonly keyOutage: outages.Outage;
   private readonly quotaOutage: outages.Outage;
 
-  constructor(clock: types.Clock, region: string, controls: ReadonlyMap<string, dialer.Control>, bounds: keyLease.RevocationBounds) {
+  constructor(
+    clock: types.Clock,
+    region: string,
+    controls: ReadonlyMap<string, controlNode.ControlNode>,
+    bounds: keyLease.RevocationBounds,
+  ) {
     this.lease = new keyLease.KeyLease(clock, bounds);
     this.keyOutage = new outages.Outage(clock, KEY_OUTAGE_RETRY_MS);
     this.quotaOutage = new outages.Outage(clock, QUOTA_OUTAGE_RETRY_MS);
--- a/src/tallies/replication.ts
+++ b/src/tallies/replication.ts
@@ -4,6 +4,7 @@
  * around a cut between two nodes. Nothing in here needs a majority.
  */
 import * as events from "node:events";
+import type * as controlNode from "../feed/control-node.js";
 import type * as dialer from "../feed/dialer.js";
 import * as calls from "../wire/calls.js";
 import * as features from "../wire/features.js";
@@ -23,7 +24,7 @@
 
 /** The links to other control nodes, as a dialer keeps them. */
 export interface ControlLinks extends events.EventEmitter<dialer.DialerEvents> {
-  readonly controls: ReadonlyMap<string, dialer.Control>;
+  readonly controls: ReadonlyMap<string, controlNode.ControlNode>;
 }
 
 /** What replication needs of its node. */
@@ -44,7 +45,7 @@
 
 /** Sends, takes and passes on adds. */
 export class Replication extends events.EventEmitter<ReplicationEvents> {
-  private readonly sessions = new Map<dialer.Control, sessions.Session>();
+  private readonly sessions = new Map<controlNode.ControlNode, sessions.Session>();
   /** Links on which a peer told all that it holds. */
   private readonly full = new WeakSet<link.Link>();
   /** Since when a peer lacks adds of a stream: by peer and stream. */
@@ -54,7 +55,7 @@
   constructor(private readonly parts: ReplicationParts) {
     super();
     this.snapshots = new snapshots.Snapshots(parts.clock, parts.store);
-    parts.dial.on("beat", (control) => this.meet(control));
+    parts.dial.on("heartbeat", (control) => this.meet(control));
     parts.dial.on("down", (control) => this.sessions.delete(control));
   }
 
@@ -79,9 +80,9 @@
     for (const session of this.sessions.values()) session.push(this.parts.life);
   }
 
-  private meet(control: dialer.Control): void {
+  private meet(control: controlNode.ControlNode): void {
     const { clock: world, self, store, peers } = this.parts;
-    if (this.sessions.has(control) || !control.beat || !features.hasFeature(control.beat, features.TALLIES)) return;
+    if (this.sessions.has(control) || !control.heartbeat || !features.hasFeature(control.heartbeat, features.TALLIES)) return;
     const peer = peers.of(control.address);
     peer.zone = control.node.zone;
     const session = new sessions.Session(world, self, store, peers, control, peer);
--- a/src/tallies/session.ts
+++ b/src/tallies/session.ts
@@ -1,5 +1,5 @@
 /** What was told and sent to one other node over one link (design/tallies 4). A new link begins anew. */
-import type * as dialer from "../feed/dialer.js";
+import type * as controlNode from "../feed/control-node.js";
 import * as calls from "../wire/calls.js";
 import type { StreamPosition } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
@@ -41,7 +41,7 @@
     private readonly self: Self,
     private readonly store: stores.TallyStore,
     private readonly peers: peers.Peers,
-    readonly control: dialer.Control,
+    readonly control: controlNode.ControlNode,
     readonly peer: peers.Peer,
   ) {}
 
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -84,7 +84,7 @@
     const { tenant } = claim;
     claim.asked.add(source.life);
     claim.pending += 1;
-    const patienceMs = Math.min(MAX_PATIENCE_MS, PATIENCE_MS + TRIPS * source.control.tripMs);
+    const patienceMs = Math.min(MAX_PATIENCE_MS, PATIENCE_MS + TRIPS * source.control.roundTripMs);
     const tick = this.clock.schedule(patienceMs, () => this.late(claim, source));
     void this.call(source, [{ tenant, wanted: 1, unused: source.takeUnused(tenant) }]).then((reply) => {
       tick.stop();
--- a/src/tenants/quota-sources.ts
+++ b/src/tenants/quota-sources.ts
@@ -1,5 +1,5 @@
 /** The owners of quotas as one router knows them: which grant, and whose part of a tenant's quota is spent (design/tenants 4.4). */
-import type * as dialer from "../feed/dialer.js";
+import type * as controlNode from "../feed/control-node.js";
 import type * as tenantSchema from "../wire/tenant-schema.js";
 import type * as types from "../wire/types.js";
 
@@ -20,7 +20,7 @@
 
   constructor(
     private readonly clock: types.Clock,
-    readonly control: dialer.Control,
+    readonly control: controlNode.ControlNode,
   ) {}
 
   get life(): string {
@@ -77,7 +77,7 @@
   constructor(
     private readonly clock: types.Clock,
     private readonly region: string,
-    private readonly controls: ReadonlyMap<string, dialer.Control>,
+    private readonly controls: ReadonlyMap<string, controlNode.ControlNode>,
   ) {}
 
   /** Those that reply go before those that are late; the own region's first, then the nearest by their hellos. */
@@ -88,10 +88,10 @@
   }
 
   private distance({ control }: Source): number {
-    return control.node.region === this.region ? -1 : control.tripMs;
+    return control.node.region === this.region ? -1 : control.roundTripMs;
   }
 
-  private sourceOf(control: dialer.Control): Source {
+  private sourceOf(control: controlNode.ControlNode): Source {
     const known = this.byLife.get(control.node.life);
     if (known?.control === control) return known;
     const source = new Source(this.clock, control);
--- a/tests/config-parts.test.ts
+++ b/tests/config-parts.test.ts
@@ -2,7 +2,8 @@
 import * as check from "../src/config/check.js";
 import * as parts from "../src/config/parts.js";
 import * as routes from "../src/config/routes.js";
-import * as feeds from "../src/feed/feed.js";
+import * as feedPublisher from "../src/feed/feed-publisher.js";
+import * as feedTopics from "../src/feed/feed-topics.js";
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
@@ -56,7 +57,7 @@
   const router = new links.SimRouter(clock);
   const config = new parts.ConfigParts();
   let done = 0;
-  const sources = names.map((name) => ({ feed: new feeds.Feed(`life-${name}`), splitter: new parts.Splitter() }));
+  const sources = names.map((name) => ({ feed: new feedPublisher.FeedPublisher(`life-${name}`), splitter: new parts.Splitter() }));
   for (const [index, { feed }] of sources.entries()) router.join(names[index], names[index], feed);
   return {
     clock,
@@ -64,7 +65,7 @@
     config,
     async choose(value: schema.Value, at = 0) {
       const { feed, splitter } = sources[at];
-      feed.publish(feeds.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch));
+      feed.publishSnapshot(feedTopics.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch));
       await clock.play(100);
       for (; done < router.applied.length; done += 1) config.take(router.applied[done]);
     },
--- a/tests/contact.test.ts
+++ b/tests/contact.test.ts
@@ -168,7 +168,7 @@
   await clock.play(3000);
   await systems.take(system, "b", "z0");
   const late = new routerNode.RouterNode(network, "new", "a", ["a"]);
-  late.dial.know(["b:1", "c:1"]);
+  late.dial.addAddresses(["b:1", "c:1"]);
   const startedAt = clock.now();
   await clock.play(3000);
   expect(late.openedAt).toBeGreaterThan(0);
--- a/tests/endpoint-list.test.ts
+++ b/tests/endpoint-list.test.ts
@@ -1,7 +1,8 @@
 // The endpoint list: what counts as a change, and what is published in which region's topic (design/parts 6).
 import * as endpointList from "../src/control/platform/endpoint-list.js";
-import * as feeds from "../src/feed/feed.js";
-import * as keyed from "../src/feed/keyed.js";
+import * as feedPublisher from "../src/feed/feed-publisher.js";
+import * as feedTopics from "../src/feed/feed-topics.js";
+import * as keyedItems from "../src/feed/keyed-items.js";
 import type * as link from "../src/wire/link.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
@@ -33,11 +34,11 @@
   const items = new endpointList.EndpointList();
   items.replaceAll([INSTANCE], types.small(0));
   const plan = items.replaceAll([{ ...INSTANCE, ...more }], types.small(passedMs));
-  expect(keyed.isEmpty(plan)).toBe(!isPublished);
+  expect(keyedItems.isEmpty(plan)).toBe(!isPublished);
 });
 
 test("each region has a topic with its instances, also a region without any; an instance moves with its zone", () => {
-  const feed = new feeds.Feed("p");
+  const feed = new feedPublisher.FeedPublisher("p");
   const published: schema.Change[] = [];
   const fake = { tell: (_pair: unknown, change: schema.Change) => published.push(change), once: () => undefined } as unknown as link.Link;
   const regions = new Map([
@@ -46,8 +47,8 @@
     ["x", "o"],
   ]);
   const byRegion = new endpointList.RegionalEndpoints(regions, feed);
-  const topics = ["r", "q", "o", feeds.NO_REGION].map(feeds.listTopic);
-  feed.follow(fake, { place: "", topics: topics.map((topic) => ({ topic, mode: "items", from: 0, digest: types.small("") })) });
+  const topics = ["r", "q", "o", feedTopics.NO_REGION].map(feedTopics.listTopic);
+  feed.subscribe(fake, { place: "", topics: topics.map((topic) => ({ topic, mode: "items", from: 0, digest: types.small("") })) });
   const items = new endpointList.EndpointList();
   function read(list: schema.Instance[]): [string, string[]][] {
     byRegion.applyChange(items.replaceAll(list, types.small(0)), types.small(0));
--- a/tests/endpoint-watcher.test.ts
+++ b/tests/endpoint-watcher.test.ts
@@ -1,6 +1,6 @@
 // Which control node polls the platform's endpoint list, what its peers receive, and who takes over (design 4.4).
 import * as endpointWatcher from "../src/control/platform/endpoint-watcher.js";
-import * as keyed from "../src/feed/keyed.js";
+import * as keyedItems from "../src/feed/keyed-items.js";
 import * as types from "../src/wire/types.js";
 import * as watch from "./sim/watch.js";
 
@@ -10,7 +10,7 @@
   platform?: string;
   dial?: ReturnType<typeof watch.dialTo>;
   rank?: number;
-  onChange?: (plan: keyed.Plan) => void;
+  onChange?: (plan: keyedItems.ChangePlan) => void;
 }
 
 function makeWatcher({
@@ -35,7 +35,7 @@
     platform.instances = watch.listed(5);
     const clock = new watch.MixedWorld(1);
     const told: watch.Told[] = [];
-    const plans: keyed.Plan[] = [];
+    const plans: keyedItems.ChangePlan[] = [];
     const watcher = makeWatcher({ clock, platform: platform.address, dial: watch.dialTo(told), onChange: (plan) => plans.push(plan) });
     watcher.pollWhenDue();
     await watch.until(() => told.length === 1);
@@ -54,7 +54,7 @@
     clock.skip(800);
     watcher.pollWhenDue();
     await watch.until(() => told.length === 4);
-    expect([keyed.unpack(told[3].ask), plans[2].gone]).toEqual([new Map([["i-1", null]]), ["i-1"]]);
+    expect([keyedItems.unpackChanges(told[3].ask), plans[2].removed]).toEqual([new Map([["i-1", null]]), ["i-1"]]);
     watcher.stop();
   }));
 
@@ -103,7 +103,7 @@
         base: types.small("other"),
         digest: types.small("other"),
         isView: false,
-        ...keyed.pack(new Map()),
+        ...keyedItems.packChanges(new Map()),
       });
       const before = platform.calls;
       clock.skip(waits - 10);
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -146,7 +146,7 @@
   await fleet.clock.play(1500);
   expect(router.dial.controls.size).toBe(4);
   for (const other of fleet.routers) {
-    const good = [...other.dial.controls.values()].filter((control) => control.beat?.isSettled);
+    const good = [...other.dial.controls.values()].filter((control) => control.heartbeat?.isSettled);
     expect(good).toHaveLength(3);
   }
   unsettled.isSettled = true;
@@ -173,7 +173,7 @@
   await fleet.clock.play(8000);
   for (const router of fleet.routers.slice(0, 6)) router.kill();
   await fleet.clock.play(1000);
-  const places = (): schema.Beat[] => fleet.routers.slice(6).map((router) => [...router.dial.controls.values()][0].beat!);
+  const places = (): schema.Beat[] => fleet.routers.slice(6).map((router) => [...router.dial.controls.values()][0].heartbeat!);
   for (const control of fleet.controls.values()) expect(view(control)).toHaveLength(12);
   expect(places().map((beat) => beat.members)).toEqual([12, 12, 12, 12, 12, 12]);
   await fleet.clock.play(2500);
--- a/tests/link.test.ts
+++ b/tests/link.test.ts
@@ -1,8 +1,9 @@
 // Links, calls and the feed over real loopback sockets (design 3, 4.2, 6.4).
 import * as net from "node:net";
 import * as dialer from "../src/feed/dialer.js";
-import * as feeds from "../src/feed/feed.js";
-import * as followers from "../src/feed/follower.js";
+import * as feedPublisher from "../src/feed/feed-publisher.js";
+import * as feedTopics from "../src/feed/feed-topics.js";
+import * as feedSubscriber from "../src/feed/feed-subscriber.js";
 import * as registerValue from "../src/register/register-value.js";
 import * as log from "../src/runtime/log.js";
 import * as calls from "../src/wire/calls.js";
@@ -112,12 +113,12 @@
   lists: number;
 }
 
-function follow(dial: dialer.Dialer, handlers: link.Handlers, region: string): { follower: followers.Follower; taken: Taken } {
+function follow(dial: dialer.Dialer, handlers: link.Handlers, region: string): { follower: feedSubscriber.FeedSubscriber; taken: Taken } {
   const taken: Taken = { epochs: [], lists: 0 };
-  const follower = new followers.Follower(clock, region, dial, handlers, () => [feeds.listTopic("r")], {
-    leave: () => undefined,
-    take: (applied) => {
-      if (applied.topic === feeds.REGISTER_TOPIC) taken.epochs.push(applied.stamp);
+  const follower = new feedSubscriber.FeedSubscriber(clock, region, dial, handlers, () => [feedTopics.listTopic("r")], {
+    onUnsubscribe: () => undefined,
+    onChange: (applied) => {
+      if (applied.topic === feedTopics.REGISTER_TOPIC) taken.epochs.push(applied.stamp);
       else taken.lists += 1;
     },
   });
@@ -126,12 +127,12 @@
 
 interface Control {
   side: Side;
-  feed: feeds.Feed;
+  feed: feedPublisher.FeedPublisher;
 }
 
 async function control(name: string, region: string): Promise<Control> {
   const side = await listen();
-  const feed = new feeds.Feed(name);
+  const feed = new feedPublisher.FeedPublisher(name);
   side.handlers.on(calls.hello, () => ({
     node: node(name, region),
     controls: sides.map((item) => ({ address: item.address, name: "", zone: "", region: "" })),
@@ -139,14 +140,18 @@
     isConfirmed: true,
   }));
   side.handlers.on(calls.follow, (from, ask) => {
-    feed.follow(from, ask);
+    feed.subscribe(from, ask);
     return null;
   });
   return { side, feed };
 }
 
-function publish(feed: feeds.Feed, epoch: number): void {
-  feed.publish(feeds.REGISTER_TOPIC, new Map([[feeds.ALL_KEY, schema.chosen.toBuffer({ value: valueOf(epoch) })]]), types.small(epoch));
+function publish(feed: feedPublisher.FeedPublisher, epoch: number): void {
+  feed.publishSnapshot(
+    feedTopics.REGISTER_TOPIC,
+    new Map([[feedTopics.ALL_KEY, schema.chosen.toBuffer({ value: valueOf(epoch) })]]),
+    types.small(epoch),
+  );
 }
 
 test("a router finds control nodes from one seed, follows the near one, takes epochs from any, never back", async () => {
@@ -155,14 +160,14 @@
   const handlers = new link.Handlers();
   const dial = new dialer.Dialer(clock, "", handlers, () => node("router", "r"), 5000);
   const { follower, taken } = follow(dial, handlers, "r");
-  near.feed.publish(feeds.listTopic("r"), new Map(), types.small(0));
-  far.feed.publish(feeds.listTopic("r"), new Map(), types.small(0));
+  near.feed.publishSnapshot(feedTopics.listTopic("r"), new Map(), types.small(0));
+  far.feed.publishSnapshot(feedTopics.listTopic("r"), new Map(), types.small(0));
   publish(far.feed, 3);
-  dial.know([far.side.address]);
+  dial.addAddresses([far.side.address]);
   await until(() => {
-    dial.turn();
-    follower.elect();
-    return dial.controls.size === 2 && follower.main?.node.name === "near";
+    dial.maintainLinks();
+    follower.selectPrimary();
+    return dial.controls.size === 2 && follower.primary?.node.name === "near";
   });
   await until(() => taken.epochs.includes(3) && taken.lists > 0);
   publish(near.feed, 2); // a control node that was cut off has an older one: no step back
@@ -172,6 +177,6 @@
   await until(() => taken.epochs.includes(5));
   expect(taken.epochs).toEqual([3, 4, 5]);
   for (const item of near.side.links) item.end("killed");
-  await until(() => follower.main?.node.name === "far");
-  dial.end();
+  await until(() => follower.primary?.node.name === "far");
+  dial.close();
 });
--- a/tests/model/node.ts
+++ b/tests/model/node.ts
@@ -99,7 +99,7 @@
     this.handlers = new link.Handlers();
     const life = `${this.address}/${generation}`;
     this.dial = new dialer.Dialer(this.clock, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
-    this.dial.know(this.seeds);
+    this.dial.addAddresses(this.seeds);
     const first = registerValue.initialValue(isBootstrap ? this.seeds : []);
     this.core = this.mutations.makeCore(this.clock, { life, address: this.address, first }, this.dial);
     this.core.on("chosen", this.onChosen);
@@ -199,12 +199,12 @@
     dial.controls.set(peer.address, {
       address: peer.address,
       node,
-      place: "",
+      feedIncarnation: "",
       link: made,
       wasConfirmed: true,
-      beat: null,
-      beatAt: this.clock.now(),
-      tripMs: 1,
+      heartbeat: null,
+      heartbeatAt: this.clock.now(),
+      roundTripMs: 1,
     });
     void this.core?.catchUp(made, node.epoch);
   }
--- a/tests/cuts.test.ts
+++ b/tests/network-partitions.test.ts
@@ -1,5 +1,5 @@
 // Regions that are cut off, by the word of the control nodes (design/members 4).
-import * as cuts from "../src/feed/cuts.js";
+import * as networkPartitions from "../src/feed/network-partitions.js";
 import type * as dialer from "../src/feed/dialer.js";
 import * as types from "../src/wire/types.js";
 import * as fleets from "./sim/fleet.js";
@@ -14,7 +14,7 @@
   const controls = new Map(
     held.map(({ region, silentMs, word }, index) => [
       `${region}${index}`,
-      { node: fleets.nodeOf("n", "control", region, ""), beatAt: 0, beat: word && { silentRegions: word }, silentMs },
+      { node: fleets.nodeOf("n", "control", region, ""), heartbeatAt: 0, heartbeat: word && { silentRegions: word }, silentMs },
     ]),
   );
   const targets = new Map([...controls.keys(), ...known].map((address) => [address, { region: address[0], failures: 0 }]));
@@ -100,5 +100,5 @@
 ];
 
 test.each(CUTS)("cut regions: %s", (_name, held, known, cut) => {
-  expect([...cuts.cutRegions(dialOf(held, known), "a", types.small(0))]).toEqual(cut);
+  expect([...networkPartitions.partitionedRegions(dialOf(held, known), "a", types.small(0))]).toEqual(cut);
 });
--- a/tests/parts-fuzz.test.ts
+++ b/tests/parts-fuzz.test.ts
@@ -1,6 +1,7 @@
 // Random changes, lost frames, garbled digests, cut links, moves between control nodes and their restarts: a router
 // always holds what some control node had at that epoch, never goes back, and ends at the newest (design/parts 1, 4).
-import * as feeds from "../src/feed/feed.js";
+import * as feedPublisher from "../src/feed/feed-publisher.js";
+import * as feedTopics from "../src/feed/feed-topics.js";
 import * as links from "./sim/links.js";
 import * as sim from "./sim/world.js";
 
@@ -13,7 +14,7 @@
   /** What was chosen, by epoch. */
   readonly chosen: Record<string, string>[] = [{}];
   private readonly known = new Map<string, number>();
-  private readonly sources = new Map<string, feeds.Feed>();
+  private readonly sources = new Map<string, feedPublisher.FeedPublisher>();
   private lives = 0;
   readonly seen: string[] = [];
 
@@ -29,15 +30,15 @@
 
   start(name: string): void {
     this.lives += 1;
-    this.sources.set(name, new feeds.Feed(`life-${this.lives}`));
+    this.sources.set(name, new feedPublisher.FeedPublisher(`life-${this.lives}`));
     if (this.known.has(name)) this.publish(name, this.known.get(name)!);
     this.router.join(name, name, this.sources.get(name)!, 5 + this.pick(80));
   }
 
   publish(name: string, epoch: number): void {
     this.known.set(name, epoch);
-    this.sources.get(name)!.publish(feeds.REGISTER_TOPIC, items(this.chosen[epoch]), stampOf(epoch));
-    this.sources.get(name)!.publish(LIST, items({ of: name, at: String(epoch) }), stampOf(this.clock.now()));
+    this.sources.get(name)!.publishSnapshot(feedTopics.REGISTER_TOPIC, items(this.chosen[epoch]), stampOf(epoch));
+    this.sources.get(name)!.publishSnapshot(LIST, items({ of: name, at: String(epoch) }), stampOf(this.clock.now()));
   }
 
   change(): void {
@@ -76,10 +77,10 @@
     const { epochs, follower } = this.router;
     for (const [index, epoch] of epochs.entries())
       if (index > 0 && epoch <= epochs[index - 1]) throw new Error(`back from ${epochs[index - 1]} to ${epoch}`);
-    if (!follower.mirror.has(feeds.REGISTER_TOPIC)) return;
-    expect(this.router.held(feeds.REGISTER_TOPIC)).toEqual(Object.fromEntries(Object.entries(this.chosen[epochs.at(-1)!]).sort()));
+    if (!follower.replica.has(feedTopics.REGISTER_TOPIC)) return;
+    expect(this.router.held(feedTopics.REGISTER_TOPIC)).toEqual(Object.fromEntries(Object.entries(this.chosen[epochs.at(-1)!]).sort()));
     const list = this.router.held(LIST);
-    if (follower.mirror.has(LIST)) expect(NAMES).toContain(list["of"]);
+    if (follower.replica.has(LIST)) expect(NAMES).toContain(list["of"]);
   }
 }
 
@@ -89,14 +90,14 @@
     if (day.clock.random() < 0.5) day.change();
     if (day.clock.random() < 0.3) day.trouble();
     await day.clock.play(day.pick(300));
-    day.router.follower.elect();
+    day.router.follower.selectPrimary();
     day.check();
   }
   day.calm();
   await day.clock.play(2000);
   day.check();
   expect(day.router.epochs.at(-1)).toBe(day.chosen.length - 1);
-  expect(day.router.held(LIST)).toEqual({ at: String(day.chosen.length - 1), of: day.router.follower.main!.node.name });
+  expect(day.router.held(LIST)).toEqual({ at: String(day.chosen.length - 1), of: day.router.follower.primary!.node.name });
 });
 
 test("the checker sees a router that shows what was never chosen, and one that goes back", async () => {
--- a/tests/pictures.test.ts
+++ b/tests/pictures.test.ts
@@ -1,7 +1,7 @@
 // Control nodes among each other hold the same picture of a region, whoever reads it (design/usage 3.2).
 import * as regionOrchestrator from "../src/control/platform/region-orchestrator.js";
 import type * as dialer from "../src/feed/dialer.js";
-import * as feeds from "../src/feed/feed.js";
+import * as feedPublisher from "../src/feed/feed-publisher.js";
 import * as regionReports from "../src/load/region-reports.js";
 import * as loadPublisher from "../src/load/load-publisher.js";
 import type * as schema from "../src/wire/schema.js";
@@ -17,9 +17,11 @@
 function nodeOf(clock: sims.SimWorld, region: usage.Region): Node {
   const told: Node["told"] = [];
   const feed = {
-    publish: (topic: string, items: ReadonlyMap<string, Buffer>, stamp: types.Stamp) => told.push([topic, [...items.keys()], stamp]),
-    amend: (topic: string, items: ReadonlyMap<string, Buffer | null>, stamp: types.Stamp) => told.push([topic, [...items.keys()], stamp]),
-  } as unknown as feeds.Feed;
+    publishSnapshot: (topic: string, items: ReadonlyMap<string, Buffer>, stamp: types.Stamp) =>
+      told.push([topic, [...items.keys()], stamp]),
+    publishChanges: (topic: string, items: ReadonlyMap<string, Buffer | null>, stamp: types.Stamp) =>
+      told.push([topic, [...items.keys()], stamp]),
+  } as unknown as feedPublisher.FeedPublisher;
   const publisher = new loadPublisher.LoadPublisher(clock, feed);
   publisher.setInstances(region.instances, new Map(region.instances.map((item): [types.RunnerId, string] => [item.id, region.name])));
   return { publisher, told };
--- a/tests/register-core.test.ts
+++ b/tests/register-core.test.ts
@@ -41,12 +41,12 @@
   const control = {
     address,
     node: nodeAt(address, disk),
-    place: "",
+    feedIncarnation: "",
     link: {} as link.Link,
-    beat: null,
+    heartbeat: null,
     wasConfirmed: false,
-    beatAt: 0,
-    tripMs: 0,
+    heartbeatAt: 0,
+    roundTripMs: 0,
   };
   dial.controls.set(address, control);
 }
--- a/tests/session-selector.test.ts
+++ b/tests/session-selector.test.ts
@@ -24,7 +24,7 @@
       const sessions = new Map(controls.map((control) => [control.address, 0]));
       for (let index = 0; index < 480; index += 1) {
         const region = routers[index % routers.length];
-        const chosen = sessionSelector.choose(controls, { name: `edge-${index}`, region });
+        const chosen = sessionSelector.chooseControls(controls, { name: `edge-${index}`, region });
         const chosenRegions = controls.filter((control) => chosen.has(control.address)).map((control) => control.region);
         expect(chosen.size).toBe(3);
         if (regions.includes(region)) expect(chosenRegions).toContain(region);
@@ -37,15 +37,15 @@
 
   test("up to three known are all chosen; one lost moves only its own routers", () => {
     const known = ["a", "b", "c", "d", "e"].map((region) => ({ address: `${region}:1`, region }));
-    expect(sessionSelector.choose(known.slice(0, 3), { name: "x", region: "a" }).size).toBe(3);
-    expect(sessionSelector.choose(known.slice(0, 2), { name: "x", region: "q" }).size).toBe(2);
+    expect(sessionSelector.chooseControls(known.slice(0, 3), { name: "x", region: "a" }).size).toBe(3);
+    expect(sessionSelector.chooseControls(known.slice(0, 2), { name: "x", region: "q" }).size).toBe(2);
     const controls = ["a", "a", "b", "b", "c"].map((region, index) => ({ address: `${region}${index}:1`, region }));
     const losses = Array.from({ length: 20 }).flatMap(() => controls);
     for (const [index, lost] of losses.entries()) {
       const self = { name: `x${index}`, region: ["a", "b", "c", "q"][index % 4] };
-      const before = sessionSelector.choose(controls, self);
+      const before = sessionSelector.chooseControls(controls, self);
       const remaining = controls.filter((control) => control !== lost);
-      const after = sessionSelector.choose(remaining, self, controls);
+      const after = sessionSelector.chooseControls(remaining, self, controls);
       if (!before.has(lost.address)) expect([...after].sort()).toEqual([...before].sort());
       else expect([...before].filter((address) => after.has(address))).toHaveLength(2);
     }
--- a/tests/sim/change-day.ts
+++ b/tests/sim/change-day.ts
@@ -1,7 +1,7 @@
 // A day of many changes: operators' updates one after the other, while members restart, are wiped, stall and fill up.
 import * as configParts from "../../src/config/parts.js";
-import * as followers from "../../src/feed/follower.js";
-import type * as mirrors from "../../src/feed/mirror.js";
+import * as feedSubscriber from "../../src/feed/feed-subscriber.js";
+import type * as feedReplica from "../../src/feed/feed-replica.js";
 import * as link from "../../src/wire/link.js";
 import type * as types from "../../src/wire/types.js";
 import * as durableNode from "./durable-node.js";
@@ -31,23 +31,23 @@
     const world = new networks.NodeWorld(network, name);
     this.dial = new durableNode.NetworkDialer(world, "", this.handlers, () => fleet.nodeOf(name, "router", "r", ""), link.SILENT_MS);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
-    const follower = new followers.Follower(world, "r", this.dial, this.handlers, () => [], this);
-    this.dial.know(controls.map(durableNode.addressOf));
+    const follower = new feedSubscriber.FeedSubscriber(world, "r", this.dial, this.handlers, () => [], this);
+    this.dial.addAddresses(controls.map(durableNode.addressOf));
     const turn = (): void => {
       world.schedule(100, turn);
-      this.dial.turn();
-      follower.elect();
-      follower.narrow();
+      this.dial.maintainLinks();
+      follower.selectPrimary();
+      follower.updateSubscriptions();
     };
     world.schedule(0, turn);
   }
 
-  take(applied: mirrors.Applied): void {
+  onChange(applied: feedReplica.AppliedChange): void {
     this.epochs.push(applied.stamp);
     this.config.take(applied);
   }
 
-  leave(): void {}
+  onUnsubscribe(): void {}
 }
 
 /** How large a day is. */
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -6,7 +6,8 @@
 import * as operators from "../../src/control/operator/operator.js";
 import type * as serve from "../../src/wire/serve.js";
 import * as dialer from "../../src/feed/dialer.js";
-import * as feeds from "../../src/feed/feed.js";
+import * as feedPublisher from "../../src/feed/feed-publisher.js";
+import * as feedTopics from "../../src/feed/feed-topics.js";
 import * as registerValue from "../../src/register/register-value.js";
 import * as acceptor from "../../src/register/acceptor.js";
 import * as calls from "../../src/wire/calls.js";
@@ -59,7 +60,7 @@
   readonly handlers = new link.Handlers();
   readonly dial: NetworkDialer;
   readonly core: registerReplica.RegisterReplica;
-  readonly feed: feeds.Feed;
+  readonly feed: feedPublisher.FeedPublisher;
   private readonly operator: operators.Operator;
   private readonly voterManager: voterManager.VoterManager;
   private readonly callers = new Set<link.Link>();
@@ -73,8 +74,8 @@
     const { world, network, name } = node;
     this.dial = new NetworkDialer(world, addressOf(name), this.handlers, () => this.describe(), link.SILENT_MS);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
-    this.dial.know(node.seeds.map(addressOf));
-    this.feed = new feeds.Feed(life);
+    this.dial.addAddresses(node.seeds.map(addressOf));
+    this.feed = new feedPublisher.FeedPublisher(life);
     this.core = new registerReplica.RegisterReplica(world, { life, address: addressOf(name), first }, this.dial);
     this.operator = new operators.Operator(this.core, new Set(["north"]), () => null);
     this.voterManager = new voterManager.VoterManager(world, this.core, () => [this.describe(), ...this.peers()]);
@@ -103,19 +104,19 @@
     core.registerHandlers(handlers);
     handlers.on(calls.hello, (from, ask) => {
       this.callers.add(from);
-      if (ask.node.role === "control") dial.inReach(ask.node.address);
-      return { node: this.describe(), controls: [], place: feed.place, isConfirmed: true };
+      if (ask.node.role === "control") dial.dialWithoutBackoff(ask.node.address);
+      return { node: this.describe(), controls: [], place: feed.incarnation, isConfirmed: true };
     });
     handlers.on(calls.beat, (from, told) => {
-      dial.heard(from, told);
+      dial.receiveHeartbeat(from, told);
       if (told.epoch > this.epoch) void core.catchUp(from, told.epoch);
       return null;
     });
     handlers.on(calls.follow, (from, ask) => {
-      feed.follow(from, ask);
+      feed.subscribe(from, ask);
       return null;
     });
-    core.on("chosen", (value) => feed.publish(feeds.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch)));
+    core.on("chosen", (value) => feed.publishSnapshot(feedTopics.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch)));
     this.node.network.listen(this.node.name, handlers);
   }
 
@@ -129,14 +130,14 @@
   }
 
   private turn(): void {
-    this.dial.turn();
+    this.dial.maintainLinks();
     this.core.runPeriodically();
     this.voterManager.runPeriodically();
   }
 
   private beat(): void {
     const isSettled = this.core.hasQuorum();
-    this.dial.tellAll({ isReady: true, epoch: this.epoch, isSettled, index: 0, members: 1, silentRegions: [] });
+    this.dial.sendHeartbeats({ isReady: true, epoch: this.epoch, isSettled, index: 0, members: 1, silentRegions: [] });
   }
 
   call(method: string, path: string, base = 0, body: Buffer = Buffer.alloc(0)): Promise<serve.Told> {
@@ -146,7 +147,7 @@
 
   end(): void {
     this.isOver = true;
-    this.dial.end();
+    this.dial.close();
     for (const caller of this.callers) caller.end("process ended");
     this.core.detachVoter();
     this.node.network.close(this.node.name);
--- a/tests/sim/fleet.ts
+++ b/tests/sim/fleet.ts
@@ -56,12 +56,12 @@
     this.dial.reach = (address) => fleet.connect(address, this.handlers);
     this.handlers.on(calls.hello, (from, ask) => {
       this.members.openSession(ask.node, from);
-      if (ask.node.role === "control") this.dial.inReach(ask.node.address);
-      return { node: this.describe(), controls: [info, ...this.dial.met()], place: info.name, isConfirmed: this.isSettled };
+      if (ask.node.role === "control") this.dial.dialWithoutBackoff(ask.node.address);
+      return { node: this.describe(), controls: [info, ...this.dial.connectedControls()], place: info.name, isConfirmed: this.isSettled };
     });
     this.handlers.on(calls.beat, (from, told) => {
       this.members.receiveHeartbeat(from, told);
-      this.dial.heard(from, told);
+      this.dial.receiveHeartbeat(from, told);
       return null;
     });
     this.handlers.on(calls.sessions, (from, told) => {
@@ -69,14 +69,14 @@
       if (told.isWhole) this.wholes += 1;
       else this.entries += told.nodes.length + told.gone.length;
       this.members.receiveRoster(from, told);
-      this.dial.learn(told.controls);
+      this.dial.addControls(told.controls);
       return null;
     });
     this.handlers.on(calls.whole, (from) => {
       this.members.forgetOffset(from);
       return null;
     });
-    this.dial.on("up", () => this.members.publishControls([info, ...this.dial.met()]));
+    this.dial.on("up", () => this.members.publishControls([info, ...this.dial.connectedControls()]));
   }
   private describe(): schema.NodeInfo {
     return nodeOf(this.info.name, "control", this.info.region, this.info.address);
@@ -85,17 +85,17 @@
     if (!this.isUp) return;
     const base = { isReady: true, epoch: types.FIRST_EPOCH, isSettled: this.isSettled, silentRegions: this.dial.silentRegions(), index: 0 };
     this.members.sendHeartbeats(base);
-    this.dial.tellAll({ ...base, members: 1 });
-    this.members.publishRoster(this.describe(), this.dial.links(), [this.info, ...this.dial.met()]);
+    this.dial.sendHeartbeats({ ...base, members: 1 });
+    this.members.publishRoster(this.describe(), this.dial.links(), [this.info, ...this.dial.connectedControls()]);
   }
   turn(): void {
     if (!this.isUp) return;
-    this.dial.turn();
+    this.dial.maintainLinks();
     this.members.expireSilent();
   }
   kill(): void {
     this.isUp = false;
-    this.dial.end();
+    this.dial.close();
     this.members.closeSessions();
   }
 }
@@ -127,22 +127,22 @@
       return fleet.connect(address, this.handlers);
     };
     this.handlers.on(calls.beat, (from, told) => {
-      this.dial.heard(from, told);
+      this.dial.receiveHeartbeat(from, told);
       return null;
     });
     this.handlers.on(calls.controls, (_from, told) => {
-      this.dial.learn(told.controls);
+      this.dial.addControls(told.controls);
       return null;
     });
-    this.dial.know(seeds);
+    this.dial.addAddresses(seeds);
   }
   beat(): void {
     if (this.isUp)
-      this.dial.tellAll({ isReady: this.isReady, epoch: this.epoch, isSettled: true, index: 0, members: 1, silentRegions: [] });
+      this.dial.sendHeartbeats({ isReady: this.isReady, epoch: this.epoch, isSettled: true, index: 0, members: 1, silentRegions: [] });
   }
   kill(): void {
     this.isUp = false;
-    this.dial.end();
+    this.dial.close();
   }
   held(): string[] {
     return [...this.dial.controls.keys()].sort();
@@ -174,7 +174,7 @@
   control(name: string, region: string, seeds: string[]): SimControl {
     const made = new SimControl(this, { address: `${name}:1`, name, zone: region, region });
     this.controls.set(made.info.address, made);
-    made.dial.know(seeds);
+    made.dial.addAddresses(seeds);
     this.every(100, () => made.turn());
     this.every(link.BEAT_MS, () => made.beat());
     return made;
@@ -183,7 +183,7 @@
   router(name: string, region: string, seeds: string[]): SimRouter {
     const made = new SimRouter(this, name, region, seeds);
     this.routers.push(made);
-    this.every(100, () => made.isUp && made.dial.turn());
+    this.every(100, () => made.isUp && made.dial.maintainLinks());
     this.every(link.BEAT_MS, () => made.beat());
     return made;
   }
--- a/tests/sim/links.ts
+++ b/tests/sim/links.ts
@@ -1,9 +1,11 @@
 // Feeds and a follower joined by links that a test delays, cuts and garbles; no sockets.
 import * as events from "node:events";
+import type * as controlNode from "../../src/feed/control-node.js";
 import type * as dialer from "../../src/feed/dialer.js";
-import * as feeds from "../../src/feed/feed.js";
-import * as followers from "../../src/feed/follower.js";
-import type * as mirrors from "../../src/feed/mirror.js";
+import type * as feedPublisher from "../../src/feed/feed-publisher.js";
+import * as feedTopics from "../../src/feed/feed-topics.js";
+import * as feedSubscriber from "../../src/feed/feed-subscriber.js";
+import type * as feedReplica from "../../src/feed/feed-replica.js";
 import * as calls from "../../src/wire/calls.js";
 import * as link from "../../src/wire/link.js";
 import * as schema from "../../src/wire/schema.js";
@@ -59,19 +61,19 @@
 }
 
 export interface Session {
-  control: dialer.Control;
+  control: controlNode.ControlNode;
   down: SimLink;
   up: SimLink;
 }
 
 /** A router's follower over simulated links to feeds that stand for control nodes. */
 export class SimRouter extends events.EventEmitter {
-  readonly controls = new Map<string, dialer.Control>();
+  readonly controls = new Map<string, controlNode.ControlNode>();
   readonly sessions = new Map<string, Session>();
   readonly epochs: number[] = [];
-  readonly applied: mirrors.Applied[] = [];
+  readonly applied: feedReplica.AppliedChange[] = [];
   readonly left: [string, readonly string[]][] = [];
-  readonly follower: followers.Follower;
+  readonly follower: feedSubscriber.FeedSubscriber;
   private readonly handlers = new link.Handlers();
   topics: string[] = [LIST];
 
@@ -80,34 +82,36 @@
     region = "a",
   ) {
     super();
-    this.follower = new followers.Follower(clock, region, this as unknown as dialer.Dialer, this.handlers, () => this.topics, {
-      leave: (topic, keys) => this.left.push([topic, keys]),
-      take: (applied) => {
+    this.follower = new feedSubscriber.FeedSubscriber(clock, region, this as unknown as dialer.Dialer, this.handlers, () => this.topics, {
+      onUnsubscribe: (topic, keys) => this.left.push([topic, keys]),
+      onChange: (applied) => {
         this.applied.push(applied);
-        if (applied.topic === feeds.REGISTER_TOPIC) this.epochs.push(applied.stamp);
+        if (applied.topic === feedTopics.REGISTER_TOPIC) this.epochs.push(applied.stamp);
       },
     });
   }
 
-  heard(): void {
+  receiveHeartbeat(): void {
     return undefined;
   }
 
-  join(name: string, region: string, feed: feeds.Feed, delayMs = 20): Session {
+  join(name: string, region: string, feed: feedPublisher.FeedPublisher, delayMs = 20): Session {
     const codes: Record<string, number> = { change: calls.change.code, notice: calls.notice.code, follow: calls.follow.code };
     const down: SimLink = new SimLink(this.clock, delayMs, (code, ask) =>
       this.handlers.get(codes[code])!(up as unknown as link.Link, ask as never),
     );
-    const up: SimLink = new SimLink(this.clock, delayMs, (_code, ask) => feed.follow(down as unknown as link.Link, ask as schema.Follow));
+    const up: SimLink = new SimLink(this.clock, delayMs, (_code, ask) =>
+      feed.subscribe(down as unknown as link.Link, ask as schema.Follow),
+    );
     const control = {
       address: name,
       node: { name, region } as schema.NodeInfo,
-      place: feed.place,
+      feedIncarnation: feed.incarnation,
       link: up as unknown as link.Link,
-      beat: null,
-      beatAt: Infinity,
+      heartbeat: null,
+      heartbeatAt: Infinity,
       wasConfirmed: true,
-      tripMs: 0,
+      roundTripMs: 0,
     };
     const session = { control, down, up };
     this.controls.set(name, control);
@@ -127,7 +131,7 @@
   }
 
   held(topic: string): Record<string, string> {
-    return Object.fromEntries([...this.follower.mirror.bodies(topic)].map(([key, body]) => [key, body.toString()]).sort());
+    return Object.fromEntries([...this.follower.replica.bodies(topic)].map(([key, body]) => [key, body.toString()]).sort());
   }
 }
 
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -13,7 +13,8 @@
 import type * as serve from "../../src/wire/serve.js";
 import * as membership from "../../src/control/members/membership.js";
 import * as dialer from "../../src/feed/dialer.js";
-import * as feeds from "../../src/feed/feed.js";
+import * as feedPublisher from "../../src/feed/feed-publisher.js";
+import * as feedTopics from "../../src/feed/feed-topics.js";
 import * as registerValue from "../../src/register/register-value.js";
 import * as acceptor from "../../src/register/acceptor.js";
 import * as calls from "../../src/wire/calls.js";
@@ -83,7 +84,7 @@
   readonly world: networks.NodeWorld;
   readonly dial: MemberDialer;
   readonly members: membership.Membership;
-  readonly feed: feeds.Feed;
+  readonly feed: feedPublisher.FeedPublisher;
   readonly core: registerReplica.RegisterReplica;
   readonly leaseServer: leaseServer.LeaseServer;
   readonly contact: quorumContact.QuorumContact;
@@ -103,9 +104,9 @@
     const seeds = options.seeds.map(addressOf);
     this.dial = new MemberDialer(world, addressOf(name), this.handlers, this.describe.bind(this), link.SILENT_MS);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
-    this.dial.know(seeds);
+    this.dial.addAddresses(seeds);
     this.members = new membership.Membership(world, link.SILENT_MS, `${name}/1`);
-    this.feed = new feeds.Feed(`${name}/1`);
+    this.feed = new feedPublisher.FeedPublisher(`${name}/1`);
     const first = registerValue.initialValue(seeds);
     this.core = new registerReplica.RegisterReplica(world, { life: `${name}/1`, address: addressOf(name), first }, this.dial);
     this.leaseServer = new leaseServer.LeaseServer(world, `${name}/1`, BOUNDS, this.core);
@@ -139,16 +140,16 @@
       contact,
       describe,
       controls: () => this.controls(),
-      feedIncarnation: feed.place,
+      feedIncarnation: feed.incarnation,
     });
     handlers.on(calls.follow, (from, ask) => {
-      feed.follow(from, ask);
+      feed.subscribe(from, ask);
       return null;
     });
     dial.on("up", () => members.publishControls(this.controls()));
     contact.on("confirmed", () => this.tell());
     contact.on("lost", () => this.tell());
-    core.on("chosen", (value) => feed.publish(feeds.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch)));
+    core.on("chosen", (value) => feed.publishSnapshot(feedTopics.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch)));
     this.network.listen(this.name, handlers);
   }
 
@@ -174,7 +175,7 @@
   }
 
   private controls(): schema.ControlInfo[] {
-    return [{ address: addressOf(this.name), name: this.name, zone: this.region, region: this.region }, ...this.dial.met()];
+    return [{ address: addressOf(this.name), name: this.name, zone: this.region, region: this.region }, ...this.dial.connectedControls()];
   }
 
   private beat(): void {
@@ -188,12 +189,12 @@
     const { epoch, isLeaving } = this;
     const base = { isReady: !isLeaving, epoch, isSettled, silentRegions: this.dial.silentRegions(), index: features.OWN_FEATURES };
     this.members.sendHeartbeats(base);
-    this.dial.tellAll({ ...base, members: 1 });
+    this.dial.sendHeartbeats({ ...base, members: 1 });
     this.members.publishRoster(this.describe(), this.dial.links(), this.controls());
   }
 
   private turn(): void {
-    this.dial.turn();
+    this.dial.maintainLinks();
     this.members.expireSilent();
     this.core.runPeriodically();
     this.contact.runPeriodically();
--- a/tests/sim/quotas.ts
+++ b/tests/sim/quotas.ts
@@ -1,6 +1,6 @@
 // Owners of quotas and routers that ask them for units, over a simulated network with faults by seed, and a record of
 // what ran that knows nothing of units.
-import type * as dialer from "../../src/feed/dialer.js";
+import type * as controlNode from "../../src/feed/control-node.js";
 import type * as quotaClaim from "../../src/tenants/quota-claim.js";
 import * as quotaClient from "../../src/tenants/quota-client.js";
 import * as quotaOwner from "../../src/tenants/quota-owner.js";
@@ -92,7 +92,7 @@
 
 /** A router with links to all owners, or to some. */
 export class Router {
-  readonly controls = new Map<string, dialer.Control>();
+  readonly controls = new Map<string, controlNode.ControlNode>();
   readonly client: quotaClient.QuotaClient;
   frozenUntil = 0;
   asks = 0;
@@ -112,7 +112,7 @@
       this.call(owner, ask, withinMs, tripMs);
     const node = { region } as schema.NodeInfo;
     Object.defineProperty(node, "life", { get: () => owner.life });
-    const control = { address: owner.disk, node, link: { isOpen: true, call }, tripMs } as unknown as dialer.Control;
+    const control = { address: owner.disk, node, link: { isOpen: true, call }, roundTripMs: tripMs } as unknown as controlNode.ControlNode;
     this.controls.set(owner.disk, control);
   }
 
--- a/tests/sim/router-node.ts
+++ b/tests/sim/router-node.ts
@@ -1,6 +1,6 @@
 // Routers over a simulated network, as far as they follow control nodes and start.
 import * as sessionSelector from "../../src/feed/session-selector.js";
-import * as followers from "../../src/feed/follower.js";
+import * as feedSubscriber from "../../src/feed/feed-subscriber.js";
 import * as serveGate from "../../src/router/serve-gate.js";
 import * as calls from "../../src/wire/calls.js";
 import * as link from "../../src/wire/link.js";
@@ -10,10 +10,10 @@
 import * as members from "./members.js";
 import * as networks from "./network.js";
 
-export class RouterNode implements followers.Taker {
+export class RouterNode implements feedSubscriber.FeedListener {
   readonly handlers = new link.Handlers();
   readonly dial: members.MemberDialer;
-  readonly follower: followers.Follower;
+  readonly follower: feedSubscriber.FeedSubscriber;
   readonly gate: serveGate.ServeGate;
   readonly epochs: { at: number; epoch: number }[] = [];
   openedAt = -1;
@@ -32,19 +32,19 @@
     this.dial = new members.MemberDialer(world, "", this.handlers, describe, link.SILENT_MS, selector);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.gate = new serveGate.ServeGate(world, this.dial.controls, unconfirmedMs, () => (this.openedAt = network.clock.now()));
-    this.dial.on("beat", () => this.judge());
-    this.follower = new followers.Follower(world, region, this.dial, this.handlers, () => [], this);
+    this.dial.on("heartbeat", () => this.judge());
+    this.follower = new feedSubscriber.FeedSubscriber(world, region, this.dial, this.handlers, () => [], this);
     this.handlers.on(calls.controls, (_from, told) => {
-      this.dial.learn(told.controls);
+      this.dial.addControls(told.controls);
       return null;
     });
-    this.dial.know(seeds.map(members.addressOf));
+    this.dial.addAddresses(seeds.map(members.addressOf));
     members.every(world, link.BEAT_MS, () => this.beat());
     members.every(world, 100, () => this.turn());
   }
 
   get main(): string {
-    return this.follower.main?.node.name ?? "";
+    return this.follower.primary?.node.name ?? "";
   }
 
   private judge(): void {
@@ -52,21 +52,21 @@
   }
 
   private beat(): void {
-    this.dial.tellAll({ isReady: this.gate.allows(), epoch: this.epoch, isSettled: true, index: 0, members: 1, silentRegions: [] });
+    this.dial.sendHeartbeats({ isReady: this.gate.allows(), epoch: this.epoch, isSettled: true, index: 0, members: 1, silentRegions: [] });
   }
 
   private turn(): void {
     this.judge();
-    this.dial.turn();
-    this.follower.elect();
-    this.follower.narrow();
+    this.dial.maintainLinks();
+    this.follower.selectPrimary();
+    this.follower.updateSubscriptions();
   }
 
-  take(applied: { stamp: types.Stamp }): void {
+  onChange(applied: { stamp: types.Stamp }): void {
     this.epoch = types.small(applied.stamp);
     this.epochs.push({ at: this.network.clock.now(), epoch: this.epoch });
     this.judge();
   }
 
-  leave(): void {}
+  onUnsubscribe(): void {}
 }
--- a/tests/sim/usage.ts
+++ b/tests/sim/usage.ts
@@ -1,6 +1,7 @@
 // Regions of runners with work that comes and goes, read each period and told to simulated routers.
-import * as feeds from "../../src/feed/feed.js";
-import type * as mirrors from "../../src/feed/mirror.js";
+import * as feedPublisher from "../../src/feed/feed-publisher.js";
+import * as feedTopics from "../../src/feed/feed-topics.js";
+import type * as feedReplica from "../../src/feed/feed-replica.js";
 import * as runnerFleet from "../../src/runners/runner-fleet.js";
 import * as loadPublisher from "../../src/load/load-publisher.js";
 import * as loadReader from "../../src/load/load-reader.js";
@@ -53,7 +54,7 @@
 /** One control node that reads all regions, and routers that follow it. */
 export class System {
   readonly clock = new sims.SimWorld(11);
-  readonly feed = new feeds.Feed("place");
+  readonly feed = new feedPublisher.FeedPublisher("place");
   readonly publisher = new loadPublisher.LoadPublisher(this.clock, this.feed);
   readonly regions: Region[];
 
@@ -94,18 +95,18 @@
     this.fleet.applySnapshot(system.instances());
     this.made = new links.SimRouter(system.clock, region);
     this.made.topics = this.reader.topics();
-    this.made.applied.push = (...applied: mirrors.Applied[]) => {
+    this.made.applied.push = (...applied: feedReplica.AppliedChange[]) => {
       for (const item of applied) this.reader.applyUpdate(item);
       return applied.length;
     };
-    this.reader.refresh(this.made.follower.mirror);
+    this.reader.refresh(this.made.follower.replica);
     this.session = this.made.join("c", region, system.feed);
   }
 
   watch(): void {
     this.made.topics = this.reader.topics();
-    this.made.follower.narrow();
-    this.reader.refresh(this.made.follower.mirror);
+    this.made.follower.updateSubscriptions();
+    this.reader.refresh(this.made.follower.replica);
   }
 
   /** Bytes on the way to this router since the last time it was asked. */
@@ -114,6 +115,6 @@
   }
 
   cells(): string[] {
-    return [...new Set(this.made.topics.filter((topic) => feeds.regionOf(topic) !== null))];
+    return [...new Set(this.made.topics.filter((topic) => feedTopics.regionOf(topic) !== null))];
   }
 }
--- a/tests/sim/watch.ts
+++ b/tests/sim/watch.ts
@@ -1,6 +1,6 @@
 /** What the tests of the list and of the reports share: siblings, a stand-in platform, a clock beside real sockets. */
 import type * as dialer from "../../src/feed/dialer.js";
-import * as keyed from "../../src/feed/keyed.js";
+import * as keyedItems from "../../src/feed/keyed-items.js";
 import * as platforms from "../../src/emulator/platform.js";
 import * as schema from "../../src/wire/schema.js";
 import * as timers from "../../src/runtime/timers.js";
@@ -22,7 +22,7 @@
 }
 
 export function keysOf(change: schema.Change): string[] {
-  return [...keyed.unpack(change).keys()];
+  return [...keyedItems.unpackChanges(change).keys()];
 }
 
 export function listed(count: number, more: Partial<platforms.Listed> = {}): platforms.Listed[] {
--- a/tests/support/tally-cluster.ts
+++ b/tests/support/tally-cluster.ts
@@ -1,5 +1,6 @@
 // Control nodes that keep tallies over links that a test cuts, with disks that it stalls, wipes and takes the power from.
 import * as events from "node:events";
+import type * as controlNode from "../../src/feed/control-node.js";
 import type * as dialer from "../../src/feed/dialer.js";
 import * as tallies from "../../src/tallies/tallies.js";
 import type * as calls from "../../src/wire/calls.js";
@@ -24,7 +25,7 @@
 }
 
 class SimDial extends events.EventEmitter<dialer.DialerEvents> {
-  readonly controls = new Map<string, dialer.Control>();
+  readonly controls = new Map<string, controlNode.ControlNode>();
 }
 
 /** One life of one node's process. */
@@ -193,10 +194,10 @@
       address: other.address,
       node: { address: other.address, zone: other.address },
       link: made,
-      beat: { index: features.OWN_FEATURES },
-    } as unknown as dialer.Control;
+      heartbeat: { index: features.OWN_FEATURES },
+    } as unknown as controlNode.ControlNode;
     life.dial.controls.set(other.address, control);
-    this.clock.schedule(REDIAL_MS, () => !life.isDead && made.isOpen && life.dial.emit("beat", control));
+    this.clock.schedule(REDIAL_MS, () => !life.isDead && made.isOpen && life.dial.emit("heartbeat", control));
   }
 
   play(ms: number): Promise<void> {
--- a/tests/tenancy.test.ts
+++ b/tests/tenancy.test.ts
@@ -1,6 +1,6 @@
 // Keys and quotas at a router over real sockets: who is let in, what the runner sees, and what becomes of units.
 import * as net from "node:net";
-import type * as dialer from "../src/feed/dialer.js";
+import type * as controlNode from "../src/feed/control-node.js";
 import * as tenantGate from "../src/router/tenant-gate.js";
 import * as digests from "../src/tenants/digest.js";
 import * as tenant from "../src/tenants/tenant.js";
@@ -15,12 +15,12 @@
   units = Infinity;
   epoch = 1;
   readonly unused: number[] = [];
-  readonly controls = new Map<string, dialer.Control>();
+  readonly controls = new Map<string, controlNode.ControlNode>();
 
   constructor() {
     const node = { life: "life", region: "r" };
     const call = (_pair: unknown, ask: tenantSchema.QuotaAsk): Promise<tenantSchema.QuotaReply> => this.answer(ask);
-    this.controls.set("a", { address: "a", node, link: { isOpen: true, call }, tripMs: 1 } as unknown as dialer.Control);
+    this.controls.set("a", { address: "a", node, link: { isOpen: true, call }, roundTripMs: 1 } as unknown as controlNode.ControlNode);
   }
 
   /** Until it is opened, the units are counted and the replies are on their way. */
--- a/tests/tenants.test.ts
+++ b/tests/tenants.test.ts
@@ -94,11 +94,11 @@
   const splitter = new parts.Splitter();
   const held = new parts.ConfigParts();
   const first = splitter.split(valueOf({ ...BASE, tenants: TENANTS }));
-  held.take({ kind: "applied", topic: "register", stamp: types.small(1), changed: first, gone: [], isFirst: true });
+  held.take({ kind: "applied", topic: "register", stamp: types.small(1), changed: first, removed: [], isFirst: true });
   expect(held.tenants.find("key-one")).toMatchObject({ name: "yard", priority: 0, isLimited: true, homes: ["suva"] });
   const second = splitter.split(valueOf({ ...BASE, tenants: [TENANTS[1]] }, 2));
   const gone = [...first.keys()].filter((key) => !second.has(key));
-  held.take({ kind: "applied", topic: "register", stamp: types.small(2), changed: new Map(), gone, isFirst: false });
+  held.take({ kind: "applied", topic: "register", stamp: types.small(2), changed: new Map(), removed: gone, isFirst: false });
   expect(held.tenants.find("key-one")).toBeNull();
   expect(held.tenants.find("key-three")?.name).toBe("school");
 });
--- a/tests/value-size.test.ts
+++ b/tests/value-size.test.ts
@@ -3,7 +3,7 @@
 import * as change from "../src/config/change.js";
 import * as link from "../src/wire/link.js";
 import * as parts from "../src/config/parts.js";
-import * as keyed from "../src/feed/keyed.js";
+import * as keyedItems from "../src/feed/keyed-items.js";
 import * as orderHistory from "../src/register/order-history.js";
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
@@ -62,7 +62,7 @@
     config: value.config.length,
     accept: schema.accept.toBuffer({ disk, ballot, isSetChosen: true, value }).length,
     record: schema.disk.toBuffer({ disk, promised: ballot, accepted: { ballot, value } }).length,
-    view: keyed.pack(new parts.Splitter().split(value)).items.length,
+    view: keyedItems.packChanges(new parts.Splitter().split(value)).items.length,
   };
 }
 
@@ -82,14 +82,14 @@
 
 test("one changed route travels as one item, and a view as one frame", () => {
   const splitter = new parts.Splitter();
-  const held = new keyed.Keyed();
-  held.apply(held.planView(splitter.split(valueOf(5000, 100))));
+  const held = new keyedItems.KeyedItems();
+  held.apply(held.planSnapshot(splitter.split(valueOf(5000, 100))));
   const document = documentOf(5000, 300);
   (document["routes"] as Record<string, unknown>[])[77] = routeOf(77, 4321);
   const next = registerValue.withConfig(valueOf(5000, 100), 301, registerValue.pack(document), "one");
-  const plan = held.planView(splitter.split(next));
+  const plan = held.planSnapshot(splitter.split(next));
   expect([...plan.changed.keys()].sort()).toEqual(["meta", `route:r-${(77 * 7919).toString(36)}`]);
-  const { items } = keyed.pack(keyed.changesOf(plan));
+  const { items } = keyedItems.packChanges(keyedItems.changesOf(plan));
   process.stderr.write(`a difference of one route: ${items.length} bytes\n`);
   expect(items.length).toBeLessThan(600);
 });
