--- a/src/batch/record-file.ts
+++ b/src/batch/record-file.ts
@@ -84,7 +84,7 @@
   private async write(place: Place, body: Buffer): Promise<void> {
     if (this.has(place)) return;
     const bytes = Buffer.concat([headOf(place, body), body]);
-    await files.writeWhole(this.file, bytes, this.end);
+    await files.writeFully(this.file, bytes, this.end);
     await this.file.sync();
     this.extents.set(placeKey(place), { at: this.end + HEAD_BYTES, bytes: body.length });
     this.end += bytes.length;
@@ -110,7 +110,7 @@
 
 /** The same bytes once more: a sync alone proves nothing of writes of an earlier process. */
 async function rewrite(file: files.StoreFile, bytes: Buffer): Promise<void> {
-  await files.writeWhole(file, bytes, 0);
+  await files.writeFully(file, bytes, 0);
   await file.sync();
 }
 
--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -11,7 +11,7 @@
 import type * as dialer from "../../feed/dialer.js";
 import * as registerValue from "../../register/register-value.js";
 import * as files from "../../store/files.js";
-import * as owner from "../../store/owner.js";
+import * as dataDirLock from "../../store/data-dir-lock.js";
 import * as voterManager from "../voters/voter-manager.js";
 import type * as channel from "../channel.js";
 import * as registerReplica from "../register-replica.js";
@@ -52,8 +52,8 @@
     const { life, address, seeds, isBootstrap } = options;
     const first = registerValue.initialValue(isBootstrap ? seeds : []);
     this.core = new registerReplica.RegisterReplica(clock, { life, address, first, channel: this.channel() }, dial);
-    const folder = new files.RealFolder(path.join(options.dataDir, FOLDER));
-    const machine = { clock, folder, processes: owner.realProcesses };
+    const folder = new files.LocalFolder(path.join(options.dataDir, FOLDER));
+    const machine = { clock, folder, processes: dataDirLock.systemProcesses };
     this.disk = new voterDisk.VoterDisk(machine, { address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
     this.voterManager = new voterManager.VoterManager(clock, this.core, this.nodes.bind(this));
     dial.on("up", this.tell.bind(this));
@@ -85,8 +85,8 @@
   }
 
   /** Where the records of batches go, beside the register's own files. */
-  recordFolder(): files.RealFolder {
-    return new files.RealFolder(path.join(this.options.dataDir, FOLDER, "records"));
+  recordFolder(): files.LocalFolder {
+    return new files.LocalFolder(path.join(this.options.dataDir, FOLDER, "records"));
   }
 
   private tell(control: controlNode.ControlNode): void {
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -13,7 +13,7 @@
 import * as feedTopics from "../feed/feed-topics.js";
 import * as registerValue from "../register/register-value.js";
 import * as files from "../store/files.js";
-import * as owner from "../store/owner.js";
+import * as dataDirLock from "../store/data-dir-lock.js";
 import * as tree from "../supervisor/tree.js";
 import * as account from "./account.js";
 import * as voterManager from "./voters/voter-manager.js";
@@ -162,7 +162,7 @@
   private openDisk(seeds: string[]): void {
     const { data_dir: name, bootstrap: isBootstrap } = this.startup;
     if (!name) return;
-    const machine = { clock: this.clock, folder: new files.RealFolder(name), processes: owner.realProcesses };
+    const machine = { clock: this.clock, folder: new files.LocalFolder(name), processes: dataDirLock.systemProcesses };
     this.disk = new voterDisk.VoterDisk(machine, { address: this.address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
     this.disk.start();
     void this.leases.quotas.open(machine.folder);
--- a/src/control/voters/voter-disk.ts
+++ b/src/control/voters/voter-disk.ts
@@ -10,9 +10,9 @@
 import * as conversion from "../../store/conversion.js";
 import type * as files from "../../store/files.js";
 import * as format from "../../store/format.js";
-import * as owner from "../../store/owner.js";
-import * as remedies from "../../store/remedies.js";
-import * as ring from "../../store/ring.js";
+import * as dataDirLock from "../../store/data-dir-lock.js";
+import * as storageRemedies from "../../store/storage-remedies.js";
+import * as recordRing from "../../store/record-ring.js";
 import * as schema from "../../wire/schema.js";
 import * as types from "../../wire/types.js";
 import * as timers from "../../runtime/timers.js";
@@ -38,7 +38,7 @@
 export interface Machine {
   clock: types.Clock;
   folder: files.StoreFolder;
-  processes: owner.ProcessTable;
+  processes: dataDirLock.ProcessTable;
 }
 
 /** `opening`: not read yet; `ready`: the last write succeeded; `refusing`: it failed; `hanging`: the disk does not answer. */
@@ -70,14 +70,14 @@
   return { disk, promised: registerValue.NO_BALLOT, accepted };
 }
 
-function stateOf(opened: ring.OpenedRing, node: VoterNode): schema.Disk {
-  if (opened.newest) return acceptor.Acceptor.restore(opened.newest);
+function stateOf(opened: recordRing.OpenedRing, node: VoterNode): schema.Disk {
+  if (opened.newestBody) return acceptor.Acceptor.restore(opened.newestBody);
   return opened.unconverted ? release1.convert(opened.unconverted) : blankState(node, opened.isPristine);
 }
 
 /** The disk of one voter; `start` begins to open it. */
 export class VoterDisk implements acceptor.RecordStore {
-  private ring: ring.Ring | null = null;
+  private ring: recordRing.RecordRing | null = null;
   private state: Exclude<DiskState, "hanging"> = "opening";
   private isHanging = false;
   private error = "";
@@ -130,13 +130,13 @@
   private async open(): Promise<void> {
     const { folder, processes } = this.machine;
     await folder.make();
-    await owner.claim(folder, processes);
-    const opened = await ring.Ring.open(folder, { layout: recordLayout(), newSetId });
+    await dataDirLock.acquire(folder, processes);
+    const opened = await recordRing.RecordRing.open(folder, { layout: recordLayout(), newSetId });
     try {
       const state = stateOf(opened, this.node);
-      if (!opened.newest) await opened.ring.write(schema.disk.toBuffer(state));
-      if (opened.unconverted) await conversion.discard(folder);
-      else if (!opened.newest) log.state(`store: no record on disk, new identity ${state.disk}`);
+      if (!opened.newestBody) await opened.ring.write(schema.disk.toBuffer(state));
+      if (opened.unconverted) await conversion.discardCopy(folder);
+      else if (!opened.newestBody) log.state(`store: no record on disk, new identity ${state.disk}`);
       this.finishOpening(opened.ring, state);
     } catch (cause) {
       await opened.ring.close();
@@ -144,7 +144,7 @@
     }
   }
 
-  private finishOpening(ring: ring.Ring, state: schema.Disk): void {
+  private finishOpening(ring: recordRing.RecordRing, state: schema.Disk): void {
     if (this.state === "closed") {
       void ring.close();
       return;
@@ -210,7 +210,7 @@
   }
 
   private recordRefusal(cause: unknown): void {
-    const error = remedies.describe(cause);
+    const error = storageRemedies.describeFailure(cause);
     log.count("disk.refused");
     if (error !== this.error) log.state(`disk: data_dir ${this.machine.folder.name}: ${error}; this node does not vote until it can`);
     this.setState("refusing", error);
--- a/src/register/proposer.ts
+++ b/src/register/proposer.ts
@@ -94,7 +94,7 @@
         this.contention.recordChangeDuration(this.clock.now() - startedAt);
         return outcome;
       }
-      log.count("register.again");
+      log.count("register.ballot_retried");
       await timers.sleep(this.clock, backoffMs * (0.2 + 1.6 * this.clock.random()));
       const isKeptApart = isPatient() && this.contention.isActive();
       backoffMs = Math.min(isKeptApart ? MAX_CONTENDED_BACKOFF_MS : MAX_BACKOFF_MS, backoffMs * 2);
--- a/src/store/files.ts
+++ b/src/store/files.ts
@@ -1,18 +1,19 @@
 /**
- * What the store asks of a file system, and the real one. Tests hand in a simulated disk.
+ * The file system as the stores use it, and its local implementation. Tests substitute a simulated disk.
  */
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
 import * as errors from "../runtime/errors.js";
 import * as log from "../runtime/log.js";
+import * as storageRemedies from "./storage-remedies.js";
 
 /** One open file. Positions and lengths are in bytes. */
 export interface StoreFile {
   /** The whole content. */
   read(): Promise<Buffer>;
-  /** Writes at a position and gives the count of bytes written, which may be smaller than asked. */
+  /** Writes at a position and resolves with the count of bytes written, which may be smaller than requested. */
   write(bytes: Buffer, position: number): Promise<number>;
-  /** Resolves once every write of this file is durable. After a failure nothing is known of any of them. */
+  /** Resolves once all writes to this file are durable. After a failure nothing is known about any of them. */
   sync(): Promise<void>;
   close(): Promise<void>;
 }
@@ -20,30 +21,30 @@
 /** The folder of one voter. */
 export interface StoreFolder {
   readonly name: string;
-  /** Makes the folder and its parents where they are missing. */
+  /** Creates the folder and its missing parents. */
   make(): Promise<void>;
-  /** Opens a file, made empty if it is missing. */
+  /** Opens a file; creates it empty if it is missing. */
   open(name: string): Promise<StoreFile>;
-  /** Resolves once the names of the files, of the folder and of the parents that were made are durable. */
+  /** Resolves once the names of the files, of the folder and of its created parents are durable. */
   sync(): Promise<void>;
 }
 
-/** A file that is read in parts, too. */
+/** A file that can also be read in parts. */
 export interface RecordFile extends StoreFile {
-  /** So many bytes from a position on; fewer at the end of the file. */
+  /** Reads up to `bytes` bytes from a position on; fewer at the end of the file. */
   readAt(position: number, bytes: number): Promise<Buffer>;
 }
 
-/** A folder whose files come and go (batch/records.ts). */
+/** A folder whose files are created and removed over time (batch/records.ts). */
 export interface RecordFolder extends StoreFolder {
   open(name: string): Promise<RecordFile>;
   /** Names of all files there. */
   names(): Promise<string[]>;
-  /** Takes a file away; durable with the next `sync`. */
+  /** Removes a file; durable with the next `sync`. */
   remove(name: string): Promise<void>;
 }
 
-class RealFile implements RecordFile {
+class LocalFile implements RecordFile {
   constructor(private readonly handle: fs.FileHandle) {}
 
   read(): Promise<Buffer> {
@@ -69,20 +70,20 @@
   }
 }
 
-/** A folder of the machine's own file system. */
-export class RealFolder implements RecordFolder {
-  /** The topmost folder that this process made itself; its parent must be synced, too. */
-  private firstMade: string | null = null;
+/** A folder of the local file system. */
+export class LocalFolder implements RecordFolder {
+  /** The topmost folder that this process created; its parent must be synced, too. */
+  private topmostCreated: string | null = null;
 
   constructor(readonly name: string) {}
 
   async make(): Promise<void> {
-    const firstMade = await fs.mkdir(this.name, { recursive: true });
-    if (firstMade !== undefined && this.firstMade === null) this.firstMade = path.resolve(firstMade);
+    const topmostCreated = await fs.mkdir(this.name, { recursive: true });
+    if (topmostCreated !== undefined && this.topmostCreated === null) this.topmostCreated = path.resolve(topmostCreated);
   }
 
   async open(name: string): Promise<RecordFile> {
-    return new RealFile(await fs.open(path.join(this.name, name), fs.constants.O_RDWR | fs.constants.O_CREAT));
+    return new LocalFile(await fs.open(path.join(this.name, name), fs.constants.O_RDWR | fs.constants.O_CREAT));
   }
 
   names(): Promise<string[]> {
@@ -95,8 +96,8 @@
 
   async sync(): Promise<void> {
     const folder = path.resolve(this.name);
-    const parents = parentsUpTo(folder, this.firstMade);
-    if (this.firstMade === null) await Promise.all([syncFolder(folder), syncForeignParent(path.dirname(folder))]);
+    const parents = parentsUpTo(folder, this.topmostCreated);
+    if (this.topmostCreated === null) await Promise.all([syncFolder(folder), syncForeignParent(path.dirname(folder))]);
     else await Promise.all([folder, ...parents].map(syncFolder));
   }
 }
@@ -120,18 +121,18 @@
   }
 }
 
-/** A parent that was there before: an earlier process may have made the folder and ended. It may be closed to this user. */
+/** Syncs a parent that existed before: an earlier process may have created the folder and ended. This user may have no access to it. */
 async function syncForeignParent(folder: string): Promise<void> {
   try {
     await syncFolder(folder);
   } catch (cause) {
-    if ((cause as NodeJS.ErrnoException).code === "EIO") throw cause;
+    if (storageRemedies.errorCodeOf(cause) === "EIO") throw cause;
     log.count("store.parent_sync_failed");
   }
 }
 
-/** A write may take fewer bytes than it was given, as on a full disk: the rest is written until all is, or none more. */
-export async function writeWhole(file: StoreFile, bytes: Buffer, position: number): Promise<void> {
+/** Writes all bytes: a single write may take fewer, as on a full disk, and is continued. Rejects once one takes none. */
+export async function writeFully(file: StoreFile, bytes: Buffer, position: number): Promise<void> {
   let done = 0;
   while (done < bytes.length) {
     const written = await file.write(bytes.subarray(done), position + done);
--- a/src/store/inspection.ts
+++ b/src/store/inspection.ts
@@ -1,48 +1,48 @@
 /**
- * Judges the files of a folder at start: whether they are one whole set, and which record is the newest.
+ * Inspects the files of a folder at start: whether they are one complete set, and which record is the newest.
  */
 import * as errors from "../runtime/errors.js";
 import * as log from "../runtime/log.js";
 import * as format from "./format.js";
 
-/** The newest whole record of a set. */
+/** The newest complete record of a set. */
 export interface NewestRecord extends format.StoredRecord {
-  /** The file that holds it. */
-  place: number;
+  /** Index of the file that contains it. */
+  fileIndex: number;
 }
 
-/** What the files of a folder show. */
+/** Result of an inspection. */
 export interface Inspection {
-  /** Null where the set was never finished, or where any file is missing, damaged or of another set. */
+  /** Null where the set was never completed, or where any file is missing, damaged or of another set. */
   newest: NewestRecord | null;
-  /** No promise can ever have been given by a set in this folder, as far as its files tell. */
+  /** No set in this folder can ever have granted a ballot, as far as its files show. */
   isPristine: boolean;
-  /** The newest record's set was made of the files of release 1. */
+  /** The newest record's set was converted from the files of release 1. */
   isConverted: boolean;
 }
 
-/** `contents` are the whole files, in the order of their index; a missing file is an empty one. */
+/** `contents` are the complete files, in the order of their index; a missing file is an empty one. Throws for files of another release. */
 export function inspect(contents: readonly Buffer[], layout: number): Inspection {
-  const headers = contents.map(format.decodeHeader);
-  const records = contents.map(recordOf);
+  const headers = contents.map(format.decodeFileHeader);
+  const records = contents.map(decodeFileRecord);
   const isPristine = isPristineFolder(headers, records, contents);
-  const setId = commonSetId(headers);
+  const setId = findCommonSetId(headers);
   if (setId === null) {
     if (!isPristine) reportIncomplete(headers);
     return { newest: null, isPristine, isConverted: false };
   }
-  const newest = newestOf(setId, records);
+  const newest = findNewest(setId, records);
   if (newest && newest.layout !== layout) throw unknownLayout();
   reportTorn(setId, records, contents);
   return { newest, isPristine, isConverted: newest !== null && headers[0]?.origin === "converted" };
 }
 
-function recordOf(content: Buffer): format.StoredRecord | null {
-  return format.decodeRecord(content.subarray(format.RECORD_AT));
+function decodeFileRecord(content: Buffer): format.StoredRecord | null {
+  return format.decodeRecord(content.subarray(format.RECORD_OFFSET));
 }
 
-/** The set that all files belong to, each at its place; null if they don't. */
-function commonSetId(headers: readonly (format.Header | null)[]): Buffer | null {
+/** The id of the set that all files belong to, each with its own index; null if they don't. */
+function findCommonSetId(headers: readonly (format.FileHeader | null)[]): Buffer | null {
   const [first] = headers;
   if (!first) return null;
   for (const [index, header] of headers.entries()) {
@@ -52,21 +52,21 @@
   return first.setId;
 }
 
-function newestOf(setId: Buffer, records: readonly (format.StoredRecord | null)[]): NewestRecord | null {
+function findNewest(setId: Buffer, records: readonly (format.StoredRecord | null)[]): NewestRecord | null {
   let newest: NewestRecord | null = null;
-  for (const [place, record] of records.entries()) {
+  for (const [fileIndex, record] of records.entries()) {
     if (!record || !record.setId.equals(setId)) continue;
-    if (!newest || record.number > newest.number) newest = { ...record, place };
+    if (!newest || record.number > newest.number) newest = { ...record, fileIndex };
   }
   return newest;
 }
 
 /**
- * The first record of a set carries no promise and lies in one file; the second, in another file, is written only
- * once the first is durable. So with no whole record, and bytes in the record's place of one file at most, none was given.
+ * The first record of a set is from before any ballot was granted and is in one file; the second, in another file, is
+ * written only once the first is durable. So with no complete record, and record bytes in one file at most, none was granted.
  */
 function isPristineFolder(
-  headers: readonly (format.Header | null)[],
+  headers: readonly (format.FileHeader | null)[],
   records: readonly (format.StoredRecord | null)[],
   contents: readonly Buffer[],
 ): boolean {
@@ -74,22 +74,22 @@
   return contents.filter(hasRecordBytes).length <= 1;
 }
 
-function isLaterSet(header: format.Header | null): boolean {
+function isLaterSet(header: format.FileHeader | null): boolean {
   return header !== null && header.origin !== "first";
 }
 
 function hasRecordBytes(content: Buffer): boolean {
-  const place = content.subarray(format.RECORD_AT);
-  return !place.equals(Buffer.alloc(place.length));
+  const bytes = content.subarray(format.RECORD_OFFSET);
+  return !bytes.equals(Buffer.alloc(bytes.length));
 }
 
-function reportIncomplete(headers: readonly (format.Header | null)[]): void {
+function reportIncomplete(headers: readonly (format.FileHeader | null)[]): void {
   const found = headers.map(describeHeader).join(", ");
   log.count("store.incomplete");
-  log.state(`store: the files of data_dir are not one whole set (${found}); they are given up, and this node takes a new identity`);
+  log.state(`store: the files of data_dir are not a complete set (${found}); they are discarded, and this node takes a new identity`);
 }
 
-function describeHeader(header: format.Header | null): string {
+function describeHeader(header: format.FileHeader | null): string {
   return header ? `${header.setId.toString("hex", 0, 4)}/${header.index}` : "missing or damaged";
 }
 
--- a/src/store/remedies.ts
+++ b/src/store/storage-remedies.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a failure of the file system into words for operators: what failed and what to do.
+ * Messages for operators about failures of the file system: what failed and the remedy, by the error code of the system.
  */
 import * as errors from "../runtime/errors.js";
 
@@ -18,9 +18,15 @@
 
 const UNKNOWN_REMEDY = "look at the disk of data_dir";
 
-/** An error of the disk with its remedy. */
-export function describe(cause: unknown): string {
+/** The code of a system error, such as `EIO`; undefined for any other error. */
+export function errorCodeOf(cause: unknown): string | undefined {
+  if (typeof cause !== "object" || cause === null || !("code" in cause)) return undefined;
+  return typeof cause.code === "string" ? cause.code : undefined;
+}
+
+/** The message of an error of the disk, with its remedy. */
+export function describeFailure(cause: unknown): string {
   if (cause instanceof errors.CranewindError) return cause.message;
-  const { message, code } = cause as Partial<NodeJS.ErrnoException>;
-  return `${message ?? String(cause)}; ${REMEDIES.get(code ?? "") ?? UNKNOWN_REMEDY}`;
+  const { message } = cause as Partial<Error>;
+  return `${message ?? String(cause)}; ${REMEDIES.get(errorCodeOf(cause) ?? "") ?? UNKNOWN_REMEDY}`;
 }
--- a/src/tallies/generation.ts
+++ b/src/tallies/generation.ts
@@ -59,7 +59,7 @@
   async write(records: TallyRecord[], endsSnapshot: boolean): Promise<void> {
     const bytes = frame.encode({ ...this.place, index: this.index }, { endsSnapshot, records });
     await this.reserve(this.end + bytes.length);
-    await files.writeWhole(this.file, bytes, this.end);
+    await files.writeFully(this.file, bytes, this.end);
     this.index += 1;
     this.end += bytes.length;
   }
@@ -71,7 +71,7 @@
   private async reserve(needed: number): Promise<void> {
     if (needed <= this.room) return;
     const target = Math.ceil(needed / STEP_BYTES) * STEP_BYTES;
-    await files.writeWhole(this.file, Buffer.alloc(target - this.room), this.room);
+    await files.writeFully(this.file, Buffer.alloc(target - this.room), this.room);
     this.room = target;
   }
 }
--- a/src/tallies/log.ts
+++ b/src/tallies/log.ts
@@ -6,7 +6,7 @@
  */
 import * as log from "../runtime/log.js";
 import type * as files from "../store/files.js";
-import * as remedies from "../store/remedies.js";
+import * as storageRemedies from "../store/storage-remedies.js";
 import type { TallyRecord } from "../wire/tally-schema.js";
 import * as types from "../wire/types.js";
 import * as timers from "../runtime/timers.js";
@@ -206,7 +206,7 @@
 
   private failed(cause: unknown): void {
     if (this.isClosed) return;
-    const error = remedies.describe(cause);
+    const error = storageRemedies.describeFailure(cause);
     log.count("tallies.disk_refused");
     if (error !== this.error) log.state(`tallies: the disk refuses: ${error}`);
     this.error = error;
--- a/src/tallies/store.ts
+++ b/src/tallies/store.ts
@@ -4,7 +4,7 @@
  */
 import * as log from "../runtime/log.js";
 import type * as files from "../store/files.js";
-import * as remedies from "../store/remedies.js";
+import * as storageRemedies from "../store/storage-remedies.js";
 import type { StreamPosition, TallyAdd, TallyRecord } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
 import * as ledgers from "./ledger.js";
@@ -51,7 +51,7 @@
       log.state(`tallies: disk ${this.store} is open, ${this.wasWhole ? "whole" : "new"}`);
     } catch (cause) {
       log.count("tallies.disk_refused");
-      log.state(`tallies: the disk can't be opened: ${remedies.describe(cause)}`);
+      log.state(`tallies: the disk can't be opened: ${storageRemedies.describeFailure(cause)}`);
       if (!this.isClosed) this.clock.schedule(logs.RETRY_MS, () => void this.open(folder));
     }
   }
--- a/tests/disk-start.test.ts
+++ b/tests/disk-start.test.ts
@@ -6,8 +6,8 @@
 import * as disks from "../src/control/voters/voter-disk.js";
 import * as files from "../src/store/files.js";
 import * as format from "../src/store/format.js";
-import * as owner from "../src/store/owner.js";
-import * as remedies from "../src/store/remedies.js";
+import * as dataDirLock from "../src/store/data-dir-lock.js";
+import * as storageRemedies from "../src/store/storage-remedies.js";
 import * as timers from "../src/runtime/timers.js";
 import * as simulated from "./sim/disk.js";
 import * as diskWorld from "./sim/disk-world.js";
@@ -28,6 +28,11 @@
   return disk;
 }
 
+/** The machine's own process table, as another process sees it. */
+function processTableOf(current: dataDirLock.ProcessIdentity): dataDirLock.ProcessTable {
+  return { ...dataDirLock.systemProcesses, current: () => Promise.resolve(current) };
+}
+
 /** Lets the simulated machine go on until a condition holds. */
 async function until(condition: () => boolean): Promise<void> {
   for (let steps = 0; steps < 1000 && !condition(); steps += 1) await new Promise((resolve) => setImmediate(resolve));
@@ -162,10 +167,10 @@
 /** Gives the newest record, the seventh, another layout with a checksum that fits. */
 function otherLayout(disk: simulated.SimulatedDisk): void {
   const file = disk.files.get("register-3")!;
-  const record = format.decodeRecord(file.current.subarray(format.RECORD_AT))!;
+  const record = format.decodeRecord(file.current.subarray(format.RECORD_OFFSET))!;
   expect(record.number).toBe(7);
   file.current = Buffer.from(file.current);
-  format.encodeRecord({ ...record, layout: record.layout + 1 }).copy(file.current, format.RECORD_AT);
+  format.encodeRecord({ ...record, layout: record.layout + 1 }).copy(file.current, format.RECORD_OFFSET);
 }
 
 describe("on the machine's own disk", function real() {
@@ -179,8 +184,8 @@
     await fs.rm(folder, { recursive: true });
   });
 
-  function machineOf(name: string, processes = owner.realProcesses): disks.Machine {
-    return { clock: new timers.SystemClock(), folder: new files.RealFolder(name), processes };
+  function machineOf(name: string, processes = dataDirLock.systemProcesses): disks.Machine {
+    return { clock: new timers.SystemClock(), folder: new files.LocalFolder(name), processes };
   }
 
   test("a data_dir that is a file is named with its remedy, and is used once it is a folder", async function isFile() {
@@ -199,7 +204,7 @@
     const first = diskWorld.startDisk(machineOf(name), true);
     const voter = await first.voter;
     expect(await diskWorld.prepare(voter, 1)).toMatchObject({ isGranted: true });
-    const other = { ...owner.realProcesses, own: async () => ({ boot: "b", pid: process.pid + 1, startTicks: "1" }) };
+    const other = processTableOf({ boot: "b", pid: process.pid + 1, startTicks: "1" });
     const second = diskWorld.startDisk(machineOf(name, other), true);
     while (second.disk.status().state === "opening") await new Promise((resolve) => setImmediate(resolve));
     expect(second.disk.status().error).toMatch(new RegExp(`in use by process ${process.pid}; stop that process`));
@@ -208,11 +213,11 @@
   });
 
   test("the name of a process that has ended holds nobody off", async function ended() {
-    const ghost = { ...owner.realProcesses, own: async () => ({ boot: "b", pid: process.pid, startTicks: "1" }) };
+    const ghost = processTableOf({ boot: "b", pid: process.pid, startTicks: "1" });
     const before = diskWorld.startDisk(machineOf(folder, ghost), true);
     await before.voter;
     await before.disk.stop();
-    const other = { ...owner.realProcesses, own: async () => ({ boot: "b", pid: process.pid + 1, startTicks: "2" }) };
+    const other = processTableOf({ boot: "b", pid: process.pid + 1, startTicks: "2" });
     const after = diskWorld.startDisk(machineOf(folder, other), false);
     expect((await after.voter).disk).toBe(FIRST_IDENTITY);
     await after.disk.stop();
@@ -225,5 +230,5 @@
   ["EROFS", /writable/],
   ["ELSE", /look at the disk of data_dir/],
 ])("a failure with the code %s is told with a remedy", function remedy(code, message) {
-  expect(remedies.describe(Object.assign(new Error("no"), { code }))).toMatch(message);
+  expect(storageRemedies.describeFailure(Object.assign(new Error("no"), { code }))).toMatch(message);
 });
--- a/tests/model/node.ts
+++ b/tests/model/node.ts
@@ -6,7 +6,7 @@
 import * as registerValue from "../../src/register/register-value.js";
 import * as acceptor from "../../src/register/acceptor.js";
 import * as format from "../../src/store/format.js";
-import * as ring from "../../src/store/ring.js";
+import * as recordRing from "../../src/store/record-ring.js";
 import * as link from "../../src/wire/link.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
@@ -113,7 +113,10 @@
   private async readDisk(isBootstrap: boolean): Promise<void> {
     const { generation } = this;
     try {
-      const { ring: records, newest } = await ring.Ring.open(this.disk.open(this.clock), { layout: 1, newSetId: this.newSetId.bind(this) });
+      const { ring: records, newestBody: newest } = await recordRing.RecordRing.open(this.disk.open(this.clock), {
+        layout: 1,
+        newSetId: this.newSetId.bind(this),
+      });
       const state = newest ? acceptor.Acceptor.restore(newest) : this.blank(isBootstrap);
       if (!newest) await records.write(schema.disk.toBuffer(state));
       if (!this.isAlive(generation)) return;
--- a/tests/sim/disk-world.ts
+++ b/tests/sim/disk-world.ts
@@ -1,7 +1,7 @@
 /** A machine around a simulated disk: its clock runs on without waiting, and no other process uses the folder. */
 import * as voterDisk from "../../src/control/voters/voter-disk.js";
 import type * as acceptor from "../../src/register/acceptor.js";
-import type * as owner from "../../src/store/owner.js";
+import type * as dataDirLock from "../../src/store/data-dir-lock.js";
 import type * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import type * as simulated from "./disk.js";
@@ -44,11 +44,11 @@
 export interface SimulatedMachine {
   clock: HastyClock;
   folder: simulated.MountedDisk;
-  processes: owner.ProcessTable;
+  processes: dataDirLock.ProcessTable;
 }
 
-const unknownProcesses: owner.ProcessTable = {
-  async own() {
+const unknownProcesses: dataDirLock.ProcessTable = {
+  async current() {
     return null;
   },
   async isRunning() {
--- a/tests/slot-note.test.ts
+++ b/tests/slot-note.test.ts
@@ -17,7 +17,7 @@
 afterEach(() => fs.rmSync(folder, { recursive: true }));
 
 async function keep(note: slotNote.Note): Promise<void> {
-  const notes = new slotNote.SlotNote(new files.RealFolder(folder));
+  const notes = new slotNote.SlotNote(new files.LocalFolder(folder));
   await notes.read();
   notes.keep(note);
   const file = path.join(folder, "quota-slot");
@@ -25,10 +25,10 @@
 }
 
 test("a note comes back whole, and a shorter one leaves nothing of a longer one", async () => {
-  expect(await new slotNote.SlotNote(new files.RealFolder(folder)).read()).toBeNull();
+  expect(await new slotNote.SlotNote(new files.LocalFolder(folder)).read()).toBeNull();
   await keep({ ...NOTE, epoch: 123456, disk: "a-much-longer-name-of-a-disk" });
   await keep(NOTE);
-  expect(await new slotNote.SlotNote(new files.RealFolder(folder)).read()).toEqual(NOTE);
+  expect(await new slotNote.SlotNote(new files.LocalFolder(folder)).read()).toEqual(NOTE);
 });
 
 test("a torn note is none", async () => {
@@ -40,7 +40,7 @@
   mixed.write("9", bytes.indexOf('"epoch":') + 8);
   expect(slotNote.parse(mixed)).toBeNull();
   fs.writeFileSync(file, "not a note");
-  expect(await new slotNote.SlotNote(new files.RealFolder(folder)).read()).toBeNull();
+  expect(await new slotNote.SlotNote(new files.LocalFolder(folder)).read()).toBeNull();
 });
 
 function valueOf(voterEpoch: number, disks: string[]): schema.Value {
--- a/tests/store.test.ts
+++ b/tests/store.test.ts
@@ -1,6 +1,6 @@
 // The ring of files under torn and failed writes (design 5.3), and the settings file (design 2.1).
 import * as format from "../src/store/format.js";
-import * as ring from "../src/store/ring.js";
+import * as recordRing from "../src/store/record-ring.js";
 import type * as files from "../src/store/files.js";
 import * as settings from "../src/settings/settings.js";
 
@@ -36,7 +36,7 @@
   readonly name = "f";
   fault: Fault = "none";
   /** Bytes of a record without its padding: a torn write ends in the middle of them. */
-  bodyEnd = format.RECORD_HEAD_BYTES + "record 0".length;
+  bodyEnd = format.RECORD_HEADER_BYTES + "record 0".length;
   readonly files = new Map<string, SimFile>();
   async make(): Promise<void> {
     return undefined;
@@ -55,14 +55,14 @@
   return SET_ID;
 }
 
-function openRing(disk: SimDisk): Promise<ring.OpenedRing> {
-  return ring.Ring.open(disk, { layout: LAYOUT, newSetId });
+function openRing(disk: SimDisk): Promise<recordRing.OpenedRing> {
+  return recordRing.RecordRing.open(disk, { layout: LAYOUT, newSetId });
 }
 
 async function newest(disk: SimDisk): Promise<string | null> {
   const { fault } = disk;
   disk.fault = "none";
-  const found = (await openRing(disk)).newest?.toString() ?? null;
+  const found = (await openRing(disk)).newestBody?.toString() ?? null;
   disk.fault = fault;
   return found;
 }
@@ -86,7 +86,7 @@
   disk.fault = "torn";
   await expect(kept.write(Buffer.from("two"))).rejects.toThrow();
   disk.fault = "none";
-  const { ring: again, newest: found } = await openRing(disk);
+  const { ring: again, newestBody: found } = await openRing(disk);
   expect(found!.toString()).toBe("one");
   disk.fault = "torn";
   await expect(again.write(Buffer.from("three"))).rejects.toThrow();
