--- a/src/cli/roles.ts
+++ b/src/cli/roles.ts
@@ -5,7 +5,7 @@
  * bad file leaves the old ones in force.
  */
 import * as fs from "node:fs";
-import * as control from "../control/program.js";
+import * as controlProgram from "../control/control-program.js";
 import * as routerProgram from "../router/router-program.js";
 import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
@@ -15,7 +15,7 @@
 
 interface Program {
   root: tree.Supervisor;
-  resettle(changed: settings.Settings): void;
+  applySettings(changed: settings.Settings): void;
   stop(): Promise<void>;
 }
 
@@ -79,7 +79,7 @@
       return;
     }
     log.count("settings.reread");
-    program.resettle(reloaded.value);
+    program.applySettings(reloaded.value);
   }
 }
 
@@ -102,6 +102,6 @@
 /** Runs a control node, in the same way. */
 export function startControl(options: RoleOptions): Promise<void> {
   return run(function createControl(initial) {
-    return new control.ControlProgram(new timers.SystemClock(), initial);
+    return new controlProgram.ControlProgram(new timers.SystemClock(), initial);
   }, options);
 }
--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -13,7 +13,7 @@
 import * as files from "../../store/files.js";
 import * as dataDirLock from "../../store/data-dir-lock.js";
 import * as voterManager from "../voters/voter-manager.js";
-import type * as channel from "../channel.js";
+import type * as registerChannel from "../register-channel.js";
 import * as registerReplica from "../register-replica.js";
 import * as voterDisk from "../voters/voter-disk.js";
 
@@ -35,7 +35,7 @@
 
 /** Turned by the control node's timer. */
 export class BatchRegister {
-  readonly core: registerReplica.RegisterReplica;
+  readonly replica: registerReplica.RegisterReplica;
   private readonly disk: voterDisk.VoterDisk;
   private readonly voterManager: voterManager.VoterManager;
   /** Disks of the siblings in this register, by their address. */
@@ -51,29 +51,33 @@
   ) {
     const { life, address, seeds, isBootstrap } = options;
     const first = registerValue.initialValue(isBootstrap ? seeds : []);
-    this.core = new registerReplica.RegisterReplica(clock, { life, address, first, channel: this.channel() }, dial);
+    this.replica = new registerReplica.RegisterReplica(
+      clock,
+      { incarnation: life, address, initialValue: first, channel: this.channel() },
+      dial,
+    );
     const folder = new files.LocalFolder(path.join(options.dataDir, FOLDER));
     const machine = { clock, folder, processes: dataDirLock.systemProcesses };
-    this.disk = new voterDisk.VoterDisk(machine, { address, seeds, isBootstrap }, this.core.attachVoter.bind(this.core));
-    this.voterManager = new voterManager.VoterManager(clock, this.core, this.nodes.bind(this));
+    this.disk = new voterDisk.VoterDisk(machine, { address, seeds, isBootstrap }, this.replica.attachVoter.bind(this.replica));
+    this.voterManager = new voterManager.VoterManager(clock, this.replica, this.nodes.bind(this));
     dial.on("up", this.tell.bind(this));
     dial.on("down", (control) => this.disksByAddress.delete(control.address));
   }
 
-  private channel(): channel.Channel {
+  private channel(): registerChannel.RegisterChannel {
     return {
       name: "batch register",
       logsEpochs: false,
       prepare: calls.batchPrepare,
       accept: calls.batchAccept,
       chosen: calls.batchChosen,
-      ask: calls.batchAsk,
+      requestChosen: calls.batchAsk,
       diskOf: (control) => this.disksByAddress.get(control.address) ?? "",
     };
   }
 
   register(handlers: link.Handlers): void {
-    this.core.registerHandlers(handlers);
+    this.replica.registerHandlers(handlers);
     handlers.on(calls.batchNode, (_from, told) => {
       this.disksByAddress.set(told.address, told.disk);
       return null;
@@ -90,14 +94,14 @@
   }
 
   private tell(control: controlNode.ControlNode): void {
-    control.link.tell(calls.batchNode, { address: this.options.address, disk: this.core.disk });
+    control.link.tell(calls.batchNode, { address: this.options.address, disk: this.replica.disk });
   }
 
   /** The nodes in touch with their disks in this register. */
   private nodes(): schema.NodeInfo[] {
     return this.heldControls().map((node) => {
       const isOwn = node.address === this.options.address;
-      return { ...node, disk: isOwn ? this.core.disk : (this.disksByAddress.get(node.address) ?? "") };
+      return { ...node, disk: isOwn ? this.replica.disk : (this.disksByAddress.get(node.address) ?? "") };
     });
   }
 
@@ -108,7 +112,7 @@
       for (const control of this.dial.controls.values()) this.tell(control);
       this.catchUp();
     }
-    this.core.runPeriodically();
+    this.replica.runPeriodically();
     this.voterManager.runPeriodically();
   }
 
@@ -117,13 +121,13 @@
     const controls = [...this.dial.controls.values()];
     if (controls.length === 0) return;
     const control = controls[Math.floor(this.clock.random() * controls.length)];
-    const known = this.core.chosen?.epoch;
-    if (known !== undefined) void this.core.catchUp(control.link, (known + 1) as types.Epoch);
+    const known = this.replica.chosen?.epoch;
+    if (known !== undefined) void this.replica.catchUp(control.link, (known + 1) as types.Epoch);
   }
 
   status(): unknown {
-    const { chosen } = this.core;
-    return { disk: this.disk.status(), epoch: chosen?.epoch ?? null, voters: chosen?.voters ?? [], isSettled: this.core.hasQuorum() };
+    const { chosen } = this.replica;
+    return { disk: this.disk.status(), epoch: chosen?.epoch ?? null, voters: chosen?.voters ?? [], isSettled: this.replica.hasQuorum() };
   }
 
   /** Hands its vote over while the links still stand. */
@@ -132,7 +136,7 @@
   }
 
   async stop(): Promise<void> {
-    this.core.detachVoter();
+    this.replica.detachVoter();
     await this.disk.stop();
   }
 }
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -30,8 +30,8 @@
 const OPEN_AGAIN_MS = 1000;
 
 /** The control node around it. */
-export interface Host {
-  readonly life: string;
+export interface BatchesHost {
+  readonly incarnation: string;
   readonly address: string;
   readonly startup: settings.Settings;
   readonly seeds: string[];
@@ -39,16 +39,16 @@
   readonly handlers: link.Handlers;
   readonly feed: feedPublisher.FeedPublisher;
   readonly members: membership.Membership;
-  readonly cells: fleetObserver.FleetObserver;
+  readonly fleetObserver: fleetObserver.FleetObserver;
   /** The newest chosen value of the configuration's register. */
   configuration(): schema.Value | null;
   isConfirmed(): boolean;
   /** This node and the control nodes whose sessions it holds itself. */
-  heldControls(): schema.NodeInfo[];
+  connectedControls(): schema.NodeInfo[];
 }
 
 /** Null where the setting `batches` is off, or there is no disk. */
-export function make(clock: types.Clock, host: Host): Batches | null {
+export function makeBatches(clock: types.Clock, host: BatchesHost): Batches | null {
   const { batches, data_dir: dataDir } = host.startup;
   return batches === "off" || !dataDir ? null : new Batches(clock, host, dataDir);
 }
@@ -70,20 +70,20 @@
 
   constructor(
     private readonly clock: types.Clock,
-    private readonly host: Host,
+    private readonly host: BatchesHost,
     dataDir: string,
   ) {
-    const { life, address, startup, seeds, dial } = host;
+    const { incarnation: life, address, startup, seeds, dial } = host;
     const isBootstrap = startup.batches_bootstrap ?? startup.bootstrap;
     const options = { life, address, dataDir, seeds, isBootstrap };
-    this.register = new batchRegister.BatchRegister(clock, options, dial, host.heldControls.bind(host));
+    this.register = new batchRegister.BatchRegister(clock, options, dial, host.connectedControls.bind(host));
     this.records = new records.Records(clock, this.register.recordFolder());
-    this.replicas = new replicas.Replicas(clock, this.register.core, this.records);
+    this.replicas = new replicas.Replicas(clock, this.register.replica, this.records);
     this.loads = new batchLoads.BatchLoads(clock, host.feed, host.members, dial);
     this.view = new batchView.BatchView({
       configuration: host.configuration.bind(host),
-      instances: () => host.cells.instances(),
-      reports: () => host.cells.reports(),
+      instances: () => host.fleetObserver.instances(),
+      reports: () => host.fleetObserver.reports(),
       regionOf: (zone) => startup.zones[zone] ?? zone,
       forecast: this.loads.forecast,
     });
@@ -92,7 +92,7 @@
     const { view, replicas: replicated } = this;
     this.calls = new batchCalls.BatchCalls({
       clock,
-      register: this.register.core,
+      register: this.register.replica,
       replicas: replicated,
       view,
       forecast: this.loads.forecast,
@@ -103,11 +103,11 @@
   }
 
   private ownerNeeds(): owners.Dependencies {
-    const { clock: world, host, view, replicas: replicated } = this;
+    const { clock, host, view, replicas: replicated } = this;
     return {
-      clock: world,
-      life: host.life,
-      register: this.register.core,
+      clock,
+      life: host.incarnation,
+      register: this.register.replica,
       replicas: replicated,
       isConfirmed: host.isConfirmed.bind(host),
       serviceOf: (route) => view.serviceOf(route),
@@ -116,10 +116,10 @@
       longestMs: (route) => sender.longestMs(view.routeOf(route)),
       send: this.send.bind(this),
       attemptEnded: (batch, send, ended) => {
-        if (ended.end === "done") view.learnHeld(batch.digest, world.now() - send.sentAt);
+        if (ended.end === "done") view.learnHeld(batch.digest, clock.now() - send.sentAt);
       },
       isInTouch: (life) => this.livesInTouch().has(life),
-      rank: () => [...this.livesInTouch()].filter((life) => life < host.life).length,
+      rank: () => [...this.livesInTouch()].filter((life) => life < host.incarnation).length,
     };
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** Called each 100 ms. */
-  turn(): void {
+  runPeriodically(): void {
     this.register.turn();
     this.loads.turn();
     if (this.hasRecords) this.owner.turn();
@@ -143,7 +143,7 @@
   }
 
   private async repair(): Promise<void> {
-    const { chosen } = this.register.core;
+    const { chosen } = this.register.replica;
     if (!chosen) return;
     this.isRepairing = true;
     const table = tables.tableOf(chosen);
--- /dev/null
+++ b/src/control/control-parts.ts
@@ -0,0 +1,132 @@
+/**
+ * The parts of one control node and how they are connected (design 4, 5, 6): construction, the handlers of each part on
+ * links, and the events that one part sends to another. What a node does with them is in control-program.ts.
+ */
+import * as link from "../wire/link.js";
+import type * as schema from "../wire/schema.js";
+import * as types from "../wire/types.js";
+import * as settings from "../settings/settings.js";
+import * as parts from "../config/parts.js";
+import * as dialer from "../feed/dialer.js";
+import * as feedPublisher from "../feed/feed-publisher.js";
+import * as feedTopics from "../feed/feed-topics.js";
+import * as registerValue from "../register/register-value.js";
+import type * as tallies from "../tallies/tallies.js";
+import * as batches from "./batches/batches.js";
+import * as leaseServer from "./leases/lease-server.js";
+import * as membership from "./members/membership.js";
+import * as sessionHandlers from "./members/session-handlers.js";
+import * as fleetObserver from "./platform/fleet-observer.js";
+import type * as singletonRole from "./platform/singleton-role.js";
+import * as registerReplica from "./register-replica.js";
+import * as talliesHost from "./tallies-host.js";
+import * as quorumContact from "./voters/quorum-contact.js";
+import * as voterManager from "./voters/voter-manager.js";
+
+/** The control node around the parts. None of its functions is called before all parts are made. */
+export interface ControlHost {
+  readonly clock: types.Clock;
+  /** Of this process. */
+  readonly incarnation: string;
+  /** Of this node's links. */
+  readonly address: string;
+  readonly handlers: link.Handlers;
+  /** Addresses of control nodes from the settings. */
+  readonly seeds: string[];
+  /** The settings in force. */
+  settings(): settings.Settings;
+  describe(): schema.NodeInfo;
+  /** This control node and those it has links to. */
+  controls(): schema.ControlInfo[];
+  /** This node and the control nodes that have a session here. */
+  connectedControls(): schema.NodeInfo[];
+  /** Whether a majority confirms this node and it isn't draining. */
+  isConfirmed(): boolean;
+  eligibility(): singletonRole.Eligibility;
+  /** Contact with a majority was found or lost: peers and routers are told at once. */
+  publishHeartbeats(): void;
+}
+
+/** Everything that one control node runs but its disk and its servers. */
+export interface ControlParts {
+  readonly dial: dialer.Dialer;
+  readonly members: membership.Membership;
+  readonly feed: feedPublisher.FeedPublisher;
+  readonly replica: registerReplica.RegisterReplica;
+  readonly leases: leaseServer.LeaseServer;
+  readonly contact: quorumContact.QuorumContact;
+  readonly fleetObserver: fleetObserver.FleetObserver;
+  readonly voterManager: voterManager.VoterManager;
+  readonly tallies: tallies.Tallies;
+  /** Null where the setting `batches` is off. */
+  readonly batches: batches.Batches | null;
+}
+
+/** Makes the parts of a control node, in the order in which they depend on each other, and connects them. */
+export function makeParts(host: ControlHost): ControlParts {
+  const { clock, incarnation, address, handlers, seeds } = host;
+  const startup = host.settings();
+  const dial = new dialer.Dialer(clock, address, handlers, () => host.describe(), link.SILENT_MS);
+  const members = new membership.Membership(clock, link.SILENT_MS, incarnation);
+  const feed = new feedPublisher.FeedPublisher(incarnation);
+  dial.addAddresses(seeds);
+  const initialValue = registerValue.initialValue(startup.bootstrap ? seeds : []);
+  const replica = new registerReplica.RegisterReplica(clock, { incarnation, address, initialValue }, dial);
+  const leases = new leaseServer.LeaseServer(clock, incarnation, startup.bounds, replica);
+  const contact = new quorumContact.QuorumContact(clock, replica, dial, (voterEpoch, sentAt, reply) =>
+    leases.recordFenceReply(voterEpoch, sentAt, reply),
+  );
+  const observer = new fleetObserver.FleetObserver(clock, startup, dial, feed, replica, members, () => host.eligibility());
+  const manager = new voterManager.VoterManager(clock, replica, () => host.connectedControls());
+  const made = { dial, members, feed, replica, leases, contact, fleetObserver: observer, voterManager: manager };
+  const connected = {
+    ...made,
+    tallies: talliesHost.makeTallies({ clock, incarnation, address, handlers, ...made, settings: () => host.settings() }),
+    batches: makeBatches(host, made),
+  };
+  connect(host, connected);
+  return connected;
+}
+
+function makeBatches(host: ControlHost, made: Omit<ControlParts, "tallies" | "batches">): batches.Batches | null {
+  const { clock, incarnation, address, handlers, seeds } = host;
+  return batches.makeBatches(clock, {
+    incarnation,
+    address,
+    handlers,
+    seeds,
+    startup: host.settings(),
+    dial: made.dial,
+    feed: made.feed,
+    members: made.members,
+    fleetObserver: made.fleetObserver,
+    configuration: () => made.replica.chosen,
+    isConfirmed: () => host.isConfirmed(),
+    connectedControls: () => host.connectedControls(),
+  });
+}
+
+/** Registers the parts' handlers and their listeners on each other. */
+function connect(host: ControlHost, made: ControlParts): void {
+  const { handlers } = host;
+  const { dial, members, feed, replica, contact } = made;
+  const splitter = new parts.Splitter();
+  replica.registerHandlers(handlers);
+  made.fleetObserver.registerHandlers(handlers);
+  made.leases.registerHandlers(handlers, contact);
+  sessionHandlers.registerHandlers({
+    handlers,
+    members,
+    dial,
+    replica,
+    contact,
+    describe: () => host.describe(),
+    controls: () => host.controls(),
+    feedIncarnation: feed.incarnation,
+  });
+  dial.on("up", () => members.publishControls(host.controls()));
+  feed.registerHandlers(handlers);
+  contact.on("confirmed", () => host.publishHeartbeats());
+  contact.on("lost", () => host.publishHeartbeats());
+  replica.on("chosen", (value) => feed.publishSnapshot(feedTopics.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch)));
+}
--- a/src/control/account.ts
+++ b/src/control/control-status.ts
@@ -8,9 +8,9 @@
 import type * as membership from "./members/membership.js";
 
 /** What the account is put together from. */
-export interface AccountParts {
+export interface StatusParts {
   node: schema.NodeInfo;
-  core: registerReplica.RegisterReplica;
+  replica: registerReplica.RegisterReplica;
   contact: quorumContact.QuorumContact;
   members: membership.Membership;
   /** State of the voter's disk; null on a node without one. */
@@ -26,8 +26,8 @@
 }
 
 /** The status of a control node as JSON; its names are read by `cranewind status`. */
-export function account(parts: AccountParts): unknown {
-  const { node, core, contact, members, disk, cells, quotas, tallies, batches } = parts;
+export function buildStatus(parts: StatusParts): unknown {
+  const { node, replica: core, contact, members, disk, cells, quotas, tallies, batches } = parts;
   const value = core.chosen;
   return {
     node,
--- a/src/control/endpoints.ts
+++ b/src/control/endpoints.ts
@@ -13,7 +13,7 @@
 const RESOLVE_PATH = "/-/resolve";
 
 /** Serves the operator's calls, where the settings name an address. */
-export function operatorChild(startup: settings.Settings, reply: serve.Reply): tree.Child {
+export function operatorServer(startup: settings.Settings, reply: serve.Reply): tree.Child {
   return serve.child("operator", startup.bind_addresses.control_plane, reply);
 }
 
@@ -24,7 +24,7 @@
 }
 
 /** Serves clients that ask where to go. */
-export function directoryChild(startup: settings.Settings, source: DirectorySource): tree.Child {
+export function directoryServer(startup: settings.Settings, source: DirectorySource): tree.Child {
   const homes = new hostHomes.HostHomes(() => source.chosen());
   const view = { ...source, homesOf: homes.of.bind(homes), ttlMostS: startup.bounds.ttl_max_s };
   return serve.child("directory", startup.bind_addresses.directory, resolve);
@@ -35,7 +35,7 @@
 }
 
 /** Where other control nodes and routers open their links. */
-export function internalChild(clock: types.Clock, address: string, handlers: link.Handlers): tree.Child {
+export function linkServer(clock: types.Clock, address: string, handlers: link.Handlers): tree.Child {
   const server = net.createServer(accept);
   function accept(socket: net.Socket): void {
     new link.Link(clock, socket, handlers);
--- a/src/control/leases/lease-server.ts
+++ b/src/control/leases/lease-server.ts
@@ -26,11 +26,11 @@
     clock: types.Clock,
     life: string,
     bounds: LeaseBounds,
-    private readonly core: registerReplica.RegisterReplica,
+    private readonly replica: registerReplica.RegisterReplica,
   ) {
     this.tenure = new tenure.Tenure(clock);
     this.owner = new owner.LeaseOwner(clock, life, bounds, this.tenure);
-    this.quotas = new quotas.Quotas(clock, life, bounds, core);
+    this.quotas = new quotas.Quotas(clock, life, bounds, replica);
   }
 
   updateSettings(bounds: LeaseBounds): void {
@@ -47,12 +47,12 @@
 
   private lease(contact: quorumContact.QuorumContact, _from: link.Link, ask: leaseSchema.LeaseAsk): leaseSchema.LeaseReply {
     this.applyChosen();
-    return this.owner.reply(ask, contact.isConfirmed() ? this.core.acceptedVoterEpoch : null);
+    return this.owner.reply(ask, contact.isConfirmed() ? this.replica.acceptedVoterEpoch : null);
   }
 
   private fence(_from: link.Link, ask: leaseSchema.FenceAsk): leaseSchema.FenceReply {
     this.applyChosen();
-    const { disk, acceptedVoterEpoch, acceptedEpoch, chosen } = this.core;
+    const { disk, acceptedVoterEpoch, acceptedEpoch, chosen } = this.replica;
     return {
       disk,
       voterEpoch: acceptedVoterEpoch,
@@ -63,7 +63,7 @@
   }
 
   private applyChosen(): void {
-    if (this.core.chosen) this.tenure.take(this.core.chosen, this.core.disk);
+    if (this.replica.chosen) this.tenure.take(this.replica.chosen, this.replica.disk);
     this.quotas.applyChosen();
   }
 
--- a/src/control/leases/quotas.ts
+++ b/src/control/leases/quotas.ts
@@ -32,7 +32,7 @@
     clock: types.Clock,
     life: string,
     bounds: quotaPart.QuotaBounds,
-    private readonly core: registerReplica.RegisterReplica,
+    private readonly replica: registerReplica.RegisterReplica,
   ) {
     this.tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: quotaTenure.FENCE_MS, lifeMs: quotaClient.UNIT_MS });
     this.owner = new quotaOwner.QuotaOwner(clock, life, bounds, this.tenure);
@@ -57,7 +57,7 @@
 
   private reply(contact: quorumContact.QuorumContact, ask: tenantSchema.QuotaAsk): tenantSchema.QuotaReply {
     this.applyChosen();
-    const { core } = this;
+    const { replica: core } = this;
     const given = this.owner.reply(ask, core.acceptedVoterEpoch);
     return {
       isGranting: given !== null,
@@ -69,7 +69,7 @@
 
   /** Takes what is chosen: voters and limits. */
   applyChosen(): void {
-    const { chosen, disk } = this.core;
+    const { chosen, disk } = this.replica;
     if (!chosen) return;
     this.tenure.take(chosen, disk);
     this.useNotes(disk);
@@ -99,7 +99,7 @@
 
   /** For `status`: limits, and what was granted and denied by tenant. */
   status(): unknown {
-    return { isGranting: this.tenure.isGranting(this.core.acceptedVoterEpoch), ...(this.owner.status() as object) };
+    return { isGranting: this.tenure.isGranting(this.replica.acceptedVoterEpoch), ...(this.owner.status() as object) };
   }
 }
 
--- a/src/control/channel.ts
+++ b/src/control/register-channel.ts
@@ -3,7 +3,7 @@
 import type * as controlNode from "../feed/control-node.js";
 
 /** One register's calls. Two registers of the same nodes have different calls, and disks of their own. */
-export interface Channel {
+export interface RegisterChannel {
   /** For the log. */
   readonly name: string;
   /** Whether each epoch is a line of the log; else only a change of voters is. */
@@ -11,19 +11,19 @@
   readonly prepare: typeof calls.prepare;
   readonly accept: typeof calls.accept;
   readonly chosen: typeof calls.chosen;
-  readonly ask: typeof calls.ask;
+  readonly requestChosen: typeof calls.ask;
   /** The disk of a sibling; empty: not known yet, or none. */
   diskOf(control: controlNode.ControlNode): string;
 }
 
 /** The channel of the configuration's register: a sibling's hello names its disk. */
-export const CONFIGURATION: Channel = {
+export const CONFIGURATION_CHANNEL: RegisterChannel = {
   name: "register",
   logsEpochs: true,
   prepare: calls.prepare,
   accept: calls.accept,
   chosen: calls.chosen,
-  ask: calls.ask,
+  requestChosen: calls.ask,
   diskOf(control) {
     return control.node.disk;
   },
--- a/src/control/register-replica.ts
+++ b/src/control/register-replica.ts
@@ -12,7 +12,7 @@
 import type * as acceptorClient from "../register/acceptor-client.js";
 import * as acceptor from "../register/acceptor.js";
 import * as result from "true-myth/result";
-import * as channel from "./channel.js";
+import * as registerChannel from "./register-channel.js";
 import * as voterReach from "./voters/voter-reach.js";
 
 const VOTE_TIMEOUT_MS = 1300;
@@ -22,10 +22,10 @@
 
 /** Which node this is, and the value that it begins with. */
 export interface ReplicaOptions {
-  life: string;
+  incarnation: string;
   address: string;
-  first: schema.Value;
-  channel?: channel.Channel;
+  initialValue: schema.Value;
+  channel?: registerChannel.RegisterChannel;
 }
 
 /** Voter, proposer and knowledge of one register at one control node. */
@@ -33,7 +33,7 @@
   extends events.EventEmitter<ReplicaEvents>
   implements acceptorClient.AcceptorClient, recovery.RecoverableRegister
 {
-  private voter: acceptor.Acceptor | null = null;
+  private acceptor: acceptor.Acceptor | null = null;
   private readonly recovery: recovery.Recovery;
   /** Whether this life of the process has learned what is chosen. */
   isConfirmed = false;
@@ -41,7 +41,7 @@
   private readonly queue: stepQueue.StepQueue;
   chosen: schema.Value | null = null;
   private readonly voterReach: voterReach.VoterReach;
-  private readonly channel: channel.Channel;
+  private readonly channel: registerChannel.RegisterChannel;
 
   constructor(
     clock: types.Clock,
@@ -49,20 +49,20 @@
     private readonly dial: dialer.Dialer,
   ) {
     super();
-    this.channel = options.channel ?? channel.CONFIGURATION;
+    this.channel = options.channel ?? registerChannel.CONFIGURATION_CHANNEL;
     this.voterReach = new voterReach.VoterReach(options.address, this.channel, dial, () => this.disk);
-    this.proposer = new proposer.Proposer(clock, options.life, this, options.first, this.publishChosen.bind(this));
+    this.proposer = new proposer.Proposer(clock, options.incarnation, this, options.initialValue, this.publishChosen.bind(this));
     this.recovery = new recovery.Recovery(clock, this);
     this.queue = new stepQueue.StepQueue(clock, this.proposer.change.bind(this.proposer));
   }
 
   get disk(): string {
-    return this.voter?.disk ?? "";
+    return this.acceptor?.disk ?? "";
   }
 
   /** The newest value accepted on the own disk, chosen or not. */
   get accepted(): schema.Value | null {
-    return this.voter?.accepted?.value ?? null;
+    return this.acceptor?.accepted?.value ?? null;
   }
 
   /**
@@ -82,7 +82,7 @@
 
   /** The disk is read: from now on this node may vote. */
   attachVoter(voter: acceptor.Acceptor): void {
-    this.voter = voter;
+    this.acceptor = voter;
     if (voter.accepted) {
       this.proposer.learnAccepted(voter.accepted.value);
       this.dial.addAddresses(addressesOf(voter.accepted.value));
@@ -91,12 +91,12 @@
 
   /** This node leaves: its disk takes no vote that it does not have. */
   refuseToJoin(): void {
-    this.voter?.rejectMembership();
+    this.acceptor?.rejectMembership();
   }
 
   /** From now on this node does not vote; the disk may be closed. */
   detachVoter(): void {
-    this.voter = null;
+    this.acceptor = null;
   }
 
   /** Answers the siblings' calls of this register. */
@@ -108,7 +108,7 @@
       if (news.value) this.learn(news.value);
       return null;
     });
-    handlers.on(channel.ask, (_from, asked) => {
+    handlers.on(channel.requestChosen, (_from, asked) => {
       const value = this.chosen;
       return { value: value && value.epoch > asked.epoch ? value : null };
     });
@@ -135,18 +135,18 @@
   }
 
   preparedBallotNumber(): number {
-    return this.voter?.preparedBallot.n ?? 0;
+    return this.acceptor?.preparedBallot.n ?? 0;
   }
 
   /** This node's own voter, asked by any proposer. */
   private handlePrepare(ask: schema.Prepare): Promise<schema.Vote | null> {
     this.proposer.contention.recordPrepare(ask.ballot);
-    return this.voter ? this.voter.prepare(ask) : Promise.resolve(null);
+    return this.acceptor ? this.acceptor.prepare(ask) : Promise.resolve(null);
   }
 
   private handleAccept(ask: schema.Accept): Promise<schema.Vote | null> {
     this.proposer.contention.recordAccept(ask.ballot);
-    return this.voter ? this.voter.accept(ask) : Promise.resolve(null);
+    return this.acceptor ? this.acceptor.accept(ask) : Promise.resolve(null);
   }
 
   /** Whether a majority of the voters can be reached now. */
@@ -192,7 +192,7 @@
   /** Asks a sibling that knows a newer epoch. */
   async catchUp(from: link.Link, epoch: types.Epoch): Promise<void> {
     if (this.chosen && epoch <= this.chosen.epoch) return;
-    const reply = await from.call(this.channel.ask, { epoch: this.chosen ? this.chosen.epoch : types.NO_EPOCH }, VOTE_TIMEOUT_MS);
+    const reply = await from.call(this.channel.requestChosen, { epoch: this.chosen ? this.chosen.epoch : types.NO_EPOCH }, VOTE_TIMEOUT_MS);
     if (reply?.value) this.learn(reply.value);
   }
 
--- a/src/control/voters/voter-reach.ts
+++ b/src/control/voters/voter-reach.ts
@@ -3,14 +3,14 @@
 import type * as schema from "../../wire/schema.js";
 import type * as dialer from "../../feed/dialer.js";
 import * as registerValue from "../../register/register-value.js";
-import type * as channel from "../channel.js";
+import type * as registerChannel from "../register-channel.js";
 
 /** Reads the links of one node as they are at each call. */
 export class VoterReach {
   /** `ownDisk`: the disk that votes here; empty when none does. */
   constructor(
     private readonly address: string,
-    private readonly channel: channel.Channel,
+    private readonly channel: registerChannel.RegisterChannel,
     private readonly dial: dialer.Dialer,
     private readonly ownDisk: () => string,
   ) {}
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -206,7 +206,7 @@
   }
 
   /** Settings read again: seeds and bounds take effect; addresses of its own do not. */
-  resettle(startup: settings.Settings): void {
+  applySettings(startup: settings.Settings): void {
     this.startup = startup;
     this.dial.addAddresses(settings.innerSeeds(startup));
     this.limits.resettle(startup.bounds);
--- a/tests/batches/system.test.ts
+++ b/tests/batches/system.test.ts
@@ -3,7 +3,7 @@
 import * as os from "node:os";
 import * as path from "node:path";
 import * as client from "../../src/cli/client.js";
-import * as control from "../../src/control/program.js";
+import * as controlProgram from "../../src/control/control-program.js";
 import * as routerProgram from "../../src/router/router-program.js";
 import * as platforms from "../../src/emulator/platform.js";
 import * as runners from "../../src/emulator/runner.js";
@@ -19,7 +19,7 @@
 let folder: string;
 let platform: platforms.StandInPlatform;
 let runner: runners.StandInRunner;
-let controls: control.ControlProgram[];
+let controls: controlProgram.ControlProgram[];
 let edge: routerProgram.RouterProgram;
 
 function system(): loopback.Loopback {
@@ -39,8 +39,8 @@
   return loopback.until(what, UNTIL_MS, isSo);
 }
 
-async function startControl(index: number, isFirst: boolean): Promise<control.ControlProgram> {
-  const program = new control.ControlProgram(clock, startupOf("control", index, isFirst));
+async function startControl(index: number, isFirst: boolean): Promise<controlProgram.ControlProgram> {
+  const program = new controlProgram.ControlProgram(clock, startupOf("control", index, isFirst));
   await program.root.start();
   return program;
 }
--- a/tests/experiment-run.test.ts
+++ b/tests/experiment-run.test.ts
@@ -2,7 +2,7 @@
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
-import * as control from "../src/control/program.js";
+import * as controlProgram from "../src/control/control-program.js";
 import * as chains from "../src/experiment/chain.js";
 import * as measuringClock from "../src/experiment/measuring-clock.js";
 import * as hosts from "../src/experiment/hosts.js";
@@ -23,7 +23,7 @@
     return { name, request: (order) => hands.handle(order) };
   }
   async control(name: string, file: string): Promise<hosts.ControlHost> {
-    const program = new control.ControlProgram(
+    const program = new controlProgram.ControlProgram(
       this.world,
       settings.read(file).unwrapOrElse((error) => {
         throw error;
--- a/tests/model/node.ts
+++ b/tests/model/node.ts
@@ -101,7 +101,7 @@
     this.dial = new dialer.Dialer(this.clock, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
     this.dial.addAddresses(this.seeds);
     const first = registerValue.initialValue(isBootstrap ? this.seeds : []);
-    this.core = this.mutations.makeCore(this.clock, { life, address: this.address, first }, this.dial);
+    this.core = this.mutations.makeCore(this.clock, { incarnation: life, address: this.address, initialValue: first }, this.dial);
     this.core.on("chosen", this.onChosen);
     this.core.registerHandlers(this.handlers);
     this.voterManager = new voterManager.VoterManager(this.clock, this.core, this.members.bind(this));
--- a/tests/register-core.test.ts
+++ b/tests/register-core.test.ts
@@ -27,7 +27,7 @@
   const clock = new sim.SimWorld();
   const describe = (): schema.NodeInfo => nodeAt("a:1", "");
   const dial = new dialer.Dialer(clock, "a:1", new link.Handlers(), describe, link.SILENT_MS);
-  const core = new registerReplica.RegisterReplica(clock, { life: "life", address: "a:1", first }, dial);
+  const core = new registerReplica.RegisterReplica(clock, { incarnation: "life", address: "a:1", initialValue: first }, dial);
   const disk = {
     disk: registerValue.initialDisk("a:1"),
     promised: registerValue.NO_BALLOT,
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -76,7 +76,7 @@
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.dial.addAddresses(node.seeds.map(addressOf));
     this.feed = new feedPublisher.FeedPublisher(life);
-    this.core = new registerReplica.RegisterReplica(world, { life, address: addressOf(name), first }, this.dial);
+    this.core = new registerReplica.RegisterReplica(world, { incarnation: life, address: addressOf(name), initialValue: first }, this.dial);
     this.operator = new operators.Operator(this.core, new Set(["north"]), () => null);
     this.voterManager = new voterManager.VoterManager(world, this.core, () => [this.describe(), ...this.peers()]);
     this.handle();
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -108,7 +108,11 @@
     this.members = new membership.Membership(world, link.SILENT_MS, `${name}/1`);
     this.feed = new feedPublisher.FeedPublisher(`${name}/1`);
     const first = registerValue.initialValue(seeds);
-    this.core = new registerReplica.RegisterReplica(world, { life: `${name}/1`, address: addressOf(name), first }, this.dial);
+    this.core = new registerReplica.RegisterReplica(
+      world,
+      { incarnation: `${name}/1`, address: addressOf(name), initialValue: first },
+      this.dial,
+    );
     this.leaseServer = new leaseServer.LeaseServer(world, `${name}/1`, BOUNDS, this.core);
     const confirmation = new BrokenConfirmation(world, options.broken ?? "none");
     this.contact = new quorumContact.QuorumContact(
--- a/tests/system.test.ts
+++ b/tests/system.test.ts
@@ -5,7 +5,7 @@
 import * as path from "node:path";
 import * as client from "../src/cli/client.js";
 import * as commands from "../src/cli/commands.js";
-import * as control from "../src/control/program.js";
+import * as controlProgram from "../src/control/control-program.js";
 import * as routerProgram from "../src/router/router-program.js";
 import * as platforms from "../src/emulator/platform.js";
 import * as runner from "../src/emulator/runner.js";
@@ -22,7 +22,7 @@
 let folder: string;
 let platform: platforms.StandInPlatform;
 let standins: runner.StandInRunner[];
-let controls: control.ControlProgram[];
+let controls: controlProgram.ControlProgram[];
 let edge: routerProgram.RouterProgram;
 
 function addressOf(index: number): string {
@@ -42,8 +42,8 @@
   return loopback.until(what, 12_000, isSo);
 }
 
-async function startControl(index: number, disk: string, isFirst: boolean): Promise<control.ControlProgram> {
-  const program = new control.ControlProgram(clock, startupOf("control", index, path.join(folder, disk), isFirst));
+async function startControl(index: number, disk: string, isFirst: boolean): Promise<controlProgram.ControlProgram> {
+  const program = new controlProgram.ControlProgram(clock, startupOf("control", index, path.join(folder, disk), isFirst));
   await program.root.start();
   return program;
 }
@@ -54,7 +54,7 @@
   members: { router: schema.NodeInfo[] };
 }
 
-function statusOf(program: control.ControlProgram): Status {
+function statusOf(program: controlProgram.ControlProgram): Status {
   return program.status() as Status;
 }
 
--- a/tests/tenants-system.test.ts
+++ b/tests/tenants-system.test.ts
@@ -5,7 +5,7 @@
 import * as path from "node:path";
 import * as client from "../src/cli/client.js";
 import * as tenants from "../src/cli/tenants.js";
-import * as control from "../src/control/program.js";
+import * as controlProgram from "../src/control/control-program.js";
 import * as routerProgram from "../src/router/router-program.js";
 import * as platforms from "../src/emulator/platform.js";
 import * as runners from "../src/emulator/runner.js";
@@ -23,7 +23,7 @@
 let folder: string;
 let platform: platforms.StandInPlatform;
 let runner: runners.StandInRunner;
-let controls: control.ControlProgram[];
+let controls: controlProgram.ControlProgram[];
 let edge: routerProgram.RouterProgram;
 
 function system(): loopback.Loopback {
@@ -43,7 +43,8 @@
   const instance = { instance_id: runner.id, service: "model", address: runner.address, zone: "a1", revision: "v1" };
   platform.instances.push({ ...instance, capacity: 8, state: "ready", warmup_left_ms: 0 });
   controls = [0, 1, 2].map(
-    (index) => new control.ControlProgram(clock, loopback.startupOf(system(), "control", index, path.join(folder, `disk-${index}`), true)),
+    (index) =>
+      new controlProgram.ControlProgram(clock, loopback.startupOf(system(), "control", index, path.join(folder, `disk-${index}`), true)),
   );
   for (const program of controls) await program.root.start();
   edge = new routerProgram.RouterProgram(clock, loopback.startupOf(system(), "router", 0, "", true));
