--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -112,7 +112,7 @@
   deadline: number,
   mostOut = 0,
 ): routeRequest.RouteRequest {
-  const asked = { ...promptParts.parseRequestedTokens(undefined, parts), mostOut };
+  const asked = { ...promptParts.parseRequestedTokens(undefined, parts), maxOutput: mostOut };
   return {
     requestId: types.small(requestId),
     entry,
