--- a/src/batch/steps.ts
+++ b/src/batch/steps.ts
@@ -142,10 +142,10 @@
   let next: schema.BatchTable = { ...table, clockMs };
   for (const attempt of change.ended) next = end(next, attempt);
   for (const item of change.sends) next = send(next, item);
-  return result.ok({ ...next, batches: next.batches.filter(isRemembered) });
   function isRemembered(batch: schema.Batch): boolean {
     return tables.isOpen(batch) || clockMs - batch.endedMs < bounds.KEPT_MS;
   }
+  return result.ok({ ...next, batches: next.batches.filter(isRemembered) });
 }
 
 /** Passed over unless the very attempt is at work. */
--- a/src/cli/ask.ts
+++ b/src/cli/ask.ts
@@ -34,16 +34,6 @@
     headers["X-Cranewind-Token-Usage"] = "100,100";
   }
   return new Promise(function send(resolve) {
-    const request = nodeHttp.request(
-      { host: types.hostOf(options.router), port: types.portOf(options.router), path: options.path, method: "POST", agent: false, headers },
-      onResponse,
-    );
-    request.on("error", onError);
-    request.end();
-    function onError(cause: Error): void {
-      output.failure(`${options.router} does not reply: ${cause.message}; check that a router runs there, or name another with --router`);
-      resolve(commands.EXIT.unreachable);
-    }
     function onResponse(response: nodeHttp.IncomingMessage): void {
       let firstMs = -1;
       let bytes = 0;
@@ -67,5 +57,15 @@
         resolve(isGood ? commands.EXIT.ok : commands.EXIT.denied);
       });
     }
+    const request = nodeHttp.request(
+      { host: types.hostOf(options.router), port: types.portOf(options.router), path: options.path, method: "POST", agent: false, headers },
+      onResponse,
+    );
+    function onError(cause: Error): void {
+      output.failure(`${options.router} does not reply: ${cause.message}; check that a router runs there, or name another with --router`);
+      resolve(commands.EXIT.unreachable);
+    }
+    request.on("error", onError);
+    request.end();
   });
 }
--- a/src/cli/capacity.ts
+++ b/src/cli/capacity.ts
@@ -71,9 +71,7 @@
     for (const kind of admission?.kinds ?? []) kinds.set(kind.route, kind);
     rate = Math.max(rate, admission?.rate ?? 0);
   }
-  return [...cells.values()].map(rowOf);
   function rowOf(cell: CellRoom): Row {
-    return { region: cell.region, service: cell.service, room: cell.room, kinds: [...kinds.values()].filter(isHere).map(perS) };
     function isHere(kind: KindStatus): boolean {
       return kind.service === cell.service;
     }
@@ -85,7 +83,9 @@
       });
       return { route: kind.route, requests_per_s: Number.isFinite(most) ? Math.round(most * 10) / 10 : null };
     }
+    return { region: cell.region, service: cell.service, room: cell.room, kinds: [...kinds.values()].filter(isHere).map(perS) };
   }
+  return [...cells.values()].map(rowOf);
 }
 
 /** The rows as lines for people. */
--- a/src/cli/roles.ts
+++ b/src/cli/roles.ts
@@ -48,28 +48,18 @@
   tree.superviseProcess(program.root);
   let isStopping = false;
   let fingerprint = fingerprintOf(file);
-  process.on("SIGTERM", stop);
-  process.on("SIGINT", stop);
-  process.on("SIGHUP", reload);
-  program.root.add(program.root.turns("settings", SETTINGS_CHECK_MS, checkFile));
-  if (metrics !== undefined) await addMetrics(program.root, read.value.ip_address, metrics);
-  await program.root.start();
-  log.state(`${read.value.node_name} is up`);
-
+  function exit(): void {
+    log.flushNow();
+    process.exit(commands.EXIT.ok);
+  }
   function stop(): void {
     if (isStopping) return;
     isStopping = true;
     log.state("leaving");
     void program.stop().finally(exit);
   }
-  function exit(): void {
-    log.flushNow();
-    process.exit(commands.EXIT.ok);
-  }
-  /** The file may change without a signal. */
-  function checkFile(): void {
-    if (fingerprintOf(file) !== fingerprint) reload();
-  }
+  process.on("SIGTERM", stop);
+  process.on("SIGINT", stop);
   function reload(): void {
     fingerprint = fingerprintOf(file);
     const reloaded = settings.read(file);
@@ -81,6 +71,15 @@
     log.count("settings.reread");
     program.applySettings(reloaded.value);
   }
+  process.on("SIGHUP", reload);
+  /** The file may change without a signal. */
+  function checkFile(): void {
+    if (fingerprintOf(file) !== fingerprint) reload();
+  }
+  program.root.add(program.root.turns("settings", SETTINGS_CHECK_MS, checkFile));
+  if (metrics !== undefined) await addMetrics(program.root, read.value.ip_address, metrics);
+  await program.root.start();
+  log.state(`${read.value.node_name} is up`);
 }
 
 function fingerprintOf(file: string): string {
--- a/src/cli/tenants.ts
+++ b/src/cli/tenants.ts
@@ -46,13 +46,6 @@
 /** One row a tenant that has a limit or was counted, by name. */
 export function rowsOf(statuses: readonly OwnerStatus[]): Row[] {
   const rows = new Map<string, Row>();
-  for (const { node, quotas } of statuses) {
-    if (!quotas) continue;
-    for (const [tenant, { perS, burst }] of Object.entries(quotas.limits)) Object.assign(rowOf(tenant), { rate_per_s: perS, burst });
-    for (const [tenant, use] of Object.entries(quotas.used)) add(rowOf(tenant), node.region, use);
-  }
-  return [...rows.values()].sort((left, right) => (left.tenant < right.tenant ? -1 : 1));
-
   function rowOf(tenant: string): Row {
     let row = rows.get(tenant);
     if (!row) {
@@ -61,6 +54,12 @@
     }
     return row;
   }
+  for (const { node, quotas } of statuses) {
+    if (!quotas) continue;
+    for (const [tenant, { perS, burst }] of Object.entries(quotas.limits)) Object.assign(rowOf(tenant), { rate_per_s: perS, burst });
+    for (const [tenant, use] of Object.entries(quotas.used)) add(rowOf(tenant), node.region, use);
+  }
+  return [...rows.values()].sort((left, right) => (left.tenant < right.tenant ? -1 : 1));
 }
 
 function add(row: Row, region: string, use: quotaUse.Use): void {
--- a/src/cli/try.ts
+++ b/src/cli/try.ts
@@ -107,14 +107,6 @@
   const platform = await startStandIns();
   const children = new Set<childProcess.ChildProcess>();
   let isOver = false;
-  for (const role of ["control", "router"] as const) {
-    for (const region of REGIONS.keys()) launch(nodeOf(folder, region, role), region);
-  }
-  output.line(`control: ${REGIONS.map(seedOf).join(" ")}`);
-  output.line(`routers: ${REGIONS.map(frontOf).join(" ")} (status at port ${READY_PORT})`);
-  process.on("SIGINT", stop);
-  process.on("SIGTERM", stop);
-
   function launch(node: Node, region: number): void {
     const isFirst = !fs.existsSync(path.join(folder, node.name));
     fs.writeFileSync(node.settings, settingsOf(folder, node, region, platform.address, isFirst));
@@ -126,20 +118,26 @@
     fs.closeSync(log);
     children.add(child);
     output.line(`${node.name}: process ${child.pid}, log ${node.name}.log`);
-    child.once("exit", restart);
     function restart(): void {
       children.delete(child);
       if (isOver) return;
       output.line(`${node.name}: process ${child.pid} ended; starting it again`);
       setTimeout(launch, RESTART_DELAY_MS, node, region);
     }
+    child.once("exit", restart);
   }
-
+  for (const role of ["control", "router"] as const) {
+    for (const region of REGIONS.keys()) launch(nodeOf(folder, region, role), region);
+  }
+  output.line(`control: ${REGIONS.map(seedOf).join(" ")}`);
+  output.line(`routers: ${REGIONS.map(frontOf).join(" ")} (status at port ${READY_PORT})`);
   function stop(): void {
     isOver = true;
     for (const child of children) child.kill("SIGKILL");
     process.exit(0);
   }
+  process.on("SIGINT", stop);
+  process.on("SIGTERM", stop);
 }
 
 function frontOf(_region: string, index: number): string {
--- a/src/config/change.ts
+++ b/src/config/change.ts
@@ -90,12 +90,12 @@
   const higher = checkRevision(base, revision);
   if (higher.isErr) return result.err(higher.error);
   let config: ReturnType<typeof packed> | null = null;
-  return result.ok(orderStep(base, revision, registerValue.digest("replace", String(base), body), whole));
   /** Packed once, however often the step is applied again. */
   function whole(): ReturnType<typeof packed> {
     config ??= packed(parsed.unwrapOr(null));
     return config;
   }
+  return result.ok(orderStep(base, revision, registerValue.digest("replace", String(base), body), whole));
 }
 
 /** Changes named items. An error when the order alone shows that it is invalid. */
@@ -107,7 +107,6 @@
   const revision = revised.value;
   const higher = checkRevision(base, revision);
   if (higher.isErr) return result.err(higher.error);
-  return result.ok(orderStep(base, revision, registerValue.digest("update", String(base), body), patched));
   function patched(value: schema.Value): result.Result<Buffer, errors.CranewindError> {
     const current = registerValue.unpack(value.config);
     if (current === null) return check.invalid("body", "there is no configuration to update", "send Config.Replace first");
@@ -116,6 +115,7 @@
     const checked = check.check(made.value, check.itemsOf(current as check.Configuration));
     return checked.isErr ? result.err(checked.error) : packed(made.value);
   }
+  return result.ok(orderStep(base, revision, registerValue.digest("update", String(base), body), patched));
 }
 
 function isObject(value: unknown): value is Document {
--- a/src/emulator/runner.ts
+++ b/src/emulator/runner.ts
@@ -204,8 +204,9 @@
     let at = Number(headerOf(incoming, names.HEADER.lastEventId) || 0);
     const started = at;
     const readMs = tokensPerMs > 0 ? (this.seen[this.seen.length - 1]?.readTokens ?? 0) / tokensPerMs : 0;
-    if (readMs + eventMs > 0) setTimeout(next, readMs + eventMs);
-    else next();
+    function cut(): void {
+      incoming.socket.destroy();
+    }
     function next(): void {
       if (outgoing.destroyed) return;
       if (mishap === "cut" && at - started >= cutAfter) {
@@ -226,9 +227,8 @@
       if (eventMs > 0) setTimeout(next, eventMs);
       else next();
     }
-    function cut(): void {
-      incoming.socket.destroy();
-    }
+    if (readMs + eventMs > 0) setTimeout(next, readMs + eventMs);
+    else next();
   }
 
   private stall(goOn: () => void): void {
--- a/src/experiment/chain.ts
+++ b/src/experiment/chain.ts
@@ -201,13 +201,13 @@
   for (let index = 0; index < times; index += 1) each.push(chain.once(prompt));
   const { user, system } = process.cpuUsage(before);
   const all = each.map(sum);
-  const [homesUs, cellsUs, runnerUs, admissionUs] = [0, 1, 2, 3].map(medianOf) as [number, number, number, number];
   function medianOf(policy: number): number {
-    return rows.quantile(each.map(tookBy), 0.5);
     function tookBy(took: readonly number[]): number {
       return took[policy];
     }
+    return rows.quantile(each.map(tookBy), 0.5);
   }
+  const [homesUs, cellsUs, runnerUs, admissionUs] = [0, 1, 2, 3].map(medianOf) as [number, number, number, number];
   return {
     ...size,
     prompt,
--- a/src/experiment/launcher.ts
+++ b/src/experiment/launcher.ts
@@ -72,11 +72,11 @@
       resolve();
       return;
     }
-    child.once("exit", ended);
-    child.kill("SIGKILL");
     function ended(): void {
       resolve();
     }
+    child.once("exit", ended);
+    child.kill("SIGKILL");
   });
 }
 
--- a/src/experiment/sweep.ts
+++ b/src/experiment/sweep.ts
@@ -138,6 +138,9 @@
 
 async function draw(all: readonly SweepPoint[], outcome: rows.Outcome, out: string): Promise<void> {
   for (const [sweep, field] of fieldsOf(all)) {
+    function isOwn(row: rows.Point): boolean {
+      return row.sweep === sweep;
+    }
     const own: rows.Outcome = {
       nodes: outcome.nodes.filter(isOwn),
       links: [],
@@ -145,8 +148,5 @@
       losses: outcome.losses.filter(isOwn),
     };
     fs.writeFileSync(path.join(out, `${sweep}.svg`), await plot.svg(panels.panelsOf(field, own), field));
-    function isOwn(row: rows.Point): boolean {
-      return row.sweep === sweep;
-    }
   }
 }
--- a/src/experiment/worker.ts
+++ b/src/experiment/worker.ts
@@ -21,22 +21,17 @@
 /** Serves commands until the channel closes. */
 export function run(seed: number): void {
   const handler = new hosts.CommandHandler(new measuringClock.SeededClock(seed));
-  process.on("message", onMessage);
-  process.on("disconnect", onDisconnect);
-  // An interrupt at the terminal goes to all: the process that started this one ends it.
-  process.on("SIGINT", ignore);
-
   function onMessage(message: CommandMessage): void {
     const { id, command } = message;
-    void handler.handle(command).then(succeeded, failed);
     function succeeded(response: unknown): void {
       respond({ id, response: response ?? null, failure: "" });
     }
     function failed(cause: Error): void {
       respond({ id, response: null, failure: cause.message });
     }
+    void handler.handle(command).then(succeeded, failed);
   }
-
+  process.on("message", onMessage);
   /** The process that started this one is gone: so are the control nodes that it named. */
   function onDisconnect(): void {
     for (const pid of handler.guardedPids) {
@@ -48,6 +43,9 @@
     }
     process.exit(0);
   }
+  process.on("disconnect", onDisconnect);
+  // An interrupt at the terminal goes to all: the process that started this one ends it.
+  process.on("SIGINT", ignore);
 }
 
 function respond(message: ResponseMessage): void {
--- a/src/plots/plot.ts
+++ b/src/plots/plot.ts
@@ -41,6 +41,9 @@
 /** A sheet of panels side by side, two in a row. */
 export function sheet(panels: readonly Panel[], xTitle: string): object {
   const drawn = panels.filter(hasPoints);
+  function drawOne(panel: Panel): object {
+    return panelSpec(panel, xTitle);
+  }
   return {
     $schema: "https://vega.github.io/schema/vega-lite/v6.json",
     background: "white",
@@ -48,9 +51,6 @@
     concat: drawn.map(drawOne),
     resolve: { scale: { color: "independent" } },
   };
-  function drawOne(panel: Panel): object {
-    return panelSpec(panel, xTitle);
-  }
 }
 
 function hasPoints(panel: Panel): boolean {
--- a/src/runtime/timers.ts
+++ b/src/runtime/timers.ts
@@ -24,13 +24,13 @@
 
 /** Runs `turn` at once and again and again, `ms` apart, until stopped. */
 export function runPeriodically(clock: types.Clock, ms: number, turn: () => void): types.Timer {
-  let tick = clock.schedule(0, again);
-  let stopped = false;
   function again(): void {
     if (stopped) return;
     tick = clock.schedule(ms, again);
     turn();
   }
+  let tick = clock.schedule(0, again);
+  let stopped = false;
   return {
     stop(): void {
       stopped = true;
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -128,10 +128,10 @@
 
 /** Where the seeds listen for other nodes: ports are the same on all machines. */
 export function innerSeeds(settings: Settings): string[] {
-  return settings.seed_nodes.map(internalAddress);
   function internalAddress(seed: string): string {
     return `${types.hostOf(seed)}:${settings.internal_port_range[0]}`;
   }
+  return settings.seed_nodes.map(internalAddress);
 }
 
 /** Where the settings are read from: CRANEWIND_NODE_FILE, else the platform's place. */
--- a/src/supervisor/tree.ts
+++ b/src/supervisor/tree.ts
@@ -50,6 +50,9 @@
     const clock = this.clock;
     const runGuarded = this.runGuarded.bind(this);
     let timer: types.Timer | null = null;
+    function onTimer(): void {
+      runGuarded(name, task);
+    }
     return {
       name,
       start(): void {
@@ -59,9 +62,6 @@
         timer?.stop();
       },
     };
-    function onTimer(): void {
-      runGuarded(name, task);
-    }
   }
 
   /** Adds a child at the end; to be called before `start`. */
@@ -82,10 +82,10 @@
     const now = this.clock.now();
     log.count("supervisor.failure");
     log.state(`${name} failed: ${cause instanceof Error ? (cause.stack ?? cause.message) : String(cause)}`);
-    this.failures = [...this.failures.filter(isRecent), now];
     function isRecent(at: number): boolean {
       return now - at < FAILURE_WINDOW_MS;
     }
+    this.failures = [...this.failures.filter(isRecent), now];
     if (this.failures.length <= MAX_FAILURES) return;
     log.state("too many failures in a short while; the process ends to start clean");
     log.flushNow();
--- a/src/whatif/batch.ts
+++ b/src/whatif/batch.ts
@@ -96,13 +96,13 @@
     const endAt = firstAt + (job.events - 1) * eventMs;
     const isWhole = endAt <= job.deadline;
     if (firstAt <= job.deadline) this.clock.schedule(firstAt - now, job.first.bind(job));
-    this.clock.schedule(Math.min(endAt, job.deadline) - now, ended.bind(this));
     function ended(this: BatchRunner): void {
       this.active -= 1;
       this.kvUsed -= tokens;
       job.ended(isWhole);
       this.startQueued();
     }
+    this.clock.schedule(Math.min(endAt, job.deadline) - now, ended.bind(this));
   }
 
   /** What the runner would report now. */
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -82,10 +82,10 @@
 
   private report(): void {
     for (const region of this.scenario.regions) {
-      const reports = [...this.runners.values()].filter(isHere).map(reportOf);
       function isHere(runner: batch.BatchRunner): boolean {
         return runner.region === region.name;
       }
+      const reports = [...this.runners.values()].filter(isHere).map(reportOf);
       for (const router of this.routers) {
         router.fleet.applyReport({ region: region.name, reports });
         router.chooser.admission.applyReport({ region: region.name, reports });
@@ -102,26 +102,26 @@
   private injectFault(fault: scenarios.Fault): void {
     const end = fault.for_s * 1000;
     const { lags } = this;
+    function isThere(item: { region: string }): boolean {
+      return item.region === fault.region;
+    }
     if (fault.kind === "slow_router") {
       const router = this.routers.find(isThere);
       if (!router) return;
       lags.set(router, fault.factor * TIMER_MS);
-      this.clock.schedule(end, quick);
       function quick(): void {
         lags.delete(router!);
       }
+      this.clock.schedule(end, quick);
     }
     if (fault.kind !== "slow_runner") return;
     const runner = [...this.runners.values()].find(isThere);
     if (!runner) return;
     runner.slow = fault.factor;
-    this.clock.schedule(end, healed);
-    function isThere(item: { region: string }): boolean {
-      return item.region === fault.region;
-    }
     function healed(): void {
       runner!.slow = 1;
     }
+    this.clock.schedule(end, healed);
   }
 
   private surge(kind: scenarios.Kind): number {
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -180,11 +180,11 @@
     runner.inflight += 1;
     runner.recordReceived(now);
     this.count(turn, now - turn.startedAt + 2 * tripMs + firstMs, unread, model.id);
-    this.world.schedule(endMs, ended);
     function ended(): void {
       model.active -= 1;
       runner.inflight -= 1;
     }
+    this.world.schedule(endMs, ended);
   }
 
   private phase(): Phase {
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -139,9 +139,9 @@
 ): number {
   const unread = Math.round(from.known.unread(runner, request.parts, request.prefixKeys));
   from.read(runner, unread, request.prefixKeys, clock.now());
-  clock.schedule(SIGN_MS, deliver);
-  return unread;
   function deliver(): void {
     for (const router of routers) if (router !== from) router.read(runner, unread, request.prefixKeys, clock.now());
   }
+  clock.schedule(SIGN_MS, deliver);
+  return unread;
 }
--- a/src/whatif/table.ts
+++ b/src/whatif/table.ts
@@ -23,10 +23,10 @@
   for (const kind of kinds) {
     for (const phase of PHASES) {
       for (const isFirst of [true, false]) {
-        const items = records.filter(isIn);
         function isIn(item: play.RequestRecord): boolean {
           return item.kind === kind && item.phase === phase && item.isFirstTurn === isFirst;
         }
+        const items = records.filter(isIn);
         if (items.length > 0) made.push(rowOf(kind, phase, isFirst ? "first" : "later", items));
       }
     }
--- a/src/wire/http.ts
+++ b/src/wire/http.ts
@@ -123,8 +123,6 @@
 export function call(clock: types.Clock, client: undici.Client, path: string, options: CallOptions): Promise<Reply | null> {
   return new Promise(function start(resolve) {
     let isOver = false;
-    const tick = clock.schedule(options.withinMs, late);
-    const collector = new Collector(options.mostBytes ?? 8 * 1024 * 1024, options.onConnect ?? ignore, finish);
     function finish(reply: Reply | null): void {
       if (isOver) return;
       isOver = true;
@@ -136,6 +134,8 @@
       else void client.destroy().catch(ignore);
       finish(null);
     }
+    const tick = clock.schedule(options.withinMs, late);
+    const collector = new Collector(options.mostBytes ?? 8 * 1024 * 1024, options.onConnect ?? ignore, finish);
     client.dispatch({ path, method: options.method ?? "GET", headers: options.headers ?? {}, body: options.body ?? null }, collector);
   });
 }
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -224,11 +224,11 @@
   log.count("link.dials");
   return new Promise(function start(resolve) {
     const socket = net.connect({ host: types.hostOf(address), port: types.portOf(address) });
-    const tick = clock.schedule(withinMs, giveUp);
     function giveUp(): void {
       socket.destroy();
       resolve(null);
     }
+    const tick = clock.schedule(withinMs, giveUp);
     function failed(): void {
       tick.stop();
       resolve(null);
--- a/src/wire/listen.ts
+++ b/src/wire/listen.ts
@@ -8,11 +8,11 @@
 export function listen(server: net.Server, address: string): Promise<void> {
   return new Promise(function start(resolve, reject) {
     server.once("error", reject);
-    server.listen({ host: types.hostOf(address), port: types.portOf(address), backlog: BACKLOG }, listening);
     function listening(): void {
       server.removeListener("error", reject);
       resolve();
     }
+    server.listen({ host: types.hostOf(address), port: types.portOf(address), backlog: BACKLOG }, listening);
   });
 }
 
--- a/src/wire/serve.ts
+++ b/src/wire/serve.ts
@@ -53,29 +53,29 @@
 
 /** Listens at the address; a body of over mostBodyBytes gets 413. */
 export async function serve(address: string, mostBodyBytes: number, reply: Reply): Promise<Server> {
-  const server = http.createServer(
-    { keepAliveTimeout: 10_000, requestTimeout: 30_000, headersTimeout: 5000, connectionsCheckingInterval: 2000 },
-    take,
-  );
   function take(request: http.IncomingMessage, response: http.ServerResponse): void {
-    void handle(request, response, mostBodyBytes, reply).catch(lost);
     function lost(cause: Error): void {
       log.count("serve.failed");
       log.state(`serve: ${cause.message}`);
       response.destroy();
     }
+    void handle(request, response, mostBodyBytes, reply).catch(lost);
   }
+  const server = http.createServer(
+    { keepAliveTimeout: 10_000, requestTimeout: 30_000, headersTimeout: 5000, connectionsCheckingInterval: 2000 },
+    take,
+  );
   await listen.listen(server, address);
-  return { close };
   function close(): Promise<void> {
     return new Promise(function ending(done) {
-      server.close(closed);
-      server.closeIdleConnections();
       function closed(): void {
         done();
       }
+      server.close(closed);
+      server.closeIdleConnections();
     });
   }
+  return { close };
 }
 
 async function handle(request: http.IncomingMessage, response: http.ServerResponse, mostBytes: number, reply: Reply): Promise<void> {
