--- a/src/admission/recent-rejections.ts
+++ b/src/admission/recent-rejections.ts
@@ -1,5 +1,5 @@
 /** Requests denied a moment ago find a better chance on the way back (design/admission 5). Bounded, in memory. */
-import * as shares from "../limits/shares.js";
+import * as textHash from "../limits/text-hash.js";
 
 const RETENTION_MS = 10_000;
 const MAX_KEYS = 4096;
@@ -15,7 +15,7 @@
 export function requestKey(route: string, keys: readonly number[], body: Buffer | null): number {
   const last = keys[keys.length - 1];
   if (last !== undefined) return last;
-  return body ? shares.hash(`${route}|${body.toString("latin1", 0, BODY_BYTES)}`) : 0;
+  return body ? textHash.hashText(`${route}|${body.toString("latin1", 0, BODY_BYTES)}`) : 0;
 }
 
 /** How often requests were denied lately, by their key. At most 4,096 keys, for 10 s each. */
--- a/src/control/leases/lease-server.ts
+++ b/src/control/leases/lease-server.ts
@@ -4,21 +4,21 @@
 import * as link from "../../wire/link.js";
 import type * as leaseSchema from "../../wire/lease-schema.js";
 import * as types from "../../wire/types.js";
-import * as owner from "../../limits/owner.js";
-import type * as parts from "../../limits/parts.js";
-import * as tenure from "../../limits/tenure.js";
+import * as leaseOwner from "../../limits/lease-owner.js";
+import type * as limitShares from "../../limits/limit-shares.js";
+import * as slotOwnership from "../../limits/slot-ownership.js";
 import type * as quotaPart from "../../tenants/quota-part.js";
 import type * as quorumContact from "../voters/quorum-contact.js";
 import type * as registerReplica from "../register-replica.js";
 import * as quotas from "./quotas.js";
 
 /** The figures of all bounds that are leased. */
-export type LeaseBounds = parts.Bounds & quotaPart.QuotaBounds;
+export type LeaseBounds = limitShares.Bounds & quotaPart.QuotaBounds;
 
 /** Grants leases while this node is confirmed. */
 export class LeaseServer {
-  private readonly tenure: tenure.Tenure;
-  private readonly owner: owner.LeaseOwner;
+  private readonly ownership: slotOwnership.SlotOwnership;
+  private readonly owner: leaseOwner.LeaseOwner;
   /** Units of tenants' quotas. */
   readonly quotas: quotas.Quotas;
 
@@ -28,13 +28,13 @@
     bounds: LeaseBounds,
     private readonly replica: registerReplica.RegisterReplica,
   ) {
-    this.tenure = new tenure.Tenure(clock);
-    this.owner = new owner.LeaseOwner(clock, life, bounds, this.tenure);
+    this.ownership = new slotOwnership.SlotOwnership(clock);
+    this.owner = new leaseOwner.LeaseOwner(clock, life, bounds, this.ownership);
     this.quotas = new quotas.Quotas(clock, life, bounds, replica);
   }
 
   updateSettings(bounds: LeaseBounds): void {
-    this.owner.resettle(bounds);
+    this.owner.applyBounds(bounds);
     this.quotas.updateSettings(bounds);
   }
 
@@ -56,21 +56,21 @@
     return {
       disk,
       voterEpoch: acceptedVoterEpoch,
-      knownMs: this.tenure.knownMs(ask.voterEpoch),
+      knownMs: this.ownership.knownMs(ask.voterEpoch),
       acceptedEpoch,
       chosenEpoch: chosen?.epoch ?? types.NO_EPOCH,
     };
   }
 
   private applyChosen(): void {
-    if (this.replica.chosen) this.tenure.take(this.replica.chosen, this.replica.disk);
+    if (this.replica.chosen) this.ownership.applyValue(this.replica.chosen, this.replica.disk);
     this.quotas.applyChosen();
   }
 
   /** A voter's reply to one of the contact's asks; see OnReply of quorum-contact.ts. */
   recordFenceReply(asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
     this.applyChosen();
-    this.tenure.hear(asked, sentAt, reply);
+    this.ownership.recordFenceReply(asked, sentAt, reply);
     this.quotas.recordFenceReply(asked, sentAt, reply);
   }
 }
--- a/src/control/leases/quotas.ts
+++ b/src/control/leases/quotas.ts
@@ -34,7 +34,7 @@
     bounds: quotaPart.QuotaBounds,
     private readonly replica: registerReplica.RegisterReplica,
   ) {
-    this.tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: quotaTenure.FENCE_MS, lifeMs: quotaClient.UNIT_MS });
+    this.tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: quotaTenure.FENCE_MS, maxLeaseMs: quotaClient.UNIT_MS });
     this.owner = new quotaOwner.QuotaOwner(clock, life, bounds, this.tenure);
   }
 
@@ -71,7 +71,7 @@
   applyChosen(): void {
     const { chosen, disk } = this.replica;
     if (!chosen) return;
-    this.tenure.take(chosen, disk);
+    this.tenure.applyValue(chosen, disk);
     this.useNotes(disk);
     if (this.config === chosen.config) return;
     // Another epoch may bring equal bytes anew: they are compared once, not at each ask.
@@ -94,7 +94,7 @@
 
   /** A voter's reply to one of the contact's asks. */
   recordFenceReply(asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
-    this.tenure.hear(asked, sentAt, reply);
+    this.tenure.recordFenceReply(asked, sentAt, reply);
   }
 
   /** For `status`: limits, and what was granted and denied by tenant. */
--- a/src/control/members/roster.ts
+++ b/src/control/members/roster.ts
@@ -3,7 +3,7 @@
  * number it was sent last, or a snapshot when that is unknown or too old (design/members 1).
  */
 import type * as schema from "../../wire/schema.js";
-import * as shares from "../../limits/shares.js";
+import * as textHash from "../../limits/text-hash.js";
 
 /** Removals that are remembered for deltas; a peer that is further behind gets a snapshot. */
 const MAX_REMOVALS = 1024;
@@ -29,7 +29,7 @@
 /** Hash of a member without its epoch, which moves at every router with every change of the configuration. */
 export function hashNode(node: schema.NodeInfo): number {
   const { name, role, life, zone, region, address, outside, disk, isCounted, isReady } = node;
-  return shares.hash([name, role, life, zone, region, address, outside, disk, isCounted, isReady].join("\n"));
+  return textHash.hashText([name, role, life, zone, region, address, outside, disk, isCounted, isReady].join("\n"));
 }
 
 /** The own roster. Numbers count changes within one incarnation of this process. */
--- a/src/control/platform/assignment.ts
+++ b/src/control/platform/assignment.ts
@@ -2,7 +2,7 @@
  * Assignment of regions to the control nodes that poll their runners' load reports (design 4.5): a node of the region
  * itself where there is one; regions without a node are spread over all nodes by weight.
  */
-import * as shares from "../../limits/shares.js";
+import * as textHash from "../../limits/text-hash.js";
 
 /** A control node that may poll load reports. */
 export interface ReportReader {
@@ -27,7 +27,9 @@
     const isLeftLocal = left.reader.region === region;
     if (isLeftLocal !== (right.reader.region === region)) return isLeftLocal ? -1 : 1;
     if (isLeftLocal) return left.reader.name < right.reader.name ? -1 : 1;
-    return left.weight - right.weight || shares.hash(`${region}|${left.reader.name}`) - shares.hash(`${region}|${right.reader.name}`);
+    return (
+      left.weight - right.weight || textHash.hashText(`${region}|${left.reader.name}`) - textHash.hashText(`${region}|${right.reader.name}`)
+    );
   });
 }
 
--- a/src/experiment/layout.ts
+++ b/src/experiment/layout.ts
@@ -1,7 +1,7 @@
 /** Addresses, names, settings and the configuration of an experiment's nodes (design/experiment 2). */
 import * as path from "node:path";
 import type * as platform from "../emulator/platform.js";
-import * as shares from "../limits/shares.js";
+import * as textHash from "../limits/text-hash.js";
 import * as experiment from "./options.js";
 
 const { REGIONS } = experiment;
@@ -35,7 +35,7 @@
 
 /** Names as unlike each other as real ones are: even ones would pack the configuration too well. */
 function nameOf(kind: string, index: number): string {
-  return `${kind}-${shares.hash(`${kind}/${index}`).toString(36)}`;
+  return `${kind}-${textHash.hashText(`${kind}/${index}`).toString(36)}`;
 }
 
 /** All names and addresses of one run; `net` keeps runs of several processes apart on loopback. */
--- a/src/experiment/tenants.ts
+++ b/src/experiment/tenants.ts
@@ -84,7 +84,7 @@
 }
 
 function grantUs(clock: types.Clock, list: Configured[], times: number): number {
-  const owner = new quotaOwner.QuotaOwner(clock, "life", BOUNDS, new OpenTenure(clock, { fenceMs: 1, lifeMs: 1 }));
+  const owner = new quotaOwner.QuotaOwner(clock, "life", BOUNDS, new OpenTenure(clock, { fenceMs: 1, maxLeaseMs: 1 }));
   owner.setLimits(new Map(list.map(({ name, rate_per_s: perS, burst }) => [name, { perS, burst }])));
   return meanOf(times, (index) => {
     const tenant = list[index % list.length].name;
--- a/src/feed/session-selector.ts
+++ b/src/feed/session-selector.ts
@@ -1,7 +1,7 @@
 // Which few control nodes a router holds sessions with, and when it dials or releases one (design/members 2, 3).
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
-import * as shares from "../limits/shares.js";
+import * as textHash from "../limits/text-hash.js";
 import type * as controlNode from "./control-node.js";
 
 /** Control nodes that a router holds sessions with. */
@@ -39,7 +39,7 @@
 
 /** Weighted rendezvous: the place with the highest score; each gets its part by weight (design/members 2). */
 function scoreOf(self: Self, place: Candidate, weight: number): number {
-  const part = (shares.hash(`${self.name}\n${place.address}`) + 0.5) / 2 ** 32;
+  const part = (textHash.hashText(`${self.name}\n${place.address}`) + 0.5) / 2 ** 32;
   return -weight / Math.log(part);
 }
 
--- a/src/hints/runner-hash.ts
+++ b/src/hints/runner-hash.ts
@@ -1,10 +1,10 @@
 /** Runners named by 32 bits: a hash of the id. Marks that two runners share name nobody (design/usage 2.1). */
 import * as log from "../runtime/log.js";
-import * as shares from "../limits/shares.js";
+import * as textHash from "../limits/text-hash.js";
 
 /** The mark of an id, a signed 32-bit number. */
 export function runnerHash(id: string): number {
-  return shares.hash(id) | 0;
+  return textHash.hashText(id) | 0;
 }
 
 /** Ids by mark over the runners listed; rebuilt with each list. */
--- a/src/limits/holdings.ts
+++ b/src/limits/router-leases.ts
@@ -3,37 +3,37 @@
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
 
-const DEMAND_MS = 1500;
-const COLD_DEMAND_MS = 1000;
+const DEMAND_WINDOW_MS = 1500;
+const WARM_UP_DEMAND_WINDOW_MS = 1000;
 /** A lease that ends so soon is no longer counted on when needs are told. */
-const ENDING_MS = 600;
+const EXPIRING_MS = 600;
 /** Sends to a cold runner are asked for this part of a second ahead. */
-const COLD_AHEAD = 0.3;
-const MAX_WANTED = 64;
-const MAX_COLD_WANTED = 4;
+const WARM_UP_LOOKAHEAD_S = 0.3;
+const MAX_REQUESTED_UNITS = 64;
+const MAX_WARM_UP_UNITS = 4;
 /** So many cold runners a router asks for at once (*ours*); the ones wanted last come first. */
-const MAX_COLD = 16;
+const MAX_WARM_UP_RUNNERS = 16;
 
 /** A lease as its holder counts it. */
 export interface Lease {
   id: number;
-  life: string;
+  ownerIncarnation: string;
   kind: leaseSchema.Kind;
   key: string;
-  left: number;
-  until: number;
+  unitsLeft: number;
+  expiresAt: number;
 }
 
 interface Demand {
   kind: leaseSchema.Kind;
   key: string;
   perS: number;
-  hits: number[];
-  standingUntil: number;
+  requestedAt: number[];
+  standbyUntil: number;
 }
 
 /** The leases that one router holds. */
-export class Holdings {
+export class RouterLeases {
   private readonly leases = new Map<string, Lease[]>();
   private readonly ended = new Map<string, leaseSchema.Done[]>();
   private readonly demands = new Map<string, Demand>();
@@ -43,20 +43,20 @@
   constructor(private readonly clock: types.Clock) {}
 
   /** Wanted now: counted whether it was there or not. */
-  want(kind: leaseSchema.Kind, key: string, perS: number): void {
+  recordDemand(kind: leaseSchema.Kind, key: string, perS: number): void {
     const demand = this.demandOf(kind, key, perS);
-    demand.hits.push(this.clock.now());
-    if (demand.hits.length > 2 * MAX_WANTED) demand.hits.shift();
+    demand.requestedAt.push(this.clock.now());
+    if (demand.requestedAt.length > 2 * MAX_REQUESTED_UNITS) demand.requestedAt.shift();
   }
 
   /** May be wanted soon: one is kept ready while the owners have plenty. */
-  stand(key: string, forMs: number): void {
-    this.demandOf(leaseSchema.TRIES, key, 0).standingUntil = this.clock.now() + forMs;
+  keepStandby(key: string, forMs: number): void {
+    this.demandOf(leaseSchema.TRIES, key, 0).standbyUntil = this.clock.now() + forMs;
   }
 
   private demandOf(kind: leaseSchema.Kind, key: string, perS: number): Demand {
     const name = `${kind}${key}`;
-    const demand = this.demands.get(name) ?? { kind, key, perS, hits: [], standingUntil: 0 };
+    const demand = this.demands.get(name) ?? { kind, key, perS, requestedAt: [], standbyUntil: 0 };
     demand.perS = perS;
     // The one wanted last stands last.
     if (kind === leaseSchema.COLD) this.demands.delete(name);
@@ -64,14 +64,14 @@
     return demand;
   }
 
-  private open(kind: leaseSchema.Kind, key: string): Lease[] {
+  private openLeases(kind: leaseSchema.Kind, key: string): Lease[] {
     const name = `${kind}${key}`;
     const now = this.clock.now();
     const all = this.leases.get(name);
     if (!all) return [];
     const open: Lease[] = [];
     for (const lease of all) {
-      if (lease.left > 0 && lease.until > now) open.push(lease);
+      if (lease.unitsLeft > 0 && lease.expiresAt > now) open.push(lease);
       else this.end(lease);
     }
     if (open.length > 0) this.leases.set(name, open);
@@ -80,36 +80,36 @@
   }
 
   private end(lease: Lease): void {
-    const done = this.ended.get(lease.life) ?? [];
-    done.push({ id: lease.id, unused: lease.left });
-    this.ended.set(lease.life, done);
-    lease.life = "";
+    const done = this.ended.get(lease.ownerIncarnation) ?? [];
+    done.push({ id: lease.id, unused: lease.unitsLeft });
+    this.ended.set(lease.ownerIncarnation, done);
+    lease.ownerIncarnation = "";
     // What a cold runner may take is scarce: its owner hears at once that this one has ended.
     if (lease.kind === leaseSchema.COLD) this.isShort = true;
   }
 
   has(kind: leaseSchema.Kind, key: string): boolean {
-    return this.open(kind, key).length > 0;
+    return this.openLeases(kind, key).length > 0;
   }
 
   /** One unit of the lease that ends first. */
-  take(kind: leaseSchema.Kind, key: string): Lease | null {
+  takeUnit(kind: leaseSchema.Kind, key: string): Lease | null {
     let first: Lease | null = null;
-    for (const lease of this.open(kind, key)) if (!first || lease.until < first.until) first = lease;
-    if (first) first.left -= 1;
+    for (const lease of this.openLeases(kind, key)) if (!first || lease.expiresAt < first.expiresAt) first = lease;
+    if (first) first.unitsLeft -= 1;
     else this.isShort = true;
     return first;
   }
 
   /** The unit was not used after all; once the lease's end is told, it is too late. */
   giveBack(lease: Lease): void {
-    if (lease.life !== "") lease.left += 1;
+    if (lease.ownerIncarnation !== "") lease.unitsLeft += 1;
   }
 
-  private held(demand: Demand, now: number): number {
+  private availableUnits(demand: Demand, now: number): number {
     let held = 0;
-    for (const lease of this.open(demand.kind, demand.key))
-      if (lease.until > now + ENDING_MS / (demand.kind === leaseSchema.COLD ? 4 : 1)) held += lease.left;
+    for (const lease of this.openLeases(demand.kind, demand.key))
+      if (lease.expiresAt > now + EXPIRING_MS / (demand.kind === leaseSchema.COLD ? 4 : 1)) held += lease.unitsLeft;
     return held;
   }
 
@@ -121,45 +121,45 @@
     const cold: leaseSchema.Need[] = [];
     for (const [name, demand] of this.demands) {
       const isCold = demand.kind === leaseSchema.COLD;
-      const since = now - (isCold ? COLD_DEMAND_MS : DEMAND_MS);
-      while (demand.hits.length > 0 && demand.hits[0] < since) demand.hits.shift();
-      const isHot = demand.hits.length > 0;
+      const since = now - (isCold ? WARM_UP_DEMAND_WINDOW_MS : DEMAND_WINDOW_MS);
+      while (demand.requestedAt.length > 0 && demand.requestedAt[0] < since) demand.requestedAt.shift();
+      const isHot = demand.requestedAt.length > 0;
       const wanted = isHot
         ? isCold
-          ? Math.min(MAX_COLD_WANTED, Math.ceil(demand.hits.length * COLD_AHEAD))
-          : Math.min(MAX_WANTED, demand.hits.length)
-        : demand.standingUntil > now
+          ? Math.min(MAX_WARM_UP_UNITS, Math.ceil(demand.requestedAt.length * WARM_UP_LOOKAHEAD_S))
+          : Math.min(MAX_REQUESTED_UNITS, demand.requestedAt.length)
+        : demand.standbyUntil > now
           ? 1
           : 0;
-      const more = wanted - this.held(demand, now);
+      const more = wanted - this.availableUnits(demand, now);
       if (wanted === 0) this.demands.delete(name);
       if (more > 0) (isCold ? cold : needs).push({ kind: demand.kind, key: demand.key, perS: demand.perS, wanted: more, isHot });
     }
-    return [...needs, ...cold.slice(-MAX_COLD)];
+    return [...needs, ...cold.slice(-MAX_WARM_UP_RUNNERS)];
   }
 
   /** The ended leases of that owner's life, to be told once. */
-  done(life: string): leaseSchema.Done[] {
+  takeEnded(ownerIncarnation: string): leaseSchema.Done[] {
     for (const [name, all] of this.leases) {
       const lease = all[0];
-      if (lease && !this.demands.has(name)) this.open(lease.kind, lease.key);
+      if (lease && !this.demands.has(name)) this.openLeases(lease.kind, lease.key);
     }
-    const done = this.ended.get(life) ?? [];
-    this.ended.delete(life);
+    const done = this.ended.get(ownerIncarnation) ?? [];
+    this.ended.delete(ownerIncarnation);
     return done;
   }
 
   /** Ends of owners that are gone are told to nobody: they count as used there. */
-  forgetAllBut(lives: ReadonlySet<string>): void {
+  retainOwners(lives: ReadonlySet<string>): void {
     for (const life of this.ended.keys()) if (!lives.has(life)) this.ended.delete(life);
   }
 
   /** sentAt: when the ask was sent, on the own clock. */
-  grant(reply: leaseSchema.LeaseReply, sentAt: number): void {
+  addGrants(reply: leaseSchema.LeaseReply, sentAt: number): void {
     const now = this.clock.now();
     for (const { id, kind, key, amount, lifeMs } of reply.grants) {
-      const lease = { id, life: reply.life, kind, key, left: amount, until: sentAt + lifeMs };
-      if (lease.until <= now) this.end(lease);
+      const lease: Lease = { id, ownerIncarnation: reply.life, kind, key, unitsLeft: amount, expiresAt: sentAt + lifeMs };
+      if (lease.expiresAt <= now) this.end(lease);
       else this.leases.set(`${kind}${key}`, [...(this.leases.get(`${kind}${key}`) ?? []), lease]);
     }
   }
--- a/src/limits/tenure.ts
+++ b/src/limits/slot-ownership.ts
@@ -6,36 +6,36 @@
 import * as types from "../wire/types.js";
 
 /** A voter's word that it knows no newer voters counts for so long, from when it was asked (*ours*). */
-export const FENCE_MS = quorumConfirmation.MAX_ANSWER_AGE_MS;
+export const FENCE_VALID_MS = quorumConfirmation.MAX_ANSWER_AGE_MS;
 /** The longest life of a lease, and what steady clocks may differ by over it (*ours*). */
-export const MAX_LIFE_MS = 1800;
-const SLACK_MS = 200;
+export const MAX_LEASE_MS = 1800;
+const CLOCK_DRIFT_MS = 200;
 
 /** How long words and leases of one kind of bound hold, in milliseconds. */
-export interface Terms {
+export interface OwnershipTerms {
   /** A voter's word that it knows no newer voters, from when it was asked. */
   fenceMs: number;
   /** The longest lease. */
-  lifeMs: number;
+  maxLeaseMs: number;
 }
 
-const LEASES: Terms = { fenceMs: FENCE_MS, lifeMs: MAX_LIFE_MS };
+const LEASES: OwnershipTerms = { fenceMs: FENCE_VALID_MS, maxLeaseMs: MAX_LEASE_MS };
 
 /** A place among the voters: slot of so many. */
-export interface Place {
+export interface SlotPosition {
   slot: number;
   slots: number;
 }
 
-interface Era extends Place {
+interface Epoch extends SlotPosition {
   epoch: types.Epoch;
   voters: ReadonlySet<string>;
   knownAt: number;
 }
 
 /** Fences one slot: isGranting() holds only while a majority of the voters knows no newer set of voters. */
-export class Tenure {
-  private era: Era | null = null;
+export class SlotOwnership {
+  private current: Epoch | null = null;
   /** The disk whose slot this is; "" until it is known. */
   protected disk = "";
   private readonly acks = new Map<string, number>();
@@ -53,68 +53,69 @@
   }
 
   get slot(): number {
-    return this.era?.slot ?? -1;
+    return this.current?.slot ?? -1;
   }
 
   get slots(): number {
-    return this.era?.slots ?? 0;
+    return this.current?.slots ?? 0;
   }
 
   get epoch(): types.Epoch {
-    return this.era?.epoch ?? types.NO_EPOCH;
+    return this.current?.epoch ?? types.NO_EPOCH;
   }
 
   /** Opens as soon as leases of an earlier life of this process have run out. */
   protected openEarly(): void {
-    this.openAt = Math.min(this.openAt, this.startedAt + this.restMs());
+    this.openAt = Math.min(this.openAt, this.startedAt + this.maxRemainingLeaseMs());
   }
 
   /** Leases of an earlier life, or of the slot's former owner, have run out after this long. */
-  protected restMs(): number {
-    return this.terms.lifeMs + SLACK_MS;
+  protected maxRemainingLeaseMs(): number {
+    return this.terms.maxLeaseMs + CLOCK_DRIFT_MS;
   }
 
   /** What is chosen, and the own disk: all changes of tenure pass here. */
-  take(value: schema.Value, disk: string): void {
-    const before = this.era;
+  applyValue(value: schema.Value, disk: string): void {
+    const before = this.current;
     if (before && (value.voterEpoch < before.epoch || (value.voterEpoch === before.epoch && disk === this.disk))) return;
     const now = this.clock.now();
     const disks = value.voters.map(diskOf);
     const slot = disk === "" ? -1 : disks.indexOf(disk);
     const isNext = before !== null && disk === this.disk && value.voterEpoch === before.epoch + 1;
-    const isKept = isNext && this.goOn(before, { slot, slots: disks.length });
+    const isKept = isNext && this.keepsSlot(before, { slot, slots: disks.length });
     const isSame = before !== null && value.voterEpoch === before.epoch;
-    this.era = { epoch: value.voterEpoch, voters: new Set(disks), slots: disks.length, slot, knownAt: isSame ? before.knownAt : now };
+    this.current = { epoch: value.voterEpoch, voters: new Set(disks), slots: disks.length, slot, knownAt: isSame ? before.knownAt : now };
     this.disk = disk;
     // A word that nothing newer than an earlier epoch was accepted says the same of this one.
-    for (const voter of this.acks.keys()) if (!this.era.voters.has(voter)) this.acks.delete(voter);
+    for (const voter of this.acks.keys()) if (!this.current.voters.has(voter)) this.acks.delete(voter);
     if (isKept) return;
     this.round += 1;
-    this.openAt = value.voterEpoch === types.FIRST_EPOCH ? this.startedAt + this.restMs() : this.opening(this.era.knownAt);
+    this.openAt =
+      value.voterEpoch === types.FIRST_EPOCH ? this.startedAt + this.maxRemainingLeaseMs() : this.earliestOpening(this.current.knownAt);
   }
 
   /** Called at the next epoch: whether this process goes on without a pause, as what it held is no one else's there. */
-  protected goOn(before: Place, next: Place): boolean {
+  protected keepsSlot(before: SlotPosition, next: SlotPosition): boolean {
     return next.slot >= 0 && next.slot === before.slot && next.slots === before.slots;
   }
 
-  private opening(chosenAt: number): number {
-    return Math.max(this.startedAt + this.restMs(), chosenAt + this.terms.fenceMs + this.restMs());
+  private earliestOpening(chosenAt: number): number {
+    return Math.max(this.startedAt + this.maxRemainingLeaseMs(), chosenAt + this.terms.fenceMs + this.maxRemainingLeaseMs());
   }
 
   /** For how long the epoch is known here as chosen; -1: it isn't. */
   knownMs(epoch: types.Epoch): number {
-    return this.era && this.era.epoch === epoch ? this.clock.now() - this.era.knownAt : -1;
+    return this.current && this.current.epoch === epoch ? this.clock.now() - this.current.knownAt : -1;
   }
 
   /** A voter's word; sentAt: when it was asked, on the own clock. */
-  hear(asked: types.Epoch, sentAt: number, reply: leaseSchema.FenceState): void {
-    if (!this.era || reply.voterEpoch > this.era.epoch || !this.era.voters.has(reply.disk)) return;
+  recordFenceReply(asked: types.Epoch, sentAt: number, reply: leaseSchema.FenceState): void {
+    if (!this.current || reply.voterEpoch > this.current.epoch || !this.current.voters.has(reply.disk)) return;
     this.acks.set(reply.disk, Math.max(sentAt, this.acks.get(reply.disk) ?? -Infinity));
     // Whoever knows it for longer shows that it was chosen earlier; an opening only ever moves nearer.
     const now = this.clock.now();
-    if (asked === this.era.epoch && reply.knownMs >= 0 && now < this.openAt)
-      this.openAt = Math.min(this.openAt, this.opening(now - reply.knownMs));
+    if (asked === this.current.epoch && reply.knownMs >= 0 && now < this.openAt)
+      this.openAt = Math.min(this.openAt, this.earliestOpening(now - reply.knownMs));
   }
 
   /**
@@ -122,7 +123,7 @@
    * their recent words. Whatever majority chooses the next epoch shares a disk with these, which accepted it after its word.
    */
   isGranting(accepted: types.Epoch): boolean {
-    const { era } = this;
+    const { current: era } = this;
     return era !== null && era.slot >= 0 && this.clock.now() >= this.openAt && this.hasMajority(era.slots, accepted <= era.epoch);
   }
 
--- a/src/limits/hash.ts
+++ b/src/limits/text-hash.ts
@@ -1,17 +1,17 @@
 // A small hash that is the same in every process.
-const FIRST = 0x811c9dc5;
+const FNV_OFFSET_BASIS = 0x811c9dc5;
 
 /** FNV-1a, mixed again at the end. */
-export function hash(text: string): number {
-  return ended(FIRST, text);
+export function hashText(text: string): number {
+  return finishHash(FNV_OFFSET_BASIS, text);
 }
 
 /** FNV-1a before its end: `ended(begun(a), b)` is `hash(a + b)`, for many texts of one beginning. */
-export function begun(text: string): number {
-  return added(FIRST, text);
+export function beginHash(text: string): number {
+  return mixIn(FNV_OFFSET_BASIS, text);
 }
 
-function added(value: number, text: string): number {
+function mixIn(value: number, text: string): number {
   for (let index = 0; index < text.length; index += 1) {
     value ^= text.charCodeAt(index);
     value = Math.imul(value, 0x01000193);
@@ -20,8 +20,8 @@
 }
 
 /** The hash of what was begun and the rest of its text. */
-export function ended(start: number, text: string): number {
-  let value = added(start, text);
+export function finishHash(start: number, text: string): number {
+  let value = mixIn(start, text);
   value ^= value >>> 15;
   value = Math.imul(value, 0x2c1b3c6d);
   value ^= value >>> 13;
--- a/src/limits/pool.ts
+++ b/src/limits/token-pool.ts
@@ -1,12 +1,12 @@
 // What an owner holds of one bounded thing, and who is let in to it: max-min over what each got lately
 // (design/shares 3, 5). Level + outstanding never passes the burst.
 import * as leaseSchema from "../wire/lease-schema.js";
-import type * as parts from "./parts.js";
+import type * as limitShares from "./limit-shares.js";
 
-const CLAIM_MS = 700;
-const HEIGHT_MS = 100;
+const CLAIM_VALID_MS = 700;
+const FAIR_LEVEL_VALID_MS = 100;
 /** Standing leases are dealt from what lies above this part of the burst (*ours*). */
-const RESERVE = 0.5;
+const STANDBY_RESERVE_RATIO = 0.5;
 
 interface Claim {
   wanted: number;
@@ -18,17 +18,17 @@
 }
 
 /** One bounded thing at one owner. */
-export class Pool {
+export class TokenPool {
   private level: number;
   private at: number;
   private outstanding = 0;
-  private height = 0;
-  private heightAt = -Infinity;
+  private fairLevel = 0;
+  private fairLevelAt = -Infinity;
   readonly claims = new Map<string, Claim>();
 
   /** earnedSince: refill counts from then on, with nothing there at first. memoryMs: how long a grant is held against its taker. */
   constructor(
-    private part: parts.Part,
+    private part: limitShares.LimitShare,
     earnedSince: number,
     now: number,
     private readonly memoryMs: number,
@@ -38,7 +38,7 @@
     this.refill(now);
   }
 
-  resize(part: parts.Part): void {
+  resize(part: limitShares.LimitShare): void {
     this.part = part;
   }
 
@@ -49,14 +49,14 @@
   }
 
   /** Idle and full: one that is made anew later would be the same. */
-  isSpare(now: number): boolean {
+  isIdleAndFull(now: number): boolean {
     this.refill(now);
     for (const [router, claim] of this.claims) if (now - claim.at > 2 * this.memoryMs) this.claims.delete(router);
     return this.outstanding === 0 && this.level >= this.part.burst && this.claims.size === 0;
   }
 
   /** How many units this router gets now. */
-  take(router: string, need: leaseSchema.Need, now: number): number {
+  grant(router: string, need: leaseSchema.Need, now: number): number {
     this.refill(now);
     const claim = this.claimOf(router, now);
     claim.wanted = need.wanted;
@@ -64,7 +64,7 @@
     claim.at = now;
     const amount = Math.max(
       0,
-      Math.min(need.wanted, Math.floor(this.level + 1e-9), need.isHot ? this.fair(claim, now) : this.standing(claim)),
+      Math.min(need.wanted, Math.floor(this.level + 1e-9), need.isHot ? this.fairAmount(claim, now) : this.standbyAmount(claim)),
     );
     this.level -= amount;
     this.outstanding += amount;
@@ -75,7 +75,7 @@
   }
 
   /** A lease has ended: what is reported as unused comes back, the rest was used. */
-  settle(router: string, amount: number, unused: number, now: number): void {
+  endLease(router: string, amount: number, unused: number, now: number): void {
     this.refill(now);
     this.outstanding -= amount;
     this.level += unused;
@@ -91,35 +91,35 @@
       claim = { wanted: 0, isHot: false, at: now, got: 0, gotAt: now, held: 0 };
       this.claims.set(router, claim);
     }
-    this.fade(claim, now);
+    this.decay(claim, now);
     return claim;
   }
 
-  private fade(claim: Claim, now: number): void {
+  private decay(claim: Claim, now: number): void {
     claim.got *= Math.exp((claim.gotAt - now) / this.memoryMs);
     claim.gotAt = now;
   }
 
-  private standing(claim: Claim): number {
-    if (claim.held > 0 || this.level - 1 < this.part.burst * RESERVE) return 0;
+  private standbyAmount(claim: Claim): number {
+    if (claim.held > 0 || this.level - 1 < this.part.burst * STANDBY_RESERVE_RATIO) return 0;
     return 1;
   }
 
-  private fair(claim: Claim, now: number): number {
-    if (now - this.heightAt >= HEIGHT_MS) {
-      this.height = this.filled(now);
-      this.heightAt = now;
+  private fairAmount(claim: Claim, now: number): number {
+    if (now - this.fairLevelAt >= FAIR_LEVEL_VALID_MS) {
+      this.fairLevel = this.waterLevel(now);
+      this.fairLevelAt = now;
     }
     // A claim that is new since the height was found is as low as any.
-    return Math.ceil(Math.max(this.height, 1e-6) - claim.got - 1e-9);
+    return Math.ceil(Math.max(this.fairLevel, 1e-6) - claim.got - 1e-9);
   }
 
   /** The height to which the level fills the claims, each starting at what it got lately (max-min). */
-  private filled(now: number): number {
+  private waterLevel(now: number): number {
     const steps: { at: number; slope: number }[] = [];
     for (const claim of this.claims.values()) {
-      if (!claim.isHot || now - claim.at > CLAIM_MS || claim.wanted <= 0) continue;
-      this.fade(claim, now);
+      if (!claim.isHot || now - claim.at > CLAIM_VALID_MS || claim.wanted <= 0) continue;
+      this.decay(claim, now);
       steps.push({ at: claim.got, slope: 1 }, { at: claim.got + claim.wanted, slope: -1 });
     }
     steps.sort(byAt);
--- a/src/router/limit-borrower.ts
+++ b/src/router/limit-borrower.ts
@@ -4,7 +4,7 @@
 import * as types from "../wire/types.js";
 import type * as controlNode from "../feed/control-node.js";
 import type * as dialer from "../feed/dialer.js";
-import type * as shares from "../limits/shares.js";
+import type * as leasedLimits from "../limits/leased-limits.js";
 
 /** With nothing to tell, an owner is asked so often whether it grants. */
 const IDLE_REQUEST_INTERVAL_MS = 900;
@@ -35,20 +35,20 @@
     private readonly clock: types.Clock,
     private readonly incarnation: string,
     private readonly dial: dialer.Dialer,
-    private readonly limits: shares.Shares,
+    private readonly limits: leasedLimits.LeasedLimits,
   ) {}
 
   /** Called often: asks at once when something was missing, else with each beat. */
   runPeriodically(): void {
     const now = this.clock.now();
-    if (now - this.requestedAt < REQUEST_INTERVAL_MS && !this.limits.held.isShort) return;
+    if (now - this.requestedAt < REQUEST_INTERVAL_MS && !this.limits.leases.isShort) return;
     this.requestedAt = now;
     this.roundNumber += 1;
-    const needs = this.limits.held.needs();
+    const needs = this.limits.leases.needs();
     const controls = [...this.dial.controls.values()];
     const lives = new Set(controls.map(incarnationOf));
     for (const life of this.sources.keys()) if (!lives.has(life)) this.sources.delete(life);
-    this.limits.held.forgetAllBut(lives);
+    this.limits.leases.retainOwners(lives);
     const owners = controls.filter(this.isOwner.bind(this)).sort(byAddress);
     for (const control of controls) {
       const index = owners.indexOf(control);
@@ -68,7 +68,7 @@
 
   private requestFrom(control: controlNode.ControlNode, needs: leaseSchema.Need[], now: number): void {
     const { life } = control.node;
-    const done = this.limits.held.done(life);
+    const done = this.limits.leases.takeEnded(life);
     const source = this.sources.get(life) ?? { isGranting: true, requestedAt: -Infinity };
     if (needs.length === 0 && done.length === 0 && now - source.requestedAt < IDLE_REQUEST_INTERVAL_MS) return;
     source.requestedAt = now;
--- a/src/router/policies/cell-policy.ts
+++ b/src/router/policies/cell-policy.ts
@@ -1,6 +1,6 @@
 // Cell selection (design 7.3): deterministic by the key of the kept prompt where reading it again is dear,
 // else priority order: the own region, then the others in one fixed order.
-import * as shares from "../../limits/shares.js";
+import * as textHash from "../../limits/text-hash.js";
 import * as loadSummary from "../../load/load-summary.js";
 import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
 import type * as routePlan from "../../routing/route-plan.js";
@@ -50,7 +50,7 @@
 export function rankByKey(key: string, weights: ReadonlyMap<string, number>): string[] {
   const scored: [string, number][] = [];
   for (const [name, weight] of weights) {
-    const point = (shares.hash(`${key}|${name}`) + 1) / 4294967297;
+    const point = (textHash.hashText(`${key}|${name}`) + 1) / 4294967297;
     scored.push([name, -weight / Math.log(point)]);
   }
   scored.sort(byScore);
--- a/src/router/policies/runner-policy.ts
+++ b/src/router/policies/runner-policy.ts
@@ -1,6 +1,6 @@
 // Runner selection (design 7.4): each runner is weighed by what the request would wait for there: readings
 // ahead of it, parts of its prompt to read, its batch, the way to another cell. Ties go by the prompt's key.
-import * as shares from "../../limits/shares.js";
+import * as textHash from "../../limits/text-hash.js";
 import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
 import type * as routePlan from "../../routing/route-plan.js";
 import type * as policyChain from "./policy-chain.js";
@@ -99,11 +99,11 @@
 
 /** The first places of the key's order; all others are alike. The key is hashed once, not for each runner. */
 function affinityRanks(key: string, cell: readonly runnerEndpoint.RunnerEndpoint[]): ReadonlyMap<runnerEndpoint.RunnerEndpoint, number> {
-  const start = shares.begun(`${key}|`);
+  const start = textHash.beginHash(`${key}|`);
   const first: runnerEndpoint.RunnerEndpoint[] = [];
   const scores: number[] = [];
   for (const runner of cell) {
-    const score = shares.ended(start, runner.id);
+    const score = textHash.finishHash(start, runner.id);
     let at = first.length;
     while (at > 0 && score > scores[at - 1]) at -= 1;
     if (at >= AFFINITY_RANKS) continue;
--- a/src/router/route-request.ts
+++ b/src/router/route-request.ts
@@ -2,7 +2,7 @@
 import type * as nodeHttp from "node:http";
 import type * as attemptObserver from "../admission/attempt-observer.js";
 import * as routes from "../config/routes.js";
-import * as shares from "../limits/shares.js";
+import * as textHash from "../limits/text-hash.js";
 import * as names from "../wire/names.js";
 import type * as tenant from "../tenants/tenant.js";
 import * as types from "../wire/types.js";
@@ -66,7 +66,7 @@
   return {
     ...received,
     rank: isBatch ? routes.BATCH_RANK : routes.rankOf(entry.route, tenant?.priority),
-    service: routes.chooseService(entry, shares.hash(`${requestId}/split`) / HASH_RANGE),
+    service: routes.chooseService(entry, textHash.hashText(`${requestId}/split`) / HASH_RANGE),
     parts,
     prefixKeys: promptParts.prefixKeys(parts),
     deadline: arrivedAt + timeBudgetMs(incoming, entry),
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -13,7 +13,7 @@
 import * as sessionSelector from "../feed/session-selector.js";
 import * as feedSubscriber from "../feed/feed-subscriber.js";
 import type * as feedReplica from "../feed/feed-replica.js";
-import * as shares from "../limits/shares.js";
+import * as leasedLimits from "../limits/leased-limits.js";
 import * as tree from "../supervisor/tree.js";
 import * as loadReader from "../load/load-reader.js";
 import * as routerStatus from "./router-status.js";
@@ -45,7 +45,7 @@
   private readonly follower: feedSubscriber.FeedSubscriber;
   private readonly fleet: runnerFleet.RunnerFleet;
   private readonly rotation: zoneRotation.ZoneRotation;
-  private readonly limits: shares.Shares;
+  private readonly limits: leasedLimits.LeasedLimits;
   private readonly config = new parts.ConfigParts();
   private readonly borrower: limitBorrower.LimitBorrower;
   private readonly prefills = new prefillTracker.PrefillTracker();
@@ -64,7 +64,7 @@
   ) {
     this.fleet = new runnerFleet.RunnerFleet(clock, new Map(Object.entries(startup.zones)));
     this.rotation = new zoneRotation.ZoneRotation(clock);
-    this.limits = new shares.Shares(clock, startup.bounds);
+    this.limits = new leasedLimits.LeasedLimits(clock, startup.bounds);
     this.picker = new runnerPicker.RunnerPicker(clock, this.fleet, this.rotation, this.limits, startup.region, this.prefills);
     this.load = new loadReader.LoadReader(clock, this.fleet, startup.region, this.onRegionReports.bind(this));
     this.prefillSharing = new prefillSharing.PrefillSharing(clock, this.fleet, this.prefills, this.load, this.sendHints.bind(this));
@@ -140,7 +140,7 @@
     this.follower.updateSubscriptions();
     this.load.refresh(this.follower.replica);
     const dealer = this.follower.primary;
-    if (dealer?.heartbeat && this.clock.now() - dealer.heartbeatAt < link.BEAT_MS * 3) this.limits.deal(dealer.heartbeat.members);
+    if (dealer?.heartbeat && this.clock.now() - dealer.heartbeatAt < link.BEAT_MS * 3) this.limits.setRouterCount(dealer.heartbeat.members);
     this.borrower.runPeriodically();
     this.tenantGate.runPeriodically();
     this.fleet.peerGroups.routers = this.limits.routers;
@@ -209,7 +209,7 @@
   applySettings(startup: settings.Settings): void {
     this.startup = startup;
     this.dial.addAddresses(settings.innerSeeds(startup));
-    this.limits.resettle(startup.bounds);
+    this.limits.applyBounds(startup.bounds);
     this.tenantGate.applySettings(startup.bounds);
     this.picker.admission.isOn = startup.admission === "on";
     log.state("settings: read again");
--- a/src/router/router-status.ts
+++ b/src/router/router-status.ts
@@ -4,7 +4,7 @@
 import * as counts from "../wire/counts.js";
 import type * as schema from "../wire/schema.js";
 import type * as types from "../wire/types.js";
-import type * as shares from "../limits/shares.js";
+import type * as leasedLimits from "../limits/leased-limits.js";
 import type * as runnerPicker from "./runner-picker.js";
 import type * as serveGate from "./serve-gate.js";
 import type * as runnerFleet from "../runners/runner-fleet.js";
@@ -21,7 +21,7 @@
   node: schema.NodeInfo;
   following: string | null;
   configuration: serveGate.GateStatus;
-  share: shares.Shares;
+  share: leasedLimits.LeasedLimits;
   chooser: runnerPicker.RunnerPicker;
   fleet: runnerFleet.RunnerFleet;
   now: number;
--- a/src/router/runner-picker.ts
+++ b/src/router/runner-picker.ts
@@ -4,7 +4,7 @@
 import type * as attemptObserver from "../admission/attempt-observer.js";
 import * as routes from "../config/routes.js";
 import * as log from "../runtime/log.js";
-import * as shares from "../limits/shares.js";
+import * as leasedLimits from "../limits/leased-limits.js";
 import * as types from "../wire/types.js";
 import type * as connectionPool from "../runners/connection-pool.js";
 import type * as runnerFleet from "../runners/runner-fleet.js";
@@ -49,7 +49,7 @@
     private readonly clock: types.Clock,
     fleet: runnerFleet.RunnerFleet,
     rotation: zoneRotation.ZoneRotation,
-    private readonly limits: shares.Shares,
+    private readonly limits: leasedLimits.LeasedLimits,
     ownRegion: string,
     readonly prefills: prefillTracker.PrefillTracker,
   ) {
@@ -91,7 +91,7 @@
     const rejection = policyChain.runPolicies(this.policies, plan);
     if (rejection) return rejection;
     const isRetry = sendCount > 0;
-    if (isRetry && !this.limits.takeRepeat(request.service)) {
+    if (isRetry && !this.limits.takeRetry(request.service)) {
       log.count("router.budget_spent");
       return { status: 503, cause: "the budget of further tries is spent", retryAfterS: 0.5 };
     }
@@ -146,13 +146,13 @@
     for (const runner of plan.candidates) {
       const isWarmingUp = warmUpPerS > 0 && runner.isWarmingUp(plan.now);
       hasWarmingUp ||= isWarmingUp;
-      if (isWarmingUp && !this.limits.takeCold(runner.id, warmUpPerS)) continue;
+      if (isWarmingUp && !this.limits.takeWarmUpSend(runner.id, warmUpPerS)) continue;
       const connection = runner.connections.acquire(maxConnections, plan.entry.isRepeatable);
       if (connection) return { runner, connection, observer: this.admission.recordSend(plan, runner) };
     }
     log.count(hasWarmingUp ? "router.all_cold" : "router.all_busy");
     if (hasWarmingUp)
-      return { status: 503, cause: "the runners are warming up", retryAfterS: boundedRetryS(this.limits.coldWaitS(warmUpPerS)) };
+      return { status: 503, cause: "the runners are warming up", retryAfterS: boundedRetryS(this.limits.warmUpWaitS(warmUpPerS)) };
     return { status: 503, cause: "all runners are taken", retryAfterS: this.retryAfterS(plan) };
   }
 }
--- a/src/routing/prompt-parts.ts
+++ b/src/routing/prompt-parts.ts
@@ -2,7 +2,7 @@
  * The prompt of a request as its headers describe it: a row of parts, each with an id and its tokens. Requests that begin
  * with the same parts share what a runner has cached of them (design 7.4).
  */
-import * as shares from "../limits/shares.js";
+import * as textHash from "../limits/text-hash.js";
 
 /** A part of a prompt. */
 export interface PromptPart {
@@ -54,7 +54,7 @@
   let prefix = "";
   for (const part of parts) {
     prefix += `${part.id},`;
-    keys.push(shares.hash(prefix) | 0);
+    keys.push(textHash.hashText(prefix) | 0);
   }
   return keys;
 }
--- a/src/runners/runner-endpoint.ts
+++ b/src/runners/runner-endpoint.ts
@@ -1,7 +1,7 @@
 // One runner as this router sees it: what the list, the reports and this router's own sends say of it (design 7.4).
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
-import * as shares from "../limits/shares.js";
+import * as textHash from "../limits/text-hash.js";
 import * as log from "../runtime/log.js";
 import * as runnerLoad from "../load/runner-load.js";
 import * as connectionPool from "./connection-pool.js";
@@ -49,7 +49,7 @@
     super();
     this.outliers = new outlierDetection.OutlierDetector(instance.id);
     this.connections = new connectionPool.ConnectionPool(instance.address, opened, limit);
-    this.runnerHash = shares.hash(instance.id);
+    this.runnerHash = textHash.hashText(instance.id);
   }
 
   get id(): types.RunnerId {
--- a/src/runners/zone-rotation.ts
+++ b/src/runners/zone-rotation.ts
@@ -1,6 +1,6 @@
 // Zones in and out of rotation by percentage steps (design 7.5): drain goes down at once in steps well inside
 // the bound; failback goes up slowly, since what comes back may be cold.
-import * as shares from "../limits/shares.js";
+import * as textHash from "../limits/text-hash.js";
 import * as types from "../wire/types.js";
 
 const DRAIN_DURATION_MS = 800;
@@ -68,5 +68,5 @@
 
 /** Whether the request is among the first so many in a hundred, by its id. */
 export function isWithinPercent(percent: number, requestId: types.RequestId): boolean {
-  return percent >= 100 || (percent > 0 && shares.hash(requestId) % 100 < percent);
+  return percent >= 100 || (percent > 0 && textHash.hashText(requestId) % 100 < percent);
 }
--- a/src/tenants/quota-part.ts
+++ b/src/tenants/quota-part.ts
@@ -2,8 +2,8 @@
  * The fixed part of a tenant's quota that one slot of the voters holds (design/tenants 4.2): a burst of whole units and
  * a refill, so that burst + refill over any window, summed over all slots, stays within the bound on the window.
  */
-import * as parts from "../limits/parts.js";
-import type * as tenure from "../limits/tenure.js";
+import * as limitShares from "../limits/limit-shares.js";
+import type * as slotOwnership from "../limits/slot-ownership.js";
 
 /** The figures of the settings that the bound on a window is made from. */
 export interface QuotaBounds {
@@ -39,7 +39,7 @@
 }
 
 /** A slot's part of a quota. */
-export interface QuotaPart extends parts.Part {
+export interface QuotaPart extends limitShares.LimitShare {
   /**
    * What a bucket holds when its owner begins, under one unit. The slots are staggered by rendezvous on the tenant, so that
    * after a start of everything the first units do not all come in one refill late.
@@ -56,12 +56,12 @@
   const stagger = Math.min(1, (STARTS_SHARE * above) / (STARTS * Math.max(1, started)));
   const burst = Math.max(1, Math.floor(above - STARTS * started * stagger));
   const perS = Math.max(0, Math.min(limit.perS, (bound - burst) / spanS));
-  const start = (stagger * parts.placeOf(slots, slot, tenant)) / Math.max(1, slots);
-  return { ...parts.partOf({ burst, perS }, slots, slot, tenant), start };
+  const start = (stagger * limitShares.rankOfSlot(slots, slot, tenant)) / Math.max(1, slots);
+  return { ...limitShares.shareOf({ burst, perS }, slots, slot, tenant), start };
 }
 
 /** The part that may be granted by one that holds several places at once: the least of each figure. */
-export function leastPart(bounds: QuotaBounds, limit: Limit, places: readonly tenure.Place[], tenant: string): QuotaPart {
+export function leastPart(bounds: QuotaBounds, limit: Limit, places: readonly slotOwnership.SlotPosition[], tenant: string): QuotaPart {
   const found = places.map(({ slots, slot }) => quotaPart(bounds, limit, slots, slot, tenant));
   return {
     burst: Math.min(...found.map((part) => part.burst)),
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -74,7 +74,7 @@
 
   private deal(): void {
     for (const [index, router] of this.routers.entries()) {
-      router.share.deal(this.routers.length);
+      router.share.setRouterCount(this.routers.length);
       this.owner.serve(`router-${index}`, router.share);
     }
     this.clock.schedule(DEAL_MS, this.deal.bind(this));
--- a/src/whatif/owner.ts
+++ b/src/whatif/owner.ts
@@ -2,29 +2,30 @@
 import * as registerValue from "../register/register-value.js";
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
-import * as owner from "../limits/owner.js";
-import type * as shares from "../limits/shares.js";
-import * as tenures from "../limits/tenure.js";
+import * as leaseOwner from "../limits/lease-owner.js";
+import type * as leasedLimits from "../limits/leased-limits.js";
+import type * as limitShares from "../limits/limit-shares.js";
+import * as slotOwnership from "../limits/slot-ownership.js";
 
 const LIFE = "whatif";
 const ADDRESS = "127.0.0.1:9";
 
 /** Grants leases at once, with no link and no voter between. */
 export class SoleOwner {
-  private readonly owner: owner.LeaseOwner;
+  private readonly owner: leaseOwner.LeaseOwner;
 
   constructor(
     private readonly clock: types.Clock,
-    bounds: shares.Bounds,
+    bounds: limitShares.Bounds,
   ) {
-    const tenure = new tenures.Tenure(clock);
-    tenure.take(registerValue.initialValue([ADDRESS]), registerValue.initialDisk(ADDRESS));
-    this.owner = new owner.LeaseOwner(clock, LIFE, bounds, tenure);
+    const tenure = new slotOwnership.SlotOwnership(clock);
+    tenure.applyValue(registerValue.initialValue([ADDRESS]), registerValue.initialDisk(ADDRESS));
+    this.owner = new leaseOwner.LeaseOwner(clock, LIFE, bounds, tenure);
   }
 
   /** What a router's turn of asking comes to, without a way between. */
-  serve(router: string, share: shares.Shares): void {
-    const ask: leaseSchema.LeaseAsk = { router, life: LIFE, needs: share.held.needs(), done: share.held.done(LIFE) };
+  serve(router: string, share: leasedLimits.LeasedLimits): void {
+    const ask: leaseSchema.LeaseAsk = { router, life: LIFE, needs: share.leases.needs(), done: share.leases.takeEnded(LIFE) };
     share.grant(this.owner.reply(ask, types.FIRST_EPOCH), this.clock.now());
   }
 }
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -89,7 +89,7 @@
 
   private deal(): void {
     for (const [index, router] of this.routers.entries()) {
-      router.share.deal(this.routers.length);
+      router.share.setRouterCount(this.routers.length);
       this.owner.serve(`router-${index}`, router.share);
     }
     this.world.schedule(DEAL_MS, this.deal.bind(this));
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -6,7 +6,7 @@
 import * as promptParts from "../routing/prompt-parts.js";
 import * as prefillTracker from "../runners/prefill-tracker.js";
 import * as zoneRotation from "../runners/zone-rotation.js";
-import * as shares from "../limits/shares.js";
+import * as leasedLimits from "../limits/leased-limits.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import type * as routeRequest from "../router/route-request.js";
@@ -22,7 +22,7 @@
   readonly known = new prefillTracker.PrefillTracker();
   readonly fleet: runnerFleet.RunnerFleet;
   readonly rotation: zoneRotation.ZoneRotation;
-  readonly share: shares.Shares;
+  readonly share: leasedLimits.LeasedLimits;
   readonly chooser: runnerPicker.RunnerPicker;
 
   constructor(
@@ -33,7 +33,7 @@
   ) {
     this.fleet = new runnerFleet.RunnerFleet(world, new Map(regions.map(same)));
     this.rotation = new zoneRotation.ZoneRotation(world);
-    this.share = new shares.Shares(world, BOUNDS);
+    this.share = new leasedLimits.LeasedLimits(world, BOUNDS);
     this.chooser = new runnerPicker.RunnerPicker(world, this.fleet, this.rotation, this.share, region, this.known);
     this.chooser.routeTable = table;
   }
--- a/tests/choice.test.ts
+++ b/tests/choice.test.ts
@@ -7,7 +7,7 @@
 import * as promptParts from "../src/routing/prompt-parts.js";
 import * as runnerPolicy from "../src/router/policies/runner-policy.js";
 import * as prefillTracker from "../src/runners/prefill-tracker.js";
-import * as shares from "../src/limits/shares.js";
+import * as textHash from "../src/limits/text-hash.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 
@@ -16,7 +16,7 @@
   for (let turn = 0; turn < 500; turn += 1) {
     const text = `${world.random()}|${world.random()}`.slice(0, Math.floor(world.random() * 40));
     const cut = Math.floor(world.random() * (text.length + 1));
-    expect(shares.ended(shares.begun(text.slice(0, cut)), text.slice(cut))).toBe(shares.hash(text));
+    expect(textHash.finishHash(textHash.beginHash(text.slice(0, cut)), text.slice(cut))).toBe(textHash.hashText(text));
   }
 });
 
@@ -28,7 +28,7 @@
   known: prefillTracker.PrefillTracker,
 ): Map<runnerEndpoint.RunnerEndpoint, number> {
   const key = promptParts.promptKey(plan.sharedParts);
-  const ranked = [...cell].sort((left, right) => shares.hash(`${key}|${right.id}`) - shares.hash(`${key}|${left.id}`));
+  const ranked = [...cell].sort((left, right) => textHash.hashText(`${key}|${right.id}`) - textHash.hashText(`${key}|${left.id}`));
   const found = new Map<runnerEndpoint.RunnerEndpoint, number>();
   for (const [rank, runner] of ranked.entries()) {
     let ms = place * 100 + (400 * runner.requestCount()) / runner.instance.capacity;
--- a/tests/leases.test.ts
+++ b/tests/leases.test.ts
@@ -1,10 +1,10 @@
 // Bounds of the whole system under faults: no window ever sees more than the bound (design/shares).
-import * as parts from "../src/limits/parts.js";
+import * as limitShares from "../src/limits/limit-shares.js";
 import type * as leaseGuards from "./sim/lease-guards.js";
 import * as leases from "./sim/leases.js";
 import * as voters from "./sim/voters.js";
 
-const BOUNDS: parts.Bounds = { retry_ratio: 0, retry_window_s: 10, retry_extra: 52, warmup_overshoot: 1.5, warmup_tolerance: 5 };
+const BOUNDS: limitShares.Bounds = { retry_ratio: 0, retry_window_s: 10, retry_extra: 52, warmup_overshoot: 1.5, warmup_tolerance: 5 };
 const PER_S = 9.8;
 
 interface Seen {
@@ -16,7 +16,7 @@
 interface Play {
   seed: number;
   seconds: number;
-  bounds?: parts.Bounds;
+  bounds?: limitShares.Bounds;
   broken?: leaseGuards.Broken;
   routers?: number;
   isCalm?: boolean;
@@ -40,8 +40,8 @@
         router.share.countRequest("s");
         seen.requests.push(now);
       }
-      if (random() < greed) while (router.share.takeRepeat("s")) use(router);
-      if (random() < 0.05 && router.share.takeCold("i-1", PER_S)) seen.cold.push(now);
+      if (random() < greed) while (router.share.takeRetry("s")) use(router);
+      if (random() < 0.05 && router.share.takeWarmUpSend("i-1", PER_S)) seen.cold.push(now);
     }
     sim.step();
   }
@@ -53,8 +53,8 @@
   }
 
   function spend(router: leases.Router): void {
-    while (router.share.takeRepeat("s")) seen.tries.push(sim.clock.now());
-    while (router.share.takeCold("i-1", PER_S)) seen.cold.push(sim.clock.now());
+    while (router.share.takeRetry("s")) seen.tries.push(sim.clock.now());
+    while (router.share.takeWarmUpSend("i-1", PER_S)) seen.cold.push(sim.clock.now());
   }
 
   function fault(): void {
@@ -135,7 +135,7 @@
     if (step === 1000) sim.isolated.add("d0").add("d1");
     if (step === 1000) expect(sim.changeVoters(["d5", "d1", "d2", "d3", "d4"])).toBe(true);
     if (step === 1500) expect(sim.changeVoters(["d5", "d6", "d2", "d3", "d4"])).toBe(true);
-    if (step > 3500) for (const router of sim.routers) while (router.share.takeRepeat("s")) seen.tries.push(sim.clock.now());
+    if (step > 3500) for (const router of sim.routers) while (router.share.takeRetry("s")) seen.tries.push(sim.clock.now());
     sim.step();
   }
   return seen;
@@ -148,7 +148,7 @@
   for (let step = 0; step < 4000; step += 1) {
     for (const router of [...sim.routers]) {
       const before = seen.tries.length;
-      while (step > 1500 && router.share.takeRepeat("s")) seen.tries.push(sim.clock.now());
+      while (step > 1500 && router.share.takeRetry("s")) seen.tries.push(sim.clock.now());
       if (seen.tries.length === before) continue;
       sim.routers = sim.routers.filter((other) => other !== router);
       sim.join();
@@ -164,7 +164,7 @@
   const seen: Seen = { tries: [], cold: [], requests: [] };
   for (let step = 0; step < 4000; step += 1) {
     if (step > 1000 && step % 400 === 0) for (const node of sim.nodes) node.start();
-    for (const router of sim.routers) while (step > 900 && router.share.takeRepeat("s")) seen.tries.push(sim.clock.now());
+    for (const router of sim.routers) while (step > 900 && router.share.takeRetry("s")) seen.tries.push(sim.clock.now());
     sim.step();
   }
   return seen;
@@ -191,9 +191,9 @@
   let gotNext = 0;
   for (let step = 0; step < 2600; step += 1) {
     if (step % 50 === 0) for (const router of sim.routers) router.share.countRequest("s");
-    if (step >= 2000 && step < 2100) for (let count = 0; count < 2; count += 1) if (hot.share.takeRepeat("s")) got += 1;
+    if (step >= 2000 && step < 2100) for (let count = 0; count < 2; count += 1) if (hot.share.takeRetry("s")) got += 1;
     // What the first still holds when its failures end is free for another before long.
-    if (step >= 2300) for (let count = 0; count < 2; count += 1) if (next.share.takeRepeat("s")) gotNext += 1;
+    if (step >= 2300) for (let count = 0; count < 2; count += 1) if (next.share.takeRetry("s")) gotNext += 1;
     sim.step();
   }
   expect(got).toBeGreaterThanOrEqual(12);
@@ -204,7 +204,7 @@
   const sim = new leases.LeaseSim(4, 5, 5, 10, BOUNDS);
   const got = sim.routers.map(() => 0);
   for (let step = 0; step < 8000; step += 1) {
-    for (const [index, router] of sim.routers.entries()) if (step > 1500 && router.share.takeRepeat("s")) got[index] += 1;
+    for (const [index, router] of sim.routers.entries()) if (step > 1500 && router.share.takeRetry("s")) got[index] += 1;
     sim.step();
   }
   const total = got.reduce((sum, count) => sum + count, 0);
@@ -222,7 +222,7 @@
   for (let step = 0; step < 1500; step += 1) {
     // Ten times what is allowed is wanted, by all alike.
     for (const router of sim.routers) {
-      if (sim.clock.random() < (perS * 10) / 100 / routers && router.share.takeCold("i-1", perS) && step >= 500) sent += 1;
+      if (sim.clock.random() < (perS * 10) / 100 / routers && router.share.takeWarmUpSend("i-1", perS) && step >= 500) sent += 1;
     }
     sim.step();
   }
@@ -234,15 +234,15 @@
   const [router] = sim.routers as [leases.Router];
   for (let count = 0; count < 50; count += 1) router.share.countRequest("s");
   let own = 0;
-  while (router.share.takeRepeat("s")) own += 1;
-  expect([own, router.share.takeCold("i-1", PER_S), router.share.isValid()]).toEqual([5, false, false]);
+  while (router.share.takeRetry("s")) own += 1;
+  expect([own, router.share.takeWarmUpSend("i-1", PER_S), router.share.isValid()]).toEqual([5, false, false]);
   sim.nodes[2].downUntil = 1e9;
   let sent = 0;
   for (let step = 0; step < 1500; step += 1) {
-    if (step > 500 && step < 1000 && router.share.takeCold("i-1", PER_S)) sent += 1;
+    if (step > 500 && step < 1000 && router.share.takeWarmUpSend("i-1", PER_S)) sent += 1;
     if (step === 1000) for (const node of sim.nodes) node.downUntil = 1e9;
     sim.step();
   }
   expect(sent).toBeGreaterThan(10);
-  expect(router.share.takeCold("i-1", PER_S)).toBe(false);
+  expect(router.share.takeWarmUpSend("i-1", PER_S)).toBe(false);
 });
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -8,8 +8,8 @@
 import * as cellPolicy from "../src/router/policies/cell-policy.js";
 import * as zoneRotation from "../src/runners/zone-rotation.js";
 import * as registerValue from "../src/register/register-value.js";
-import * as parts from "../src/limits/parts.js";
-import * as shares from "../src/limits/shares.js";
+import * as limitShares from "../src/limits/limit-shares.js";
+import * as leasedLimits from "../src/limits/leased-limits.js";
 import * as types from "../src/wire/types.js";
 import * as leaseSchema from "../src/wire/lease-schema.js";
 import * as schema from "../src/wire/schema.js";
@@ -33,14 +33,14 @@
   function whole(slots) {
     const each = Array.from({ length: slots }, (_item, slot) => slot);
     for (const perS of [0.4, 1, 2, 9.8, 60]) {
-      const cold = each.map((slot) => parts.coldPart(BOUNDS, slots, slot, "i-1", perS));
+      const cold = each.map((slot) => limitShares.warmUpShare(BOUNDS, slots, slot, "i-1", perS));
       const most = cold.reduce((sum, part) => sum + part.burst + part.perMs * 1000, 0);
       expect(most).toBeLessThanOrEqual(perS * 1.5 + 5);
       expect(cold.filter((part) => part.burst >= 1).length).toBeGreaterThanOrEqual(Math.min(Math.floor(slots / 2) + 1, 4));
       expect(cold.reduce((sum, part) => sum + part.perMs * 1000, 0)).toBeGreaterThanOrEqual(perS / 2);
     }
     for (const extra of [0, 0.5, 1, 2, 7, 52]) {
-      const tries = each.map((slot) => parts.triesPart({ ...BOUNDS, retry_extra: extra }, slots, slot, "s"));
+      const tries = each.map((slot) => limitShares.retryShare({ ...BOUNDS, retry_extra: extra }, slots, slot, "s"));
       // A single slot that holds one unit refills a little slower than the window: whole units stay within the bound.
       expect(tries.reduce((sum, part) => sum + Math.floor(part.burst + part.perMs * 10_000), 0)).toBeLessThanOrEqual(extra);
       if (extra >= 1) expect(tries.reduce((sum, part) => sum + part.burst, 0)).toBeGreaterThanOrEqual(Math.max(1, Math.floor(extra / 2)));
@@ -55,11 +55,15 @@
 
 test("leases expire from when they were asked for: a cut-off or new router sends nothing to cold runners and repeats only its own part", async function expired() {
   const clock = new sim.SimWorld(1);
-  const share = new shares.Shares(clock, BOUNDS);
-  expect([share.takeCold("i-1", 9.8), share.takeRepeat("s"), share.canRepeat("s")]).toEqual([false, false, false]);
+  const share = new leasedLimits.LeasedLimits(clock, BOUNDS);
+  expect([share.takeWarmUpSend("i-1", 9.8), share.takeRetry("s"), share.canRetry("s")]).toEqual([false, false, false]);
   share.grant({ life: "o", isGranting: true, grants: GRANTS }, -800);
-  expect([share.takeCold("i-1", 9.8), share.takeCold("i-1", 9.8), share.takeCold("i-2", 9.8)]).toEqual([true, false, false]);
-  expect([share.takeRepeat("s"), share.takeRepeat("s"), share.takeRepeat("s"), share.canRepeat("s")]).toEqual([true, true, false, false]);
+  expect([share.takeWarmUpSend("i-1", 9.8), share.takeWarmUpSend("i-1", 9.8), share.takeWarmUpSend("i-2", 9.8)]).toEqual([
+    true,
+    false,
+    false,
+  ]);
+  expect([share.takeRetry("s"), share.takeRetry("s"), share.takeRetry("s"), share.canRetry("s")]).toEqual([true, true, false, false]);
   share.grant(
     {
       life: "o",
@@ -72,27 +76,27 @@
     clock.now(),
   );
   await clock.play(900);
-  expect([share.takeCold("i-1", 9.8), share.takeRepeat("s")]).toEqual([false, true]);
+  expect([share.takeWarmUpSend("i-1", 9.8), share.takeRetry("s")]).toEqual([false, true]);
   await clock.play(900);
-  expect(share.takeRepeat("s")).toBe(false);
+  expect(share.takeRetry("s")).toBe(false);
   for (let count = 0; count < 20; count += 1) share.countRequest("s");
-  expect([share.takeRepeat("s"), share.takeRepeat("s"), share.takeRepeat("s")]).toEqual([true, true, false]);
+  expect([share.takeRetry("s"), share.takeRetry("s"), share.takeRetry("s")]).toEqual([true, true, false]);
 });
 
 test("a try given back can be taken again, and is told as unused; once its lease's end is told it is gone", async function back() {
   const clock = new sim.SimWorld(1);
-  const share = new shares.Shares(clock, BOUNDS);
+  const share = new leasedLimits.LeasedLimits(clock, BOUNDS);
   share.grant({ life: "o", isGranting: true, grants: GRANTS.slice(0, 1) }, 0);
-  share.takeRepeat("s");
+  share.takeRetry("s");
   share.returnRetry("s");
-  expect([share.takeRepeat("s"), share.takeRepeat("s"), share.takeRepeat("s")]).toEqual([true, true, false]);
+  expect([share.takeRetry("s"), share.takeRetry("s"), share.takeRetry("s")]).toEqual([true, true, false]);
   share.returnRetry("s");
-  share.held.needs();
-  expect(share.held.done("o")).toEqual([{ id: 1, unused: 0 }]);
+  share.leases.needs();
+  expect(share.leases.takeEnded("o")).toEqual([{ id: 1, unused: 0 }]);
   for (let count = 0; count < 10; count += 1) share.countRequest("s");
-  expect([share.takeRepeat("s"), share.takeRepeat("s")]).toEqual([true, false]);
+  expect([share.takeRetry("s"), share.takeRetry("s")]).toEqual([true, false]);
   share.returnRetry("s");
-  expect([share.canRepeat("s"), share.takeRepeat("s"), share.takeRepeat("s")]).toEqual([true, true, false]);
+  expect([share.canRetry("s"), share.takeRetry("s"), share.takeRetry("s")]).toEqual([true, true, false]);
 });
 
 test("a zone drains in steps well inside the bound and comes back in steps", async function steps() {
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -10,7 +10,7 @@
 import * as routerBatches from "../src/router/router-batches.js";
 import * as routerServer from "../src/router/client/router-server.js";
 import * as tenantGate from "../src/router/tenant-gate.js";
-import * as shares from "../src/limits/shares.js";
+import * as leasedLimits from "../src/limits/leased-limits.js";
 import * as runner from "../src/emulator/runner.js";
 import * as types from "../src/wire/types.js";
 import * as edge from "./sim/edge.js";
@@ -42,7 +42,7 @@
 let clock: sims.SkewedWorld;
 let runners: runner.StandInRunner[];
 let server: routerServer.RouterServer;
-let share: shares.Shares;
+let share: leasedLimits.LeasedLimits;
 let port = 0;
 
 beforeEach(async function start() {
@@ -54,8 +54,14 @@
       ["z2", "r2"],
     ]),
   );
-  share = new shares.Shares(clock, { retry_ratio: 0.2, retry_window_s: 10, retry_extra: 50, warmup_overshoot: 1.5, warmup_tolerance: 5 });
-  share.deal(1);
+  share = new leasedLimits.LeasedLimits(clock, {
+    retry_ratio: 0.2,
+    retry_window_s: 10,
+    retry_extra: 50,
+    warmup_overshoot: 1.5,
+    warmup_tolerance: 5,
+  });
+  share.setRouterCount(1);
   share.grant({ life: "o", isGranting: true, grants: [{ id: 1, kind: 0, key: "s", amount: 25, lifeMs: 60_000 }] }, clock.now());
   const chooser = new runnerPicker.RunnerPicker(
     clock,
@@ -205,7 +211,7 @@
   ["stays while no further try is granted", false],
   ["moves on with a granted try", true],
 ])("a stream whose runner falls silent %s", async function silent(_name, isGranted) {
-  while (!isGranted && share.takeRepeat("s")) continue;
+  while (!isGranted && share.takeRetry("s")) continue;
   runners[0].mishaps.push("stall");
   const reply = ask("/stream/x", STREAM);
   while (runners[0].goOn === null) await new Promise(setImmediate);
@@ -217,7 +223,7 @@
 });
 
 test("with the shares spent nothing is repeated", async function spent() {
-  while (share.takeRepeat("s")) continue;
+  while (share.takeRetry("s")) continue;
   runners[0].mishaps.push("shed");
   expect((await ask("/once/x")).status).toBe(503);
   expect(runners[1].seen).toHaveLength(0);
--- a/tests/sim/edge.ts
+++ b/tests/sim/edge.ts
@@ -9,7 +9,7 @@
 import * as routerBatches from "../../src/router/router-batches.js";
 import * as routerServer from "../../src/router/client/router-server.js";
 import * as tenantGate from "../../src/router/tenant-gate.js";
-import * as shares from "../../src/limits/shares.js";
+import * as leasedLimits from "../../src/limits/leased-limits.js";
 import * as runner from "../../src/emulator/runner.js";
 import * as types from "../../src/wire/types.js";
 import * as memoryNet from "./memory-net.js";
@@ -61,14 +61,14 @@
     tenancy = new tenantGate.TenantGate(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
   ) {
     this.fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
-    const share = new shares.Shares(clock, {
+    const share = new leasedLimits.LeasedLimits(clock, {
       retry_ratio: 0.2,
       retry_window_s: 10,
       retry_extra: 50,
       warmup_overshoot: 1.5,
       warmup_tolerance: 5,
     });
-    share.deal(1);
+    share.setRouterCount(1);
     share.grant({ life: "o", isGranting: true, grants: [{ id: 1, kind: 0, key: "s", amount: 25, lifeMs: 60_000 }] }, clock.now());
     const chooser = new runnerPicker.RunnerPicker(
       clock,
--- a/tests/sim/lease-guards.ts
+++ b/tests/sim/lease-guards.ts
@@ -1,13 +1,13 @@
 /** Owners and tenures of leases with at most one guard broken on purpose. */
-import * as owner from "../../src/limits/owner.js";
-import type * as parts from "../../src/limits/parts.js";
-import * as tenure from "../../src/limits/tenure.js";
+import * as leaseOwner from "../../src/limits/lease-owner.js";
+import type * as limitShares from "../../src/limits/limit-shares.js";
+import * as slotOwnership from "../../src/limits/slot-ownership.js";
 import * as world from "./world.js";
 
 /** A guard that a test may break on purpose, to see the checker fail. */
 export type Broken = "none" | "full_bucket" | "no_fence" | "unreported_comes_back";
 
-export class SimTenure extends tenure.Tenure {
+export class SimTenure extends slotOwnership.SlotOwnership {
   constructor(
     clock: world.SimWorld,
     private readonly broken: Broken,
@@ -19,12 +19,12 @@
   }
 }
 
-export class SimOwner extends owner.LeaseOwner {
+export class SimOwner extends leaseOwner.LeaseOwner {
   constructor(
     clock: world.SimWorld,
     life: string,
-    bounds: parts.Bounds,
-    tenure: tenure.Tenure,
+    bounds: limitShares.Bounds,
+    tenure: slotOwnership.SlotOwnership,
     private readonly broken: Broken,
   ) {
     super(clock, life, bounds, tenure);
--- a/tests/sim/leases.ts
+++ b/tests/sim/leases.ts
@@ -1,7 +1,7 @@
 // Owners and routers of leases over a simulated network with faults by seed, and a checker that knows nothing of leases.
-import * as owner from "../../src/limits/owner.js";
-import type * as parts from "../../src/limits/parts.js";
-import * as shares from "../../src/limits/shares.js";
+import * as leaseOwner from "../../src/limits/lease-owner.js";
+import type * as limitShares from "../../src/limits/limit-shares.js";
+import * as leasedLimits from "../../src/limits/leased-limits.js";
 import * as limitBorrower from "../../src/router/limit-borrower.js";
 import * as leaseSchema from "../../src/wire/lease-schema.js";
 import * as schema from "../../src/wire/schema.js";
@@ -10,7 +10,7 @@
 
 /** A control node that owns a slot of the bounds. */
 export class Node extends voters.VoterNode {
-  owner!: owner.LeaseOwner;
+  owner!: leaseOwner.LeaseOwner;
 
   constructor(
     private readonly sim: LeaseSim,
@@ -27,7 +27,7 @@
 }
 
 export class Router {
-  readonly share: shares.Shares;
+  readonly share: leasedLimits.LeasedLimits;
   readonly granting = new Map<string, boolean>();
   askedAt = -Infinity;
   turn = 0;
@@ -36,7 +36,7 @@
     sim: LeaseSim,
     readonly name: string,
   ) {
-    this.share = new shares.Shares(sim.clock, sim.bounds);
+    this.share = new leasedLimits.LeasedLimits(sim.clock, sim.bounds);
     this.askedAt = sim.clock.now() - 300 * sim.clock.random();
   }
 }
@@ -49,7 +49,7 @@
     disks: number,
     voting: number,
     routers: number,
-    readonly bounds: parts.Bounds,
+    readonly bounds: limitShares.Bounds,
     readonly broken: leaseGuards.Broken = "none",
   ) {
     super(seed, disks, voting);
@@ -68,17 +68,22 @@
   private routerTurn(router: Router): void {
     const now = this.clock.now();
     if (now < router.frozenUntil || (now / 10 + Number(router.name.slice(1))) % 10 !== 0) return;
-    if (now - router.askedAt < 300 && !router.share.held.isShort) return;
+    if (now - router.askedAt < 300 && !router.share.leases.isShort) return;
     router.askedAt = now;
     router.turn += 1;
-    const needs = router.share.held.needs();
+    const needs = router.share.leases.needs();
     const granting = this.nodes.filter((node) => router.granting.get(node.life) ?? true);
     for (const node of this.nodes) {
       const place = granting.indexOf(node);
       const own = needs
         .map((need) => (place < 0 ? null : limitBorrower.splitNeed(need, place, granting.length, router.turn)))
         .filter((need) => need !== null);
-      const ask: leaseSchema.LeaseAsk = { router: router.name, life: node.life, needs: own, done: router.share.held.done(node.life) };
+      const ask: leaseSchema.LeaseAsk = {
+        router: router.name,
+        life: node.life,
+        needs: own,
+        done: router.share.leases.takeEnded(node.life),
+      };
       this.toNode(router.name, node, () => {
         node.follow();
         const reply = node.owner.reply(ask, node.accepted);
--- a/tests/sim/quotas.ts
+++ b/tests/sim/quotas.ts
@@ -20,7 +20,7 @@
 
 class SimTenure extends quotaTenure.QuotaTenure {
   constructor(private readonly sim: QuotaSim) {
-    super(sim.clock, { fenceMs: quotaTenure.FENCE_MS, lifeMs: quotaClient.UNIT_MS });
+    super(sim.clock, { fenceMs: quotaTenure.FENCE_MS, maxLeaseMs: quotaClient.UNIT_MS });
   }
   protected override hasMajority(slots: number, isOwnCounted: boolean): boolean {
     return this.sim.broken === "no_fence" || super.hasMajority(slots, isOwnCounted);
--- a/tests/sim/runners.ts
+++ b/tests/sim/runners.ts
@@ -81,7 +81,7 @@
     for (let index = 0; index < shape.routers; index += 1) {
       const router = new system.ModelRouter(regions[index % regions.length], this.world, regions, TABLE);
       router.fleet.applySnapshot(list);
-      router.share.deal(shape.routers);
+      router.share.setRouterCount(shape.routers);
       router.fleet.peerGroups.routers = shape.routers;
       this.routers.push(router);
       this.world.schedule(100 * this.world.random(), () => this.tell(index));
--- a/tests/sim/voters.ts
+++ b/tests/sim/voters.ts
@@ -1,13 +1,13 @@
 // Voters of a register and owners of bounds over a simulated network with faults by seed: fences, changes of voters,
 // crashes, freezes and cuts. What is owned, and who asks for it, is up to the simulations built on it.
 import * as registerValue from "../../src/register/register-value.js";
-import type * as tenure from "../../src/limits/tenure.js";
+import type * as slotOwnership from "../../src/limits/slot-ownership.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import * as world from "./world.js";
 
 /** A control node: a disk with the newest accepted voter epoch, and a process that may end. */
-export abstract class VoterNode<Tenure extends tenure.Tenure = tenure.Tenure> {
+export abstract class VoterNode<Tenure extends slotOwnership.SlotOwnership = slotOwnership.SlotOwnership> {
   accepted: types.Epoch;
   chosen: schema.Value | null;
   tenure!: Tenure;
@@ -36,7 +36,7 @@
   }
 
   follow(): void {
-    if (this.chosen) this.tenure.take(this.chosen, this.disk);
+    if (this.chosen) this.tenure.applyValue(this.chosen, this.disk);
   }
 }
 
@@ -133,7 +133,7 @@
         other.follow();
         const reply = { disk: other.disk, voterEpoch: other.accepted, knownMs: other.tenure.knownMs(epoch) };
         this.toNode(other.disk, node, () => {
-          if (node.life === life) tenure.hear(epoch, sentAt, reply);
+          if (node.life === life) tenure.recordFenceReply(epoch, sentAt, reply);
         });
       });
     }
--- a/tests/slot-note.test.ts
+++ b/tests/slot-note.test.ts
@@ -54,8 +54,8 @@
 function opens(value: schema.Value, note: slotNote.Note | null): number {
   const clock = new sim.SimWorld();
   clock.skip(10_000);
-  const tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: 4000, lifeMs: 300 });
-  tenure.take(value, "d1");
+  const tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: 4000, maxLeaseMs: 300 });
+  tenure.applyValue(value, "d1");
   if (note) tenure.restore(note.disk, types.small(note.epoch), note);
   return tenure.slot < 0 ? -1 : tenure.openAt - 10_000;
 }
@@ -74,8 +74,8 @@
 
 test("after another number of voters the former place binds until whoever left has stopped", () => {
   const clock = new sim.SimWorld();
-  const tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: 4000, lifeMs: 300 });
-  tenure.take(valueOf(4, ["d1", "d2", "d3", "d4"]), "d1");
+  const tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: 4000, maxLeaseMs: 300 });
+  tenure.applyValue(valueOf(4, ["d1", "d2", "d3", "d4"]), "d1");
   tenure.restore("d1", types.small(3), NOTE);
   clock.skip(1000);
   expect(tenure.places()).toEqual([
