--- a/src/control/control-status.ts
+++ b/src/control/control-status.ts
@@ -1,4 +1,4 @@
-// A control node's own account of itself, for its operators (design 9.1, docs/operating.md).
+/** The status of a control node for its operators (design 9.1, docs/operating.md). */
 import * as counts from "../wire/counts.js";
 import type * as schema from "../wire/schema.js";
 import * as log from "../runtime/log.js";
@@ -7,7 +7,7 @@
 import type * as registerReplica from "./register-replica.js";
 import type * as membership from "./members/membership.js";
 
-/** What the account is put together from. */
+/** What the status is built from. */
 export interface StatusParts {
   node: schema.NodeInfo;
   replica: registerReplica.RegisterReplica;
@@ -15,7 +15,7 @@
   members: membership.Membership;
   /** State of the voter's disk; null on a node without one. */
   disk: unknown;
-  /** The platform's list and the reports, as Cells tells them. */
+  /** The platform's endpoint list and the load reports, as FleetObserver shows them. */
   cells: unknown;
   /** Quotas as this node owns them. */
   quotas: unknown;
@@ -27,13 +27,13 @@
 
 /** The status of a control node as JSON; its names are read by `cranewind status`. */
 export function buildStatus(parts: StatusParts): unknown {
-  const { node, replica: core, contact, members, disk, cells, quotas, tallies, batches } = parts;
-  const value = core.chosen;
+  const { node, replica, contact, members, disk, cells, quotas, tallies, batches } = parts;
+  const value = replica.chosen;
   return {
     node,
     isSettled: contact.isConfirmed(),
     contact: contact.status(),
-    lossesBorne: core.lossesBorne(),
+    lossesBorne: replica.lossesBorne(),
     disk,
     register: value && {
       epoch: value.epoch,
--- a/src/control/endpoints.ts
+++ b/src/control/endpoints.ts
@@ -1,4 +1,4 @@
-// The control node's servers: the operator's calls and the directory for the outside, links for its own kind (design 6.2, 4.3, 3.1).
+/** The servers of a control node: operators' calls and the directory for the outside, links for other nodes (design 6.2, 4.3, 3.1). */
 import * as net from "node:net";
 import * as link from "../wire/link.js";
 import * as listen from "../wire/listen.js";
@@ -12,7 +12,7 @@
 
 const RESOLVE_PATH = "/-/resolve";
 
-/** Serves the operator's calls, where the settings name an address. */
+/** Serves operators' calls, where the settings name an address. */
 export function operatorServer(startup: settings.Settings, reply: serve.Reply): tree.Child {
   return serve.child("operator", startup.bind_addresses.control_plane, reply);
 }
@@ -23,29 +23,23 @@
   chosen(): schema.Value | null;
 }
 
-/** Serves clients that ask where to go. */
+/** Serves the directory to clients that look for a router. */
 export function directoryServer(startup: settings.Settings, source: DirectorySource): tree.Child {
   const homes = new hostHomes.HostHomes(() => source.chosen());
-  const view = { ...source, homesOf: homes.of.bind(homes), ttlMostS: startup.bounds.ttl_max_s };
-  return serve.child("directory", startup.bind_addresses.directory, resolve);
-  function resolve(asked: serve.Asked): serve.Told {
-    if (asked.path === RESOLVE_PATH) return directory.resolve(view, asked.query);
-    return { status: 404, json: { message: `no call ${asked.path}; ask ${RESOLVE_PATH}` } };
-  }
+  const view = { ...source, homesOf: (hostname: string) => homes.of(hostname), ttlMostS: startup.bounds.ttl_max_s };
+  return serve.child("directory", startup.bind_addresses.directory, (request) => {
+    if (request.path === RESOLVE_PATH) return directory.resolve(view, request.query);
+    return { status: 404, json: { message: `no call ${request.path}; ask ${RESOLVE_PATH}` } };
+  });
 }
 
-/** Where other control nodes and routers open their links. */
+/** Accepts the links that other control nodes and routers open. */
 export function linkServer(clock: types.Clock, address: string, handlers: link.Handlers): tree.Child {
-  const server = net.createServer(accept);
-  function accept(socket: net.Socket): void {
-    new link.Link(clock, socket, handlers);
-  }
+  const server = net.createServer((socket) => new link.Link(clock, socket, handlers));
   return {
     name: "internal",
-    start(): Promise<void> {
-      return listen.listen(server, address);
-    },
-    stop(): void {
+    start: () => listen.listen(server, address),
+    stop: () => {
       server.close();
     },
   };
--- a/src/control/register-channel.ts
+++ b/src/control/register-channel.ts
@@ -1,4 +1,4 @@
-/** By which calls the control nodes that share one register speak, and how they know each other's disks in it. */
+/** The calls between the control nodes that share one register, and how they know each other's disks in it. */
 import * as calls from "../wire/calls.js";
 import type * as controlNode from "../feed/control-node.js";
 
@@ -12,11 +12,11 @@
   readonly accept: typeof calls.accept;
   readonly chosen: typeof calls.chosen;
   readonly requestChosen: typeof calls.ask;
-  /** The disk of a sibling; empty: not known yet, or none. */
+  /** The disk of a peer; empty: not known yet, or none. */
   diskOf(control: controlNode.ControlNode): string;
 }
 
-/** The channel of the configuration's register: a sibling's hello names its disk. */
+/** The channel of the configuration's register: a peer's hello names its disk. */
 export const CONFIGURATION_CHANNEL: RegisterChannel = {
   name: "register",
   logsEpochs: true,
@@ -24,7 +24,5 @@
   accept: calls.accept,
   chosen: calls.chosen,
   requestChosen: calls.ask,
-  diskOf(control) {
-    return control.node.disk;
-  },
+  diskOf: (control) => control.node.disk,
 };
--- a/src/control/register-replica.ts
+++ b/src/control/register-replica.ts
@@ -1,4 +1,7 @@
-// This node's part in the register: voter, proposer, what is chosen, and its news (design 5).
+/**
+ * One register at one control node (design 5): the own voter, the proposer, and the newest value that is known to be chosen,
+ * which is published to peers and to this node's other parts.
+ */
 import * as events from "node:events";
 import * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
@@ -15,30 +18,35 @@
 import * as registerChannel from "./register-channel.js";
 import * as voterReach from "./voters/voter-reach.js";
 
+/** A voter's reply that comes later is of no use to the phase. */
 const VOTE_TIMEOUT_MS = 1300;
 
 /** `chosen`: a newer value than all before is known to be chosen. */
 export type ReplicaEvents = { chosen: [value: schema.Value] };
 
-/** Which node this is, and the value that it begins with. */
+/** Which node this is, and the value that its register begins with. */
 export interface ReplicaOptions {
+  /** Of this process; names its proposals. */
   incarnation: string;
   address: string;
   initialValue: schema.Value;
+  /** The configuration's, unless said otherwise. */
   channel?: registerChannel.RegisterChannel;
 }
 
-/** Voter, proposer and knowledge of one register at one control node. */
+/** Emits `chosen` with each newer value. */
 export class RegisterReplica
   extends events.EventEmitter<ReplicaEvents>
   implements acceptorClient.AcceptorClient, recovery.RecoverableRegister
 {
+  /** Null while this node does not vote. */
   private acceptor: acceptor.Acceptor | null = null;
   private readonly recovery: recovery.Recovery;
-  /** Whether this life of the process has learned what is chosen. */
+  /** Whether this incarnation of the process has learned what is chosen. */
   isConfirmed = false;
   readonly proposer: proposer.Proposer;
   private readonly queue: stepQueue.StepQueue;
+  /** The newest value known to be chosen; null until one is learned. */
   chosen: schema.Value | null = null;
   private readonly voterReach: voterReach.VoterReach;
   private readonly channel: registerChannel.RegisterChannel;
@@ -51,11 +59,12 @@
     super();
     this.channel = options.channel ?? registerChannel.CONFIGURATION_CHANNEL;
     this.voterReach = new voterReach.VoterReach(options.address, this.channel, dial, () => this.disk);
-    this.proposer = new proposer.Proposer(clock, options.incarnation, this, options.initialValue, this.publishChosen.bind(this));
+    this.proposer = new proposer.Proposer(clock, options.incarnation, this, options.initialValue, (value) => this.publishChosen(value));
     this.recovery = new recovery.Recovery(clock, this);
-    this.queue = new stepQueue.StepQueue(clock, this.proposer.change.bind(this.proposer));
+    this.queue = new stepQueue.StepQueue(clock, (step, timeoutMs) => this.proposer.change(step, timeoutMs));
   }
 
+  /** Identity of the disk that votes here; empty when none does. */
   get disk(): string {
     return this.acceptor?.disk ?? "";
   }
@@ -83,13 +92,13 @@
   /** The disk is read: from now on this node may vote. */
   attachVoter(voter: acceptor.Acceptor): void {
     this.acceptor = voter;
-    if (voter.accepted) {
-      this.proposer.learnAccepted(voter.accepted.value);
-      this.dial.addAddresses(addressesOf(voter.accepted.value));
-    }
+    if (!voter.accepted) return;
+    const { value } = voter.accepted;
+    this.proposer.learnAccepted(value);
+    this.dial.addAddresses(addressesOf(value));
   }
 
-  /** This node leaves: its disk takes no vote that it does not have. */
+  /** This node shuts down: its disk accepts no vote that it does not have. */
   refuseToJoin(): void {
     this.acceptor?.rejectMembership();
   }
@@ -99,18 +108,18 @@
     this.acceptor = null;
   }
 
-  /** Answers the siblings' calls of this register. */
+  /** Registers the handlers of peers' calls of this register. */
   registerHandlers(handlers: link.Handlers): void {
     const { channel } = this;
-    handlers.on(channel.prepare, (_from, ask) => this.handlePrepare(ask));
-    handlers.on(channel.accept, (_from, ask) => this.handleAccept(ask));
-    handlers.on(channel.chosen, (_from, news) => {
-      if (news.value) this.learn(news.value);
+    handlers.on(channel.prepare, (_from, request) => this.handlePrepare(request));
+    handlers.on(channel.accept, (_from, request) => this.handleAccept(request));
+    handlers.on(channel.chosen, (_from, published) => {
+      if (published.value) this.learn(published.value);
       return null;
     });
-    handlers.on(channel.requestChosen, (_from, asked) => {
+    handlers.on(channel.requestChosen, (_from, request) => {
       const value = this.chosen;
-      return { value: value && value.epoch > asked.epoch ? value : null };
+      return { value: value && value.epoch > request.epoch ? value : null };
     });
   }
 
@@ -124,29 +133,32 @@
     return this.voterReach.isOwn(voter);
   }
 
-  prepare(voter: schema.Voter, ask: schema.Prepare): Promise<schema.Vote | null> {
-    if (this.isOwn(voter)) return this.handlePrepare(ask);
-    return this.linkTo(voter)?.call(this.channel.prepare, ask, VOTE_TIMEOUT_MS) ?? Promise.resolve(null);
+  /** Sends a prepare to a voter; null when no vote came in time. */
+  prepare(voter: schema.Voter, request: schema.Prepare): Promise<schema.Vote | null> {
+    if (this.isOwn(voter)) return this.handlePrepare(request);
+    return this.linkTo(voter)?.call(this.channel.prepare, request, VOTE_TIMEOUT_MS) ?? Promise.resolve(null);
   }
 
-  accept(voter: schema.Voter, ask: schema.Accept): Promise<schema.Vote | null> {
-    if (this.isOwn(voter)) return this.handleAccept(ask);
-    return this.linkTo(voter)?.call(this.channel.accept, ask, VOTE_TIMEOUT_MS) ?? Promise.resolve(null);
+  /** Sends an accept to a voter; null when no vote came in time. */
+  accept(voter: schema.Voter, request: schema.Accept): Promise<schema.Vote | null> {
+    if (this.isOwn(voter)) return this.handleAccept(request);
+    return this.linkTo(voter)?.call(this.channel.accept, request, VOTE_TIMEOUT_MS) ?? Promise.resolve(null);
   }
 
+  /** The ballot number that the own voter prepared; 0 without one. */
   preparedBallotNumber(): number {
     return this.acceptor?.preparedBallot.n ?? 0;
   }
 
-  /** This node's own voter, asked by any proposer. */
-  private handlePrepare(ask: schema.Prepare): Promise<schema.Vote | null> {
-    this.proposer.contention.recordPrepare(ask.ballot);
-    return this.acceptor ? this.acceptor.prepare(ask) : Promise.resolve(null);
+  /** The own voter's reply to any proposer. */
+  private handlePrepare(request: schema.Prepare): Promise<schema.Vote | null> {
+    this.proposer.contention.recordPrepare(request.ballot);
+    return this.acceptor ? this.acceptor.prepare(request) : Promise.resolve(null);
   }
 
-  private handleAccept(ask: schema.Accept): Promise<schema.Vote | null> {
-    this.proposer.contention.recordAccept(ask.ballot);
-    return this.acceptor ? this.acceptor.accept(ask) : Promise.resolve(null);
+  private handleAccept(request: schema.Accept): Promise<schema.Vote | null> {
+    this.proposer.contention.recordAccept(request.ballot);
+    return this.acceptor ? this.acceptor.accept(request) : Promise.resolve(null);
   }
 
   /** Whether a majority of the voters can be reached now. */
@@ -164,7 +176,7 @@
     return this.voterReach.rank(this.chosen);
   }
 
-  /** Whether other proposers were at work lately, as the own voter saw it. */
+  /** Whether other proposers were active recently, as the own voter saw it. */
   isContended(): boolean {
     return this.proposer.contention.isActive();
   }
@@ -175,61 +187,64 @@
     for (const control of this.dial.controls.values()) control.link.tell(this.channel.chosen, { value });
   }
 
-  /** Takes what is chosen; never goes back. */
+  /** Learns a chosen value; false when a newer one, or the same, is known already. */
   learn(value: schema.Value): boolean {
     if (this.chosen && value.epoch <= this.chosen.epoch) return false;
-    const isNewSet = this.chosen?.voterEpoch !== value.voterEpoch;
+    const haveVotersChanged = this.chosen?.voterEpoch !== value.voterEpoch;
     this.chosen = value;
     this.isConfirmed = true;
     this.proposer.learnChosen(value);
     this.dial.addAddresses(addressesOf(value));
-    if (isNewSet || this.channel.logsEpochs)
+    if (haveVotersChanged || this.channel.logsEpochs)
       log.state(`${this.channel.name}: epoch ${value.epoch}, revision ${value.revision}, ${value.voters.length} voters`);
     this.emit("chosen", value);
     return true;
   }
 
-  /** Asks a sibling that knows a newer epoch. */
+  /** Reads the chosen value of a peer that knows a newer epoch. */
   async catchUp(from: link.Link, epoch: types.Epoch): Promise<void> {
-    if (this.chosen && epoch <= this.chosen.epoch) return;
-    const reply = await from.call(this.channel.requestChosen, { epoch: this.chosen ? this.chosen.epoch : types.NO_EPOCH }, VOTE_TIMEOUT_MS);
+    const knownEpoch = this.chosen?.epoch ?? types.NO_EPOCH;
+    if (this.chosen && epoch <= knownEpoch) return;
+    const reply = await from.call(this.channel.requestChosen, { epoch: knownEpoch }, VOTE_TIMEOUT_MS);
     if (reply?.value) this.learn(reply.value);
   }
 
-  /** A change of the core's own, such as of its voters: it waits for nobody. */
-  change(step: registerStep.Step, withinMs: number): Promise<registerStep.Outcome> {
-    return this.queue.change(step, withinMs, true);
+  /** A change of the register itself, such as of its voters: it doesn't wait for other proposers. */
+  change(step: registerStep.Step, timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.queue.change(step, timeoutMs, true);
   }
 
-  /** An operator's order: in one batch with the others that wait, and after other proposers' rounds. */
-  submitOrder(step: registerStep.Step, withinMs: number): Promise<registerStep.Outcome> {
-    return this.queue.change(step, withinMs);
+  /** An operator's order: in one batch with the others that are queued, and after other proposers' changes. */
+  submitOrder(step: registerStep.Step, timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.queue.change(step, timeoutMs);
   }
 
-  /** Whether the disk, which has no vote yet, can join: it stores the newest chosen value and syncs it. */
-  transferSnapshot(joiner: schema.Voter): Promise<boolean> {
-    return this.proposer.transferSnapshot(joiner);
+  /** Whether the learner, which has no vote yet, can join: it stores the newest chosen value and syncs it. */
+  transferSnapshot(learner: schema.Voter): Promise<boolean> {
+    return this.proposer.transferSnapshot(learner);
   }
 
   /** Has the newest value accepted anew by all voters in touch. */
-  repair(withinMs: number): Promise<registerStep.Outcome> {
-    return this.proposer.repair(withinMs);
+  repair(timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.proposer.repair(timeoutMs);
   }
 
-  /** Reads at a majority; never a local guess. It waits for other proposers' rounds, which its prepare would end. */
-  read(withinMs: number): Promise<registerStep.Outcome> {
-    return this.queue.change(unchanged, withinMs);
+  /** A linearizable read at a majority. It waits for other proposers' changes, which its prepare would end. */
+  read(timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.queue.change(unchanged, timeoutMs);
   }
 
-  /** Whether there is anybody to ask: another node, or itself as a core of one. */
+  /** Whether any voter can be reached: another node, or itself as the only voter. */
   canAsk(): boolean {
     return this.dial.controls.size > 0 || this.accepted?.voters.length === 1;
   }
 
+  /** How many nodes in touch come before this one in the order of addresses. */
   rank(): number {
     return [...this.dial.controls.keys()].filter((address) => address < this.options.address).length;
   }
 
+  /** Recovers values that may not be chosen, and voters that lag behind. */
   runPeriodically(): void {
     this.recovery.recoverIfNeeded();
   }
--- a/tests/sim/core.ts
+++ b/tests/sim/core.ts
@@ -30,33 +30,28 @@
   }
 
   makeProposer(first: schema.Value): proposer.Proposer {
-    const node = this;
-    function keep(value: schema.Value): void {
-      node.chosen.push(value);
-      node.onChosen?.(value);
-    }
+    const recordChosen = (value: schema.Value): void => {
+      this.chosen.push(value);
+      this.onChosen?.(value);
+    };
     this.core.lives += 1;
-    return new proposer.Proposer(this.core.clock, `life-${this.core.lives}`, this.core.reach(this), first, keep);
+    return new proposer.Proposer(this.core.clock, `life-${this.core.lives}`, this.core.reach(this), first, recordChosen);
   }
 
   boot(first: schema.Disk | null): void {
-    const node = this;
     const state = this.stored ? acceptor.Acceptor.restore(this.stored) : first;
     if (!state) return;
     if (!this.stored) this.stored = schema.disk.toBuffer(state);
-    this.voter = new acceptor.Acceptor(
-      {
-        async write(body: Buffer): Promise<void> {
-          while (node.isDiskHung) await node.core.wait(50);
-          await node.core.wait((2 + node.core.clock.random() * 5) * node.core.diskFactor);
-          if (node.core.broken === "forget_promise") {
-            const kept = acceptor.Acceptor.restore(body);
-            node.stored = schema.disk.toBuffer({ ...kept, promised: registerValue.NO_BALLOT });
-          } else node.stored = body;
-        },
-      },
-      state,
-    );
+    this.voter = new acceptor.Acceptor({ write: (body) => this.write(body) }, state);
+  }
+
+  private async write(body: Buffer): Promise<void> {
+    while (this.isDiskHung) await this.core.wait(50);
+    await this.core.wait((2 + this.core.clock.random() * 5) * this.core.diskFactor);
+    if (this.core.broken === "forget_promise") {
+      const kept = acceptor.Acceptor.restore(body);
+      this.stored = schema.disk.toBuffer({ ...kept, promised: registerValue.NO_BALLOT });
+    } else this.stored = body;
   }
 
   /** The process ends and starts again with what was synced. */
@@ -164,23 +159,20 @@
   }
 
   reach(from: SimNode): acceptorClient.AcceptorClient {
-    const core = this;
     return {
-      preparedBallotNumber() {
-        return from.voter?.preparedBallot.n ?? 0;
-      },
-      prepare(voter, ask) {
-        const address = core.addressOf(voter);
-        return core.send(from, address, function run(target) {
-          core.nodes.get(address)?.proposer.contention.recordPrepare(ask.ballot);
-          return target.prepare(ask);
+      preparedBallotNumber: () => from.voter?.preparedBallot.n ?? 0,
+      prepare: (voter, request) => {
+        const address = this.addressOf(voter);
+        return this.send(from, address, (target) => {
+          this.nodes.get(address)?.proposer.contention.recordPrepare(request.ballot);
+          return target.prepare(request);
         });
       },
-      accept(voter, ask) {
-        const address = core.addressOf(voter);
-        return core.send(from, address, function run(target) {
-          core.nodes.get(address)?.proposer.contention.recordAccept(ask.ballot);
-          return target.accept(ask);
+      accept: (voter, request) => {
+        const address = this.addressOf(voter);
+        return this.send(from, address, (target) => {
+          this.nodes.get(address)?.proposer.contention.recordAccept(request.ballot);
+          return target.accept(request);
         });
       },
     };
