--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -132,7 +132,7 @@
   demandOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): prediction.TokenDemand {
     const { prompt, maxOutput: mostOut } = plan.requestedTokens;
     return {
-      prefillTokens: plan.parts.length > 0 ? this.dependencies.prefill.unread(runner.id, plan.parts, plan.prefixKeys) : 0,
+      prefillTokens: plan.parts.length > 0 ? this.dependencies.prefill.uncachedTokens(runner.id, plan.parts, plan.prefixKeys) : 0,
       outputTokens: mostOut,
       totalTokens: prompt + mostOut,
     };
--- a/src/router/policies/runner-policy.ts
+++ b/src/router/policies/runner-policy.ts
@@ -66,7 +66,7 @@
         cellIndex * NEXT_CELL_MS +
         (LOAD_WEIGHT_MS * runner.requestCount()) / runner.instance.capacity;
       if (hasPrompt) {
-        const unread = known.unread(runner.id, plan.parts, plan.prefixKeys);
+        const unread = known.uncachedTokens(runner.id, plan.parts, plan.prefixKeys);
         ms +=
           known.backlogMs(runner.id, plan.now) +
           (PREFILL_WEIGHT * unread) / known.tokensPerMs +
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -82,7 +82,7 @@
     this.borrower = new limitBorrower.LimitBorrower(clock, this.incarnation, this.dial, this.limits);
     this.dial.addAddresses(settings.innerSeeds(startup));
     this.dial.registerHandlers(this.handlers);
-    this.prefillSharing.signSender.register(this.handlers);
+    this.prefillSharing.hintExchange.register(this.handlers);
     this.picker.admission.isOn = startup.admission === "on";
     this.root = new tree.Supervisor("router", clock, []);
     this.addSupervisedParts();
@@ -146,7 +146,7 @@
     this.fleet.peerGroups.routers = this.limits.routers;
     this.server.checkSilence();
     this.fleet.restoreExpired();
-    this.prefillSharing.signSender.publishUnresponsive(this.fleet.takeNewSuspects());
+    this.prefillSharing.hintExchange.publishUnresponsive(this.fleet.takeNewSuspects());
     this.suspectUnreachableRegions();
   }
 
--- a/src/runners/connection-pool.ts
+++ b/src/runners/connection-pool.ts
@@ -1,24 +1,27 @@
-// Connections to one runner, kept and reused within this router's part of the bound (design 7.6).
+/** The connections to one runner, reused within this router's share of the service's `max_connections` (design 7.6). */
 import * as http from "../wire/http.js";
 import * as idleTimeout from "./idle-timeout.js";
 
 const CONNECT_TIMEOUT_MS = 700;
-/** An idle connection is closed after so long. */
+/** An idle connection is closed after so long; milliseconds. */
 export const IDLE_TIMEOUT_MS = 4000;
 
-/** One connection, used by one request at a time. */
+/** One connection, used by one request at a time; times are milliseconds of the steady clock. */
 export class Connection {
   isClosed = false;
+  /** Not established yet. */
   isFresh = true;
-  /** Its socket ended with an error, a reset for instance. */
+  /** Its socket failed, by a reset for instance. */
   hasFailed = false;
-  /** Since when it is idle, for how long it may be, and how long it was before its present use; -1 at its first. */
   idleSince = 0;
+  /** For how long it may be idle, by the Keep-Alive of the last response. */
   keepAliveMs = Infinity;
+  /** How long it was idle before its present use; -1 at its first use. */
   idleMs = -1;
   acquiredAt = 0;
   constructor(readonly client: http.Client) {}
 
+  /** Closes it at once, with the request on it if there is one. */
   destroy(): void {
     this.isClosed = true;
     void this.client.destroy().catch(http.ignore);
@@ -27,6 +30,7 @@
 
 /** The connections to one runner. */
 export class ConnectionPool {
+  /** The one used last is at the end. */
   private readonly idle: Connection[] = [];
   private openCount = 0;
 
@@ -36,7 +40,10 @@
     private readonly idleTimeout: idleTimeout.IdleTimeout,
   ) {}
 
-  /** The connection used last, or a new one within the bound; null when all are busy. */
+  /**
+   * The connection used last, or a new one; null when `maxOpen` are in use. A request that is not repeatable gets none that
+   * was idle for so long that the runner may have closed it.
+   */
   acquire(maxOpen: number, isRepeatable = true): Connection | null {
     const now = this.idleTimeout.clock.now();
     const maxIdleMs = isRepeatable ? Infinity : this.idleTimeout.maxIdleMs();
@@ -48,7 +55,7 @@
         continue;
       }
       if (idleMs > maxIdleMs) {
-        // The others were idle for longer. They stay for what is repeatable, unless the bound asks for the place.
+        // All others were idle for longer. They stay for repeatable requests, unless a new connection needs the capacity.
         this.idle.push(connection);
         if (this.openCount >= maxOpen) this.discard(this.idle[0]);
         break;
@@ -61,26 +68,28 @@
     return this.connect();
   }
 
-  /** It was reset without a byte of reply: perhaps the runner had forgotten it. */
+  /** The connection was reset before any byte of a response: perhaps the runner had closed it while it was idle. */
   recordReset(connection: Connection): void {
-    if (connection.idleMs >= 0) this.idleTimeout.recordReset(connection.idleMs, this.idleTimeout.clock.now() - connection.acquiredAt);
+    if (connection.idleMs < 0) return;
+    this.idleTimeout.recordReset(connection.idleMs, this.idleTimeout.clock.now() - connection.acquiredAt);
   }
 
   private connect(): Connection {
-    const client = http.open(this.address, { connectMs: CONNECT_TIMEOUT_MS, idleMs: IDLE_TIMEOUT_MS, onSocketError: failed });
+    const client = http.open(this.address, {
+      connectMs: CONNECT_TIMEOUT_MS,
+      idleMs: IDLE_TIMEOUT_MS,
+      onSocketError: () => {
+        connection.hasFailed = true;
+      },
+    });
     const connection = new Connection(client);
-    function failed(): void {
-      connection.hasFailed = true;
-    }
-    const lost = this.discard.bind(this, connection);
-    const opened = this.onOpen;
     this.openCount += 1;
-    connection.client.on("connect", function up() {
+    client.on("connect", () => {
       connection.isFresh = false;
-      opened();
+      this.onOpen();
     });
-    connection.client.on("disconnect", lost);
-    connection.client.on("connectionError", lost);
+    client.on("disconnect", () => this.discard(connection));
+    client.on("connectionError", () => this.discard(connection));
     return connection;
   }
 
@@ -92,12 +101,12 @@
     if (position >= 0) this.idle.splice(position, 1);
   }
 
-  /** Gives a connection back, with the Keep-Alive of its reply; one that is not clean is closed. */
-  release(connection: Connection, isClean: boolean, keepAlive?: string): void {
+  /** Takes a connection back. `isReusable`: it may carry another request; `keepAlive`: that field of the last response. */
+  release(connection: Connection, isReusable: boolean, keepAlive?: string): void {
     if (connection.isClosed) return;
     connection.idleSince = this.idleTimeout.clock.now();
     connection.keepAliveMs = idleTimeout.parseKeepAliveMs(keepAlive);
-    if (isClean) this.idle.push(connection);
+    if (isReusable) this.idle.push(connection);
     else this.discard(connection);
   }
 
--- a/src/runners/decaying-sum.ts
+++ b/src/runners/decaying-sum.ts
@@ -1,9 +1,9 @@
-// A sum that loses half of itself in each half-life: recent events count most, and old ones are forgotten.
+/** A sum that loses half of itself in each half-life: recent events count most, and old ones are forgotten. */
 
-/** Below this the sum is nothing. */
-const LEAST = 0.001;
+/** A smaller sum counts as zero. */
+const EPSILON = 0.001;
 
-/** A sum whose parts count half after each half-life. */
+/** An exponentially decaying sum. */
 export class DecayingSum {
   private value = 0;
   private at = 0;
@@ -15,12 +15,13 @@
     if (this.value === 0 || now <= this.at) return this.value;
     this.value *= 2 ** (-(now - this.at) / this.halfLifeMs);
     this.at = now;
-    if (this.value < LEAST) this.value = 0;
+    if (this.value < EPSILON) this.value = 0;
     return this.value;
   }
 
-  add(more: number, now: number): void {
-    this.value = this.read(now) + more;
+  /** Adds an amount at this time. */
+  add(amount: number, now: number): void {
+    this.value = this.read(now) + amount;
     this.at = Math.max(this.at, now);
   }
 }
--- a/src/runners/outlier-state.ts
+++ b/src/runners/outlier-state.ts
@@ -1,8 +1,9 @@
-// The states of a runner's health as this router judges it, and which may follow which (design/status 3).
-/** What a router holds of a runner. */
+/** The states of outlier detection at one router, and the transitions between them (design/status 3). */
+
+/** `good`: in full use. `suspected`: at lower preference. `ejected`: out of use. `probation`: a growing part of its requests. */
 export type OutlierState = "good" | "suspected" | "ejected" | "probation";
 
-const MOVES = new Map<OutlierState, readonly OutlierState[]>([
+const TRANSITIONS = new Map<OutlierState, readonly OutlierState[]>([
   ["good", ["suspected", "ejected"]],
   ["suspected", ["good", "ejected"]],
   ["ejected", ["probation"]],
@@ -11,5 +12,5 @@
 
 /** Whether one state may follow the other. */
 export function isTransitionAllowed(from: OutlierState, to: OutlierState): boolean {
-  return MOVES.get(from)!.includes(to);
+  return TRANSITIONS.get(from)!.includes(to);
 }
--- a/src/runners/peer-group.ts
+++ b/src/runners/peer-group.ts
@@ -1,19 +1,21 @@
-// The runners of one service in one cell, compared with each other: what most of them show is no fault of one
-// (design/status 4, 5).
+/**
+ * The runners of one service in one cell, compared with each other by outlier detection: what most of them show is not the
+ * fault of one (design/status 4, 5).
+ */
 import * as decayingSum from "./decaying-sum.js";
 import type * as outlierState from "./outlier-state.js";
 
-/** At most this part of a cohort is ejected by outcomes, and never the last one. */
+/** At most this fraction of a group is ejected, though one may always be, and never the last. */
 const MAX_EJECTED_FRACTION = 1 / 3;
-/** Above this part the cause is taken to be elsewhere. */
+/** Above this fraction of failing runners the cause is taken to be elsewhere. */
 const WIDESPREAD_FRACTION = 1 / 3;
 const INITIAL_STEP = 0.5;
 const MIN_STEP = 0.05;
 const MIN_SAMPLES = 8;
-/** What was seen counts half after so long. */
+/** After so long a failure counts half. */
 export const SCORE_HALF_LIFE_MS = 1500;
 
-/** What is timed: a whole reply, the begin of a stream, a pause in it. */
+/** What is timed: the first byte of a response, that of a stream, the gap between the chunks of a stream. */
 export type WorkKind = "response" | "stream_start" | "gap";
 
 /** A running median in the log domain: each sample moves it by one step, however far away it lies. */
@@ -35,12 +37,12 @@
   }
 }
 
-/** How many routers there are; as the shares were dealt. */
+/** How many routers there are, as counted for the leased limits. */
 export interface RouterCount {
   routers: number;
 }
 
-/** The runners that one runner is compared with. */
+/** The runners that one runner is compared with; times are milliseconds of the steady clock. */
 export class PeerGroup {
   private readonly medians = new Map<string, MedianEstimator>();
   private readonly score = new decayingSum.DecayingSum(SCORE_HALF_LIFE_MS);
@@ -51,7 +53,7 @@
 
   constructor(private readonly routerCount: RouterCount = { routers: 1 }) {}
 
-  /** Alike work: its kind, and its size by powers of two. */
+  /** Alike work is of one kind, and of one size by powers of two. */
   private medianOf(work: WorkKind, tokens: number): MedianEstimator {
     const key = `${work}${tokens > 0 ? Math.ceil(Math.log2(tokens)) : 0}`;
     let median = this.medians.get(key);
@@ -70,6 +72,7 @@
     return before;
   }
 
+  /** The median of alike work; null while little is known. */
   medianMs(work: WorkKind, tokens: number): number | null {
     return this.medianOf(work, tokens).ms;
   }
@@ -102,28 +105,29 @@
     this.sends.add(1, now);
   }
 
-  /** Sends of all routers to one of the runners within a half-life or so, as this router's own sends tell. */
+  /** The estimated requests of all routers to one of the runners within a half-life, extrapolated from this router's own. */
   meanSends(now: number): number {
     return (this.sends.read(now) * this.routerCount.routers) / Math.max(1, this.size);
   }
 
-  /** The mean score of the others. */
+  /** The mean score of the other runners; `own`: the score of the runner that asks. */
   meanPeerScore(own: number, now: number): number {
     return this.size < 2 ? 0 : Math.max(0, this.score.read(now) - own) / (this.size - 1);
   }
 
+  /** Whether one more may be ejected. */
   canEject(): boolean {
     if (this.size < 2) return false;
     return this.ejected + 1 <= Math.max(1, Math.floor(this.size * MAX_EJECTED_FRACTION));
   }
 
-  /** So many look bad that the cause is not in them. */
+  /** So many fail that the cause is not in the runners. */
   isWidespread(): boolean {
     return this.suspected + this.ejected > Math.max(1, this.size * WIDESPREAD_FRACTION);
   }
 }
 
-/** All cohorts of a router. */
+/** All peer groups of a router. */
 export class PeerGroups implements RouterCount {
   routers = 1;
   private readonly groups = new Map<string, PeerGroup>();
--- a/src/runners/prefill-tracker.ts
+++ b/src/runners/prefill-tracker.ts
@@ -1,22 +1,28 @@
-// What the routers know together of the runners' readings (design 7.4): who has read which parts, and how long
-// each still reads. Told among routers as it happens, kept in memory, lost with the process.
+/**
+ * What the routers know together of the runners' prefix caches and prefill queues (design 7.4). Exchanged as hints, kept
+ * in memory, lost with the process.
+ */
 import type * as promptParts from "../routing/prompt-parts.js";
 
+/** Until the first samples. */
 const INITIAL_TOKENS_PER_MS = 40;
+/** Weights of a sample above and below the present rate: responses are delayed by more than the prefill, so that the fast ones count. */
 const RISE_WEIGHT = 0.3;
 const FALL_WEIGHT = 0.02;
 const MAX_CACHED_KEYS = 4000;
 const MIN_SAMPLE_TOKENS = 1500;
 
 interface RunnerPrefill {
+  /** When the prefills sent to it so far end. */
   busyUntil: number;
+  /** Prefix keys, the least recently used first. */
   cachedKeys: Set<number>;
 }
 
-/** Which prompts each runner keeps and reads, as far as it is known here. */
+/** The prefix caches and prefill backlogs of all runners, as far as this router knows; times are milliseconds of the steady clock. */
 export class PrefillTracker {
   private readonly byRunner = new Map<string, RunnerPrefill>();
-  /** Tokens read a millisecond, learned from the replies. */
+  /** The prefill rate of a runner, learned from responses. */
   tokensPerMs = INITIAL_TOKENS_PER_MS;
 
   private getOrCreate(runner: string): RunnerPrefill {
@@ -28,11 +34,12 @@
     return prefill;
   }
 
-  retainOnly(standing: { has(runner: string): boolean }): void {
-    for (const runner of this.byRunner.keys()) if (!standing.has(runner)) this.byRunner.delete(runner);
+  /** Forgets all runners that are no members. */
+  retainOnly(members: { has(runner: string): boolean }): void {
+    for (const runner of this.byRunner.keys()) if (!members.has(runner)) this.byRunner.delete(runner);
   }
 
-  /** A reading that was sent, here or by another router. */
+  /** A prompt was sent to the runner by this router or another. */
   recordPrefill(runner: string, uncachedTokens: number, keys: readonly number[], now: number): void {
     const prefill = this.getOrCreate(runner);
     prefill.busyUntil = Math.max(now, prefill.busyUntil) + uncachedTokens / this.tokensPerMs;
@@ -46,27 +53,28 @@
     }
   }
 
+  /** How long the runner is busy with the prefills ahead. */
   backlogMs(runner: string, now: number): number {
     const prefill = this.byRunner.get(runner);
     return prefill ? Math.max(0, prefill.busyUntil - now) : 0;
   }
 
-  /** Tokens that the runner would have to read: the key of a part is made of all before it, so these are kept with it. */
-  unread(runner: string, parts: readonly promptParts.PromptPart[], keys: readonly number[]): number {
-    let unread = 0;
-    for (const part of parts.slice(this.cachedParts(runner, keys))) unread += part.tokens;
-    return unread;
+  /** Tokens of the prompt that the runner would have to process. */
+  uncachedTokens(runner: string, parts: readonly promptParts.PromptPart[], keys: readonly number[]): number {
+    let tokens = 0;
+    for (const part of parts.slice(this.cachedParts(runner, keys))) tokens += part.tokens;
+    return tokens;
   }
 
-  /** How many parts of the prompt, from the first on, the runner keeps. */
+  /** How many parts of the prompt, from the first on, the runner has cached. */
   cachedParts(runner: string, keys: readonly number[]): number {
-    const kept = this.byRunner.get(runner)?.cachedKeys;
-    if (!kept) return 0;
-    for (let count = keys.length; count > 0; count -= 1) if (kept.has(keys[count - 1])) return count;
+    const cached = this.byRunner.get(runner)?.cachedKeys;
+    if (!cached) return 0;
+    for (let count = keys.length; count > 0; count -= 1) if (cached.has(keys[count - 1])) return count;
     return 0;
   }
 
-  /** The upper side of what is seen: replies are held up by more than reading. */
+  /** The first byte of a response came `tookMs` after its request; short prompts say too little. */
   learnRate(tokens: number, tookMs: number): void {
     if (tokens < MIN_SAMPLE_TOKENS || tookMs <= 0) return;
     const sample = tokens / tookMs;
--- a/src/runners/runner-fleet.ts
+++ b/src/runners/runner-fleet.ts
@@ -1,4 +1,4 @@
-// The runners as this router sees them: the pushed list and reports, and its own signs (design 7.4).
+/** The runners as this router sees them: membership and reports as control nodes publish them, and its own observations (design 7.4). */
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as loadSummary from "../load/load-summary.js";
@@ -8,14 +8,14 @@
 import * as idleTimeout from "./idle-timeout.js";
 import * as runnerEndpoint from "./runner-endpoint.js";
 
-/** All runners that one router knows. */
+/** All runners that one router knows, by id, service and region. */
 export class RunnerFleet {
   private readonly runners = new Map<string, runnerEndpoint.RunnerEndpoint>();
   private readonly tombstones = new runnerTombstones.RunnerTombstones();
   private readonly byService = new Map<string, runnerEndpoint.RunnerEndpoint[]>();
   private readonly byRegion = new Map<string, Set<runnerEndpoint.RunnerEndpoint>>();
   readonly summaries = new loadSummary.LoadSummaries();
-  /** Grows with each runner that comes or goes. */
+  /** Grows with each change of the membership. */
   membershipVersion = 0;
   private readonly idleTimeouts: idleTimeout.IdleTimeouts;
   readonly peerGroups = new peerGroup.PeerGroups();
@@ -43,7 +43,7 @@
     return this.runners.has(types.small(id));
   }
 
-  /** The whole list. */
+  /** The complete membership. */
   applySnapshot(list: readonly schema.Instance[]): void {
     this.restoreExpired();
     const listed = new Set<string>();
@@ -53,7 +53,7 @@
     this.applyChanges(list, gone);
   }
 
-  /** What changed of the list: each is acted on at once, and costs no more than itself and its service's runners. */
+  /** Runners that were added, changed or removed. The cost is that of the changes and of the runners of their services. */
   applyChanges(changed: Iterable<schema.Instance>, gone: Iterable<string>): void {
     const now = this.clock.now();
     const services = new Set<string>();
@@ -67,17 +67,17 @@
     this.reindex(services);
   }
 
-  /** Of a region that is followed no longer; its runners are not gone. */
+  /** The runners of a region that is no longer followed; they may come back at any time, so no tombstones are left. */
   unfollow(ids: Iterable<string>): void {
     const services = new Set<string>();
     for (const id of ids) this.remove(id, services)?.connections.closeIdle();
     this.reindex(services);
   }
 
-  /** Of runners that were gone: listed still after a while, they are taken again. */
+  /** Adds removed runners whose tombstone has expired and that are still listed. Called periodically. */
   restoreExpired(): void {
-    const back = this.tombstones.expire(this.clock.now());
-    if (back.length > 0) this.applyChanges(back, []);
+    const listed = this.tombstones.expire(this.clock.now());
+    if (listed.length > 0) this.applyChanges(listed, []);
   }
 
   private remove(id: string, services: Set<string>): runnerEndpoint.RunnerEndpoint | null {
@@ -98,7 +98,7 @@
     }
   }
 
-  /** True when a runner was added. */
+  /** Returns whether a runner was added. */
   private applyInstance(instance: schema.Instance, now: number): boolean {
     if (this.tombstones.suppresses(instance)) return false;
     let runner = this.runners.get(instance.id);
@@ -124,12 +124,12 @@
     for (const item of report.reports) this.runners.get(item.id)?.receiveReport(item, this.clock.now());
   }
 
-  /** What was told last of each runner of a region that reports and speaks. */
+  /** The last report of each runner of a region that reports. */
   reportsOf(region: string): schema.Report[] {
     const reports: schema.Report[] = [];
     for (const runner of this.inRegion(region)) {
-      const { id, isReporting: isSpeaking, waiting, active, kvUsed, kvCapacity } = runner;
-      if (isSpeaking && kvCapacity > 0) reports.push({ id, isSpeaking, waiting, active, kvUsed, kvCapacity });
+      const { id, isReporting, waiting, active, kvUsed, kvCapacity } = runner;
+      if (isReporting && kvCapacity > 0) reports.push({ id, isSpeaking: isReporting, waiting, active, kvUsed, kvCapacity });
     }
     return reports;
   }
@@ -138,20 +138,23 @@
     return this.runners.get(id)?.region ?? "";
   }
 
-  /** A long reading was sent to a runner; milliseconds. */
+  /** A prompt was sent to a runner whose prefill takes `ms`. */
   recordPrefill(id: types.RunnerId, ms: number): void {
     this.runners.get(id)?.recordPrefill(ms, this.clock.now());
   }
 
+  /** Another router reports these runners as silent or failing. */
   recordRemoteSuspects(ids: readonly string[]): void {
     for (const id of ids) this.runners.get(id)?.outliers.recordRemoteReport(this.clock.now());
   }
 
+  /** No link to the region is up. */
   recordUnreachableRegion(region: string): void {
     const now = this.clock.now();
     for (const runner of this.inRegion(region)) runner.recordUnreachable(now);
   }
 
+  /** Runners that other routers are to be told of now. Called a few times a second. */
   takeNewSuspects(): types.RunnerId[] {
     const now = this.clock.now();
     const ids: types.RunnerId[] = [];
@@ -159,11 +162,12 @@
     return ids;
   }
 
+  /** Closes the idle connections to all runners. */
   closeIdle(): void {
     for (const runner of this.runners.values()) runner.connections.closeIdle();
   }
 
-  /** A zone that is taken back may have turned cold meanwhile: it counts as cold until it is known to be warm. */
+  /** The zone is back in rotation after an evacuation: its runners start slowly for `ms`. */
   startWarmUp(zone: string, ms: number): void {
     const until = this.clock.now() + ms;
     for (const runner of this.runners.values()) {
--- a/src/runners/runner-health.ts
+++ b/src/runners/runner-health.ts
@@ -1,16 +1,17 @@
-// Where a runner stands for one request, from all signs of it together (design/status 3, 6).
+/** The health of a runner for one request, from outlier detection, silence and reports together (design/status 3, 6). */
 import type * as types from "../wire/types.js";
 import type * as runnerEndpoint from "./runner-endpoint.js";
 import * as zoneRotation from "./zone-rotation.js";
 
-/** In use, only after all others, or last of all. */
+/** `good`: in use. `suspect`: used only after all good ones. `ejected`: used last of all. */
 export type RunnerHealth = "good" | "suspect" | "ejected";
 
-/** The part of repeatable requests that tries a runner whose report stays out. */
+/** The percentage of repeatable requests that is sent to a runner without reports, to probe it. */
 const TRIAL_PERCENT = 10;
-const UNREPORTED_MS = 60;
+/** Added to the cost of a runner without reports. */
+const UNREPORTED_PENALTY_MS = 60;
 
-/** Repeatable requests try what is in doubt: nothing is lost with them. */
+/** Suspect runners are probed with repeatable requests only: a failure loses nothing of these. */
 export function assessHealth(
   runner: runnerEndpoint.RunnerEndpoint,
   now: number,
@@ -23,7 +24,7 @@
   return isRepeatable && zoneRotation.isWithinPercent(TRIAL_PERCENT, requestId) ? "good" : "suspect";
 }
 
-/** Milliseconds that a choice pays for doubt. */
+/** What the health adds to the runner's cost in the choice of a runner; milliseconds. */
 export function penaltyMs(runner: runnerEndpoint.RunnerEndpoint, now: number, isRepeatable: boolean): number {
-  return runner.outliers.penaltyMs(now, isRepeatable) + (runner.isReporting ? 0 : UNREPORTED_MS);
+  return runner.outliers.penaltyMs(now, isRepeatable) + (runner.isReporting ? 0 : UNREPORTED_PENALTY_MS);
 }
--- a/src/runners/runner-tombstones.ts
+++ b/src/runners/runner-tombstones.ts
@@ -1,42 +1,43 @@
-// Runners that left the list: what an older list or another source still says of them is not believed for a while.
+/** Tombstones of runners that left the membership: an older membership, or another source, that still lists them is ignored for a while. */
 import type * as schema from "../wire/schema.js";
 
 const TOMBSTONE_MS = 120_000;
 
 interface Tombstone {
-  at: number;
+  removedAt: number;
+  /** As it was listed since its removal. */
   listed: schema.Instance | null;
 }
 
-/** Ids that were listed and left. */
+/** One for each fleet; times are milliseconds of the steady clock. */
 export class RunnerTombstones {
   private readonly tombstones = new Map<string, Tombstone>();
 
   add(id: string, now: number): void {
-    this.tombstones.set(id, { at: now, listed: null });
+    this.tombstones.set(id, { removedAt: now, listed: null });
   }
 
-  /** Still gone, and no longer listed either. */
+  /** It is no longer listed anywhere. */
   markUnlisted(id: string): void {
     const tombstones = this.tombstones.get(id);
     if (tombstones) tombstones.listed = null;
   }
 
-  /** True when it is gone; it is kept in mind in case it is still listed after a while. */
+  /** Whether the instance has a tombstone; `expire` returns it later if it is still listed then. */
   suppresses(instance: schema.Instance): boolean {
     const tombstones = this.tombstones.get(instance.id);
     if (tombstones) tombstones.listed = instance;
     return tombstones !== undefined;
   }
 
-  /** What is listed still, or again, after that while is believed. */
+  /** Removes expired tombstones; returns the instances among them that are listed. */
   expire(now: number): schema.Instance[] {
-    const back: schema.Instance[] = [];
-    for (const [id, { at, listed }] of this.tombstones) {
-      if (now - at <= TOMBSTONE_MS) continue;
+    const stillListed: schema.Instance[] = [];
+    for (const [id, { removedAt, listed }] of this.tombstones) {
+      if (now - removedAt <= TOMBSTONE_MS) continue;
       this.tombstones.delete(id);
-      if (listed) back.push(listed);
+      if (listed) stillListed.push(listed);
     }
-    return back;
+    return stillListed;
   }
 }
--- a/src/runners/zone-rotation.ts
+++ b/src/runners/zone-rotation.ts
@@ -1,5 +1,7 @@
-// Zones in and out of rotation by percentage steps (design 7.5): drain goes down at once in steps well inside
-// the bound; failback goes up slowly, since what comes back may be cold.
+/**
+ * Zones taken out of rotation and back by percentage steps (design 7.5): an evacuated zone is drained fast, well within the
+ * bound; failback is slow, since caches and runners of the zone may have to warm up.
+ */
 import * as textHash from "../limits/text-hash.js";
 import * as types from "../wire/types.js";
 
@@ -15,12 +17,12 @@
   since: number;
 }
 
-/** Zones out of use, and those that come back. */
+/** The zones that are evacuated, or come back; all others are in rotation. */
 export class ZoneRotation {
   private readonly zones = new Map<string, ZoneState>();
   constructor(private readonly clock: types.Clock) {}
 
-  /** The zones under evacuation as the register has them; the ones just taken back are returned. */
+  /** The evacuated zones of a configuration; `isFirst`: at the start of the router, without a drain. Returns the zones that come back. */
   applyEvacuations(evacuated: readonly string[], isFirst: boolean): string[] {
     const back: string[] = [];
     for (const zone of evacuated) {
@@ -39,6 +41,7 @@
     this.zones.set(zone, { state, since: this.clock.now() });
   }
 
+  /** The percentage of its traffic that the zone gets now. */
   percentOf(zone: string): number {
     const item = this.zones.get(zone);
     if (!item || item.state === "in") return 100;
@@ -54,19 +57,18 @@
     return percent;
   }
 
-  /** One request keeps its side of the step whatever router and try it comes by. */
+  /** Whether the zone may run the request; the same for all attempts of a request at all routers. */
   admits(zone: string, requestId: types.RequestId): boolean {
-    const percent = this.percentOf(zone);
-    return isWithinPercent(percent, requestId);
+    return isWithinPercent(this.percentOf(zone), requestId);
   }
 }
 
-/** How much of its traffic comes back to what has been back for so long. */
+/** The percentage of its traffic that a zone or cell gets back after so many milliseconds. */
 export function failbackPercent(passedMs: number): number {
   return FAILBACK_STEPS[Math.floor(passedMs / FAILBACK_STEP_MS)] ?? 100;
 }
 
-/** Whether the request is among the first so many in a hundred, by its id. */
+/** Whether a request is in this percentage of all, by the hash of its id. */
 export function isWithinPercent(percent: number, requestId: types.RequestId): boolean {
   return percent >= 100 || (percent > 0 && textHash.hashText(requestId) % 100 < percent);
 }
--- a/src/whatif/batch.ts
+++ b/src/whatif/batch.ts
@@ -85,7 +85,7 @@
   private run(job: Job): void {
     const now = this.clock.now();
     const keys = promptParts.prefixKeys(job.parts);
-    const unread = this.cachedPrompts.unread(this.id, job.parts, keys);
+    const unread = this.cachedPrompts.uncachedTokens(this.id, job.parts, keys);
     this.cachedPrompts.recordPrefill(this.id, unread, keys, now);
     this.active += 1;
     const tokens = this.tokensOf(job);
--- a/src/whatif/runner.ts
+++ b/src/whatif/runner.ts
@@ -34,7 +34,7 @@
   /** When the first and the last event leave, from now on. */
   run(parts: readonly promptParts.PromptPart[], events: number, nowMs: number): Run {
     const keys = promptParts.prefixKeys(parts);
-    const unread = this.cachedPrompts.unread(this.id, parts, keys);
+    const unread = this.cachedPrompts.uncachedTokens(this.id, parts, keys);
     this.cachedPrompts.recordPrefill(this.id, unread, keys, nowMs);
     this.readingUntil = Math.max(nowMs, this.readingUntil) + unread / this.figures.tokens_per_ms;
     const eventMs = this.figures.event_ms * (1 + this.active / this.figures.capacity);
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -137,7 +137,7 @@
   runner: string,
   request: routeRequest.RouteRequest,
 ): number {
-  const unread = Math.round(from.known.unread(runner, request.parts, request.prefixKeys));
+  const unread = Math.round(from.known.uncachedTokens(runner, request.parts, request.prefixKeys));
   from.read(runner, unread, request.prefixKeys, clock.now());
   function deliver(): void {
     for (const router of routers) if (router !== from) router.read(runner, unread, request.prefixKeys, clock.now());
--- a/tests/choice.test.ts
+++ b/tests/choice.test.ts
@@ -33,7 +33,7 @@
   for (const [rank, runner] of ranked.entries()) {
     let ms = place * 100 + (400 * runner.requestCount()) / runner.instance.capacity;
     if (plan.parts.length > 0) {
-      const unread = known.unread(runner.id, plan.parts, plan.prefixKeys);
+      const unread = known.uncachedTokens(runner.id, plan.parts, plan.prefixKeys);
       ms += known.backlogMs(runner.id, plan.now) + (2 * unread) / known.tokensPerMs + 70 * Math.min(rank, 3);
     }
     found.set(runner, ms);
--- a/tests/signs.test.ts
+++ b/tests/signs.test.ts
@@ -133,7 +133,7 @@
     0,
   );
   expect(known.cachedParts("x", keys)).toBe(expected);
-  expect(known.unread("x", parts, keys)).toBe([111, 11, 1, 0][expected]);
+  expect(known.uncachedTokens("x", parts, keys)).toBe([111, 11, 1, 0][expected]);
 });
 
 test("telling only the unread parts' keys leaves the hearer with what telling all would", () => {
@@ -145,7 +145,7 @@
       tokens: 700,
     }));
     const keys = promptParts.prefixKeys(parts);
-    for (const other of [all, few]) expect(other.unread("x", parts, keys)).toBe(own.unread("x", parts, keys));
+    for (const other of [all, few]) expect(other.uncachedTokens("x", parts, keys)).toBe(own.uncachedTokens("x", parts, keys));
     const kept = own.cachedParts("x", keys);
     own.recordPrefill("x", 0, keys, 0);
     all.recordPrefill("x", 0, keys, 0);
