--- a/src/control/control-program.ts
+++ b/src/control/control-program.ts
@@ -15,7 +15,7 @@
 import * as dataDirLock from "../store/data-dir-lock.js";
 import * as tree from "../supervisor/tree.js";
 import type * as shrinkGuard from "./members/shrink-guard.js";
-import * as operator from "./operator/operator.js";
+import * as operatorApi from "./operator/operator-api.js";
 import * as operatorChain from "./operator/operator-chain.js";
 import * as singletonRole from "./platform/singleton-role.js";
 import * as voterDisk from "./voters/voter-disk.js";
@@ -90,9 +90,9 @@
   private operatorReply(): serve.Reply {
     const { replica, batches, dial, contact } = this.parts;
     const zones = new Set(Object.keys(this.startup.zones));
-    const calls = new operator.Operator(replica, zones, () => this.status(), batches);
+    const calls = new operatorApi.OperatorApi(replica, zones, () => this.status(), batches);
     const { clock, handlers } = this;
-    return operatorChain.chain({ clock, handlers, dial, core: replica, contact }, (request) => calls.reply(request));
+    return operatorChain.createOperatorHandler({ clock, handlers, dial, core: replica, contact }, (request) => calls.handle(request));
   }
 
   private directorySource(): endpoints.DirectorySource {
--- a/src/control/operator/operator-chain.ts
+++ b/src/control/operator/operator-chain.ts
@@ -1,4 +1,4 @@
-// What an operator's call passes at a control node: redirector, forwarder, and the calls themselves (design 6.2).
+/** The handlers that a request to the operators' API passes at a control node: redirector, order forwarder, API (design 6.2). */
 import type * as link from "../../wire/link.js";
 import type * as types from "../../wire/types.js";
 import type * as controlNode from "../../feed/control-node.js";
@@ -9,7 +9,7 @@
 import * as redirect from "./redirect.js";
 import type * as serve from "../../wire/serve.js";
 
-/** The parts of one control node that decide where a call is answered. */
+/** The parts of one control node that decide where a request is answered. */
 export interface OperatorParts {
   clock: types.Clock;
   handlers: link.Handlers;
@@ -18,15 +18,13 @@
   contact: quorumContact.QuorumContact;
 }
 
-/** Puts both before `calls`, which decides what reaches it. */
-export function chain(parts: OperatorParts, calls: serve.Reply): serve.Reply {
-  const { clock: world, handlers, dial, core, contact } = parts;
-  function controls(): Iterable<controlNode.ControlNode> {
-    return dial.controls.values();
-  }
-  const forwarder = new orderForwarder.OrderForwarder(world, core, controls, calls);
-  forwarder.register(handlers, contact);
-  const redirector = new redirect.Redirector(world, contact, controls, forwarder.reply.bind(forwarder));
-  dial.on("heartbeat", redirector.remember.bind(redirector));
-  return redirector.reply.bind(redirector);
+/** A handler that redirects or forwards a request where another node is to answer it, and else passes it to `api`. */
+export function createOperatorHandler(parts: OperatorParts, api: serve.Reply): serve.Reply {
+  const { clock, handlers, dial, core, contact } = parts;
+  const controls = (): Iterable<controlNode.ControlNode> => dial.controls.values();
+  const forwarder = new orderForwarder.OrderForwarder(clock, core, controls, api);
+  forwarder.registerHandlers(handlers, contact);
+  const redirector = new redirect.Redirector(clock, contact, controls, (request) => forwarder.handle(request));
+  dial.on("heartbeat", () => redirector.rememberConfirmedPeers());
+  return (request) => redirector.handle(request);
 }
--- a/src/control/operator/operator-paths.ts
+++ b/src/control/operator/operator-paths.ts
@@ -1,14 +1,14 @@
-// Paths of the operator's calls at a control node (design 6.2).
+/** Paths of the operators' API at a control node (design 6.2). */
 
-/** Puts a whole configuration in the place of the one in force. */
+/** Replaces the complete configuration. */
 export const REPLACE = "/-/Config.Replace";
-/** Changes parts of the configuration in force. */
+/** Changes parts of the configuration. */
 export const UPDATE = "/-/Config.Update";
-/** Reads the configuration in force. */
+/** Reads the current configuration. */
 export const DESCRIBE = "/-/Config.Describe";
-/** Begins an evacuation; the zone's name follows. */
+/** Starts an evacuation; the zone's name follows. */
 export const START_EVACUATION = "/-/Evacuations.Start/";
-/** Ends an evacuation; the zone's name follows. */
+/** Stops an evacuation; the zone's name follows. */
 export const STOP_EVACUATION = "/-/Evacuations.Stop/";
 
 const ORDERS = [REPLACE, UPDATE, START_EVACUATION, STOP_EVACUATION];
--- a/src/control/operator/order-forwarder.ts
+++ b/src/control/operator/order-forwarder.ts
@@ -1,10 +1,10 @@
 /**
- * One proposer for the orders of all control nodes (design/hardening/2-orders 5). Rounds of several proposers end each
- * other; while others propose too, a node therefore passes its operators' orders on to the first voter in touch, whose
- * queue has all that wait chosen in one round.
+ * Forwards the orders of all control nodes to one proposer (design/hardening/2-orders 5). Ballots of several proposers
+ * preempt each other; while others propose too, a node therefore forwards its operators' orders to the first connected
+ * voter by address, whose queue has all pending orders chosen with one ballot.
  *
- * Where an order is decided is a matter of pace alone: any node may propose at any time, and an order that reached two
- * proposers is taken once and acknowledged by both (register/history.ts). So nothing is lost when the other node is.
+ * Where an order is decided affects speed alone: any node may propose at any time, and an order that reached two proposers
+ * is applied once and acknowledged by both (register/order-history.ts). So no order is lost with the other node.
  */
 import * as log from "../../runtime/log.js";
 import * as calls from "../../wire/calls.js";
@@ -21,22 +21,22 @@
 import * as operatorPaths from "./operator-paths.js";
 import type * as serve from "../../wire/serve.js";
 
-/** An order that was passed on is proposed here after so long without an answer. */
-const FORWARD_MS = 1300;
-/** How often it is looked whether the other node is still heard. */
-const LOOK_MS = 50;
-/** After an order without an answer, the other node gets none for so long. */
-const AVOID_MS = 5000;
-/** An order goes on to so many nodes at most, the next one once the first is not heard any more. */
+/** A forwarded order without an answer is proposed here after this time. */
+const FORWARD_TIMEOUT_MS = 1300;
+/** Interval of the checks whether the other node is still alive. */
+const POLL_INTERVAL_MS = 50;
+/** After an order without an answer no order is forwarded to that node for this time. */
+const AVOIDANCE_MS = 5000;
+/** Nodes to which one order is forwarded at most, one after the other. */
 const MAX_FORWARDS = 2;
-/** Larger orders are proposed where they arrive. */
+/** Larger orders are not forwarded. */
 const MAX_BODY_BYTES = 1024 * 1024;
-/** Nothing is decided by answers from here on. */
+/** From this status on an answer decides nothing. */
 const MIN_UNDECIDED_STATUS = 500;
 
-/** Stands between the redirector and the operator's calls of one control node. */
+/** Handler between the redirector and the API of one control node. */
 export class OrderForwarder {
-  private avoided = "";
+  private avoidedNode = "";
   private avoidedUntil: number = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -46,92 +46,88 @@
     private readonly next: serve.Reply,
   ) {}
 
-  /** Answers the orders that other control nodes pass on; they go no further. */
-  register(handlers: link.Handlers, contact: quorumContact.QuorumContact): void {
-    handlers.on(calls.order, this.take.bind(this, contact));
+  /** Answers orders forwarded by other control nodes; these are not forwarded again. */
+  registerHandlers(handlers: link.Handlers, contact: quorumContact.QuorumContact): void {
+    handlers.on(calls.order, (_from, order) => this.handleForwarded(contact, order));
   }
 
-  private async take(
-    contact: quorumContact.QuorumContact,
-    _from: link.Link,
-    order: orderSchema.ForwardedOrder,
-  ): Promise<orderSchema.OrderAnswer> {
+  private async handleForwarded(contact: quorumContact.QuorumContact, order: orderSchema.ForwardedOrder): Promise<orderSchema.OrderAnswer> {
     if (!contact.isConfirmed()) return { status: 503, json: "null" };
     log.count("operator.forwarded_here");
     const headers = order.base === "" ? {} : { [names.HEADER.base]: order.base };
-    const told = await this.next({ method: "POST", path: order.path, query: new URLSearchParams(), headers, body: order.body });
-    return { status: told.status, json: JSON.stringify(told.json) };
+    const response = await this.next({ method: "POST", path: order.path, query: new URLSearchParams(), headers, body: order.body });
+    return { status: response.status, json: JSON.stringify(response.json) };
   }
 
-  /** Replies as `next` does, here or at the proposer of all. */
-  async reply(asked: serve.Asked): Promise<serve.Told> {
-    if (!isOrder(asked)) return this.next(asked);
+  /** Answers as `next` does, here or at the common proposer. */
+  async handle(request: serve.Asked): Promise<serve.Told> {
+    if (!isOrder(request)) return this.next(request);
     for (let attempt = 0; attempt < MAX_FORWARDS; attempt += 1) {
-      const proposer = this.proposerOfAll();
+      const proposer = this.findCommonProposer();
       if (!proposer) break;
-      const told = await this.forward(proposer, asked);
-      if (told) return told;
+      const response = await this.forward(proposer, request);
+      if (response) return response;
     }
-    return this.next(asked);
+    return this.next(request);
   }
 
-  /** Null: this node proposes itself. */
-  private proposerOfAll(): controlNode.ControlNode | null {
+  /** The node to forward to; null: this node proposes itself. */
+  private findCommonProposer(): controlNode.ControlNode | null {
     if (!this.core.isContended()) return null;
-    const voters = [...(this.core.chosen?.voters ?? [])].sort(byAddress);
+    const voters = [...(this.core.chosen?.voters ?? [])].sort(compareByAddress);
     for (const voter of voters) {
       if (this.core.isOwn(voter)) return null;
-      const control = this.controlOf(voter.disk);
-      if (control && this.isFit(control)) return control;
+      const control = this.findControl(voter.disk);
+      if (control && this.canForwardTo(control)) return control;
     }
     return null;
   }
 
-  private controlOf(disk: string): controlNode.ControlNode | null {
+  private findControl(disk: string): controlNode.ControlNode | null {
     for (const control of this.controls()) if (control.node.disk === disk) return control;
     return null;
   }
 
-  private isFit(control: controlNode.ControlNode): boolean {
+  private canForwardTo(control: controlNode.ControlNode): boolean {
     const { heartbeat } = control;
     const now = this.clock.now();
     if (!heartbeat || !features.hasFeature(heartbeat, features.FORWARDED_ORDERS)) return false;
     if (!controlNode.isAliveAndConfirmed(control, now) || controlNode.isDraining(control)) return false;
-    return control.node.name !== this.avoided || now >= this.avoidedUntil;
+    return control.node.name !== this.avoidedNode || now >= this.avoidedUntil;
   }
 
-  /** Null where the other node decided nothing: the order may have been taken there, and is found so when it is proposed here. */
-  private async forward(proposer: controlNode.ControlNode, asked: serve.Asked): Promise<serve.Told | null> {
+  /** Null where the other node gave no decision: the order may have been applied there, which shows when it is proposed here. */
+  private async forward(proposer: controlNode.ControlNode, request: serve.Asked): Promise<serve.Told | null> {
     log.count("operator.forwarded");
-    const base = asked.headers[names.HEADER.base];
-    const order = { path: asked.path, base: typeof base === "string" ? base : "", body: asked.body };
-    const call = proposer.link.call(calls.order, order, FORWARD_MS);
-    const answer = await Promise.race([call, this.silence(proposer, call)]);
+    const base = request.headers[names.HEADER.base];
+    const order = { path: request.path, base: typeof base === "string" ? base : "", body: request.body };
+    const call = proposer.link.call(calls.order, order, FORWARD_TIMEOUT_MS);
+    const answer = await Promise.race([call, this.untilSilent(proposer, call)]);
     if (answer && answer.status < MIN_UNDECIDED_STATUS) return { status: answer.status, json: JSON.parse(answer.json) as unknown };
     log.count("operator.forward_failed");
-    this.avoided = proposer.node.name;
-    this.avoidedUntil = this.clock.now() + AVOID_MS;
+    this.avoidedNode = proposer.node.name;
+    this.avoidedUntil = this.clock.now() + AVOIDANCE_MS;
     return null;
   }
 
-  /** Resolves once the other node is heard no more, or the call has ended. */
-  private async silence(proposer: controlNode.ControlNode, call: Promise<unknown>): Promise<null> {
+  /** Resolves once the other node counts as dead, or the call has ended. */
+  private async untilSilent(proposer: controlNode.ControlNode, call: Promise<unknown>): Promise<null> {
     let isOver = false;
-    void call.then(function end() {
+    void call.then(() => {
       isOver = true;
     });
-    while (!isOver && controlNode.isAlive(proposer, this.clock.now())) await timers.sleep(this.clock, LOOK_MS);
-    // A call that has ended tells for itself.
+    while (!isOver && controlNode.isAlive(proposer, this.clock.now())) await timers.sleep(this.clock, POLL_INTERVAL_MS);
+    // The answer of the call wins the race.
     if (isOver) await call;
     return null;
   }
 }
 
-/** An order that all nodes share. */
-function byAddress(left: schema.Voter, right: schema.Voter): number {
+/** The same order at all nodes. */
+function compareByAddress(left: schema.Voter, right: schema.Voter): number {
   return left.address < right.address ? -1 : left.address > right.address ? 1 : 0;
 }
 
-function isOrder(asked: serve.Asked): boolean {
-  return asked.method === "POST" && asked.body.length <= MAX_BODY_BYTES && operatorPaths.isOrder(asked.path);
+function isOrder(request: serve.Asked): boolean {
+  return request.method === "POST" && request.body.length <= MAX_BODY_BYTES && operatorPaths.isOrder(request.path);
 }
--- a/src/control/operator/redirect.ts
+++ b/src/control/operator/redirect.ts
@@ -1,32 +1,35 @@
-// An operator's call that reaches a control node without contact to a majority goes on to one that has it
-// (design/hardening/1-cut-off). Nothing is ever confirmed or refused by a minority.
+/**
+ * Redirects an operator's request from a control node without contact to a majority to one that has it
+ * (design/hardening/1-cut-off). A minority never confirms or rejects an order.
+ */
 import type * as types from "../../wire/types.js";
 import * as log from "../../runtime/log.js";
 import * as controlNode from "../../feed/control-node.js";
 import type * as quorumContact from "../voters/quorum-contact.js";
 import type * as serve from "../../wire/serve.js";
 
-/** Answered by any node about itself. */
+/** Any node answers it, about itself. */
 const STATUS_PATH = "/-/status";
-/** A process that has only just started waits so long for its first confirmation, in ms: less than a caller's second of silence. */
-const FIRST_MS = 800;
+/** Time that a process that has just started waits for its first confirmation: less than a caller's time-out of one second. */
+const INITIAL_CONFIRMATION_TIMEOUT_MS = 800;
+/** Value of the Retry-After header, in seconds. */
 const RETRY_AFTER_S = "0.3";
-/** At most so many nodes are remembered as confirmed before. */
+/** Nodes remembered as confirmed; beyond it the oldest one is dropped. */
 const MAX_REMEMBERED = 16;
 
-/** Where a call may be sent on to. */
+/** A node to which a request may be redirected. */
 interface Destination {
   name: string;
-  /** Address of its operator's calls, host:port. */
+  /** Address of its operators' API, host:port. */
   outside: string;
 }
 
-/** Stands before the operator's calls of one control node. */
+/** First handler of the operators' requests at one control node. */
 export class Redirector {
-  /** Nodes that said they were confirmed, by name, the newest word last; kept after their links went down. */
+  /** Nodes whose heartbeats said that they were confirmed, by name, the newest last; kept after their connections are lost. */
   private readonly remembered = new Map<string, Destination>();
-  /** Moves on with each call that is sent to a remembered node, so that a caller that tries again reaches another one. */
-  private attempts = 0;
+  /** Count of redirects to remembered nodes; with it a caller that retries reaches another one. */
+  private redirects = 0;
 
   constructor(
     private readonly clock: types.Clock,
@@ -35,45 +38,40 @@
     private readonly next: serve.Reply,
   ) {}
 
-  /** Replies as `next` does while this node is confirmed; else 307 to a confirmed one, or 503 at once. */
-  async reply(asked: serve.Asked): Promise<serve.Told> {
-    if (asked.path === STATUS_PATH) return this.next(asked);
-    if (!this.contact.isConfirmed() && !this.contact.wasEverConfirmed) await this.within(FIRST_MS, "confirmed");
-    if (!this.contact.isConfirmed()) return this.elsewhere(asked);
-    return this.whileConfirmed(asked);
+  /** Answers as `next` does while this node is confirmed; else 307 to a confirmed node, or 503 at once. */
+  async handle(request: serve.Asked): Promise<serve.Told> {
+    if (request.path === STATUS_PATH) return this.next(request);
+    if (!this.contact.isConfirmed() && !this.contact.wasEverConfirmed) await this.waitForConfirmation(INITIAL_CONFIRMATION_TIMEOUT_MS);
+    if (!this.contact.isConfirmed()) return this.redirectOrReject(request);
+    return this.handleUntilContactLost(request);
   }
 
-  /** An order under way when contact is lost has no clear answer: sent again elsewhere it is taken once. */
-  private whileConfirmed(asked: serve.Asked): Promise<serve.Told> {
+  /** The outcome of an order in progress when contact is lost is unknown; retried elsewhere it is applied once. */
+  private handleUntilContactLost(request: serve.Asked): Promise<serve.Told> {
     const { contact } = this;
-    const next = Promise.resolve(this.next(asked));
-    const elsewhere = this.elsewhere.bind(this, asked);
-    return new Promise(function wait(resolve, reject) {
-      contact.once("lost", lost);
-      next.then(resolve, reject).finally(stop);
-      function lost(): void {
-        resolve(elsewhere());
-      }
-      function stop(): void {
-        contact.removeListener("lost", lost);
-      }
+    const next = Promise.resolve(this.next(request));
+    return new Promise((resolve, reject) => {
+      const onLost = (): void => resolve(this.redirectOrReject(request));
+      contact.once("lost", onLost);
+      next.then(resolve, reject).finally(() => contact.removeListener("lost", onLost));
     });
   }
 
-  private within(ms: number, event: "confirmed"): Promise<void> {
-    const { contact, clock: world } = this;
-    return new Promise(function wait(resolve) {
-      const timer = world.schedule(ms, end);
-      contact.once(event, end);
-      function end(): void {
+  /** Resolves with the first confirmation, or after the time-out. */
+  private waitForConfirmation(timeoutMs: number): Promise<void> {
+    const { contact, clock } = this;
+    return new Promise((resolve) => {
+      const finish = (): void => {
         timer.stop();
-        contact.removeListener(event, end);
+        contact.removeListener("confirmed", finish);
         resolve();
-      }
+      };
+      const timer = clock.schedule(timeoutMs, finish);
+      contact.once("confirmed", finish);
     });
   }
 
-  private elsewhere(asked: serve.Asked): serve.Told {
+  private redirectOrReject(request: serve.Asked): serve.Told {
     const peer = this.confirmedPeer() ?? this.rememberedPeer();
     if (!peer) {
       log.count("operator.unconfirmed");
@@ -81,8 +79,8 @@
       return { status: 503, headers: { "Retry-After": RETRY_AFTER_S }, json: { message } };
     }
     log.count("operator.redirected");
-    const query = asked.query.toString();
-    const location = `http://${peer.outside}${asked.path}${query === "" ? "" : `?${query}`}`;
+    const query = request.query.toString();
+    const location = `http://${peer.outside}${request.path}${query === "" ? "" : `?${query}`}`;
     return {
       status: 307,
       headers: { Location: location },
@@ -90,12 +88,12 @@
     };
   }
 
-  /** Notes who is confirmed now; called with each heartbeat. */
-  remember(): void {
-    for (const control of this.controls()) if (this.isConfirmedNow(control)) this.note(control.node.name, control.node.outside);
+  /** Records which nodes are confirmed now; called with each heartbeat. */
+  rememberConfirmedPeers(): void {
+    for (const control of this.controls()) if (this.isConfirmedNow(control)) this.rememberPeer(control.node.name, control.node.outside);
   }
 
-  private note(name: string, outside: string): void {
+  private rememberPeer(name: string, outside: string): void {
     this.remembered.delete(name);
     this.remembered.set(name, { name, outside });
     if (this.remembered.size > MAX_REMEMBERED) this.remembered.delete(this.remembered.keys().next().value!);
@@ -105,7 +103,7 @@
     return controlNode.isAliveAndConfirmed(control, this.clock.now()) && control.node.outside !== "";
   }
 
-  /** The nearest one whose last beat said so lately; it sends nobody back here while this node isn't confirmed. */
+  /** The nearest node whose recent heartbeat says that it is confirmed; it redirects nobody back here while this node isn't. */
   private confirmedPeer(): Destination | null {
     let nearest: controlNode.ControlNode | null = null;
     for (const control of this.controls()) {
@@ -116,19 +114,16 @@
   }
 
   /**
-   * One that was confirmed before and is heard no more: this node may be the one that is cut off, and the caller need
-   * not be. Nodes that are heard and say that they aren't confirmed are left out. A redirect decides nothing, so a wrong
-   * one costs the caller one step.
+   * A node that was confirmed before and sends no heartbeats now: this node may be the one behind a network partition, and
+   * the caller need not be. Nodes whose heartbeats say that they aren't confirmed are left out. A redirect decides nothing,
+   * so a wrong one costs the caller one request.
    */
   private rememberedPeer(): Destination | null {
-    const heard = new Set<string>();
-    for (const control of this.controls()) if (controlNode.isFresh(control, this.clock.now())) heard.add(control.node.name);
-    const candidates = [...this.remembered.values()].filter(isUnheard).reverse();
-    function isUnheard(destination: Destination): boolean {
-      return !heard.has(destination.name);
-    }
+    const alive = new Set<string>();
+    for (const control of this.controls()) if (controlNode.isFresh(control, this.clock.now())) alive.add(control.node.name);
+    const candidates = [...this.remembered.values()].filter((destination) => !alive.has(destination.name)).reverse();
     if (candidates.length === 0) return null;
-    this.attempts += 1;
-    return candidates[(this.attempts - 1) % candidates.length];
+    this.redirects += 1;
+    return candidates[(this.redirects - 1) % candidates.length];
   }
 }
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -3,7 +3,7 @@
 import * as parts from "../../src/config/parts.js";
 import * as voterManager from "../../src/control/voters/voter-manager.js";
 import * as registerReplica from "../../src/control/register-replica.js";
-import * as operators from "../../src/control/operator/operator.js";
+import * as operatorApi from "../../src/control/operator/operator-api.js";
 import type * as serve from "../../src/wire/serve.js";
 import * as dialer from "../../src/feed/dialer.js";
 import * as feedPublisher from "../../src/feed/feed-publisher.js";
@@ -61,7 +61,7 @@
   readonly dial: NetworkDialer;
   readonly core: registerReplica.RegisterReplica;
   readonly feed: feedPublisher.FeedPublisher;
-  private readonly operator: operators.Operator;
+  private readonly operator: operatorApi.OperatorApi;
   private readonly voterManager: voterManager.VoterManager;
   private readonly callers = new Set<link.Link>();
   isOver = false;
@@ -77,7 +77,7 @@
     this.dial.addAddresses(node.seeds.map(addressOf));
     this.feed = new feedPublisher.FeedPublisher(life);
     this.core = new registerReplica.RegisterReplica(world, { incarnation: life, address: addressOf(name), initialValue: first }, this.dial);
-    this.operator = new operators.Operator(this.core, new Set(["north"]), () => null);
+    this.operator = new operatorApi.OperatorApi(this.core, new Set(["north"]), () => null);
     this.voterManager = new voterManager.VoterManager(world, this.core, () => [this.describe(), ...this.peers()]);
     this.handle();
     this.every(TURN_MS, () => this.turn());
@@ -142,7 +142,7 @@
 
   call(method: string, path: string, base = 0, body: Buffer = Buffer.alloc(0)): Promise<serve.Told> {
     const headers = { "x-cranewind-base-version": String(base) };
-    return Promise.resolve(this.operator.reply({ method, path, query: new URLSearchParams(), headers, body }));
+    return Promise.resolve(this.operator.handle({ method, path, query: new URLSearchParams(), headers, body }));
   }
 
   end(): void {
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -8,7 +8,7 @@
 import * as singletonRole from "../../src/control/platform/singleton-role.js";
 import * as leaseServer from "../../src/control/leases/lease-server.js";
 import * as sessionHandlers from "../../src/control/members/session-handlers.js";
-import * as operators from "../../src/control/operator/operator.js";
+import * as operatorApi from "../../src/control/operator/operator-api.js";
 import * as operatorChain from "../../src/control/operator/operator-chain.js";
 import type * as serve from "../../src/wire/serve.js";
 import * as membership from "../../src/control/members/membership.js";
@@ -122,9 +122,9 @@
       this.leaseServer.recordFenceReply.bind(this.leaseServer),
       confirmation,
     );
-    const operator = new operators.Operator(this.core, ZONES, () => ({ contact: this.contact.status() }));
+    const operator = new operatorApi.OperatorApi(this.core, ZONES, () => ({ contact: this.contact.status() }));
     const { handlers, dial, core, contact } = this;
-    this.reply = operatorChain.chain({ clock: world, handlers, dial, core, contact }, operator.reply.bind(operator));
+    this.reply = operatorChain.createOperatorHandler({ clock: world, handlers, dial, core, contact }, operator.handle.bind(operator));
     this.handle();
     if (options.isVoter !== false) this.vote(first);
     this.run();
--- a/tests/sim/operators.ts
+++ b/tests/sim/operators.ts
@@ -1,7 +1,6 @@
-// Operators over a simulated core: the real calls of operator.ts at each node, with answers lost and orders sent again.
+// Operators over a simulated core: the real operators' API at each node, with answers lost and orders sent again.
 import type * as http from "node:http";
-import * as operators from "../../src/control/operator/operator.js";
-import type * as registerReplica from "../../src/control/register-replica.js";
+import * as operatorApi from "../../src/control/operator/operator-api.js";
 import * as stepQueue from "../../src/register/step-queue.js";
 import type * as proposer from "../../src/register/proposer.js";
 import type * as registerStep from "../../src/register/register-step.js";
@@ -12,10 +11,10 @@
 import type * as sim from "./world.js";
 
 export const ZONES = ["north", "south", "east", "west"];
-/** A caller goes on to another node after so long without an answer. */
-const SILENT_MS = 1000;
-const FIRST_PAUSE_MS = 100;
-const MAX_PAUSE_MS = 800;
+/** A caller without an answer retries at another node after this time. */
+const CALLER_TIMEOUT_MS = 1000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 800;
 
 export interface Order {
   path: string;
@@ -54,61 +53,61 @@
   return result.ok(value);
 }
 
-/** The part of a control node's core that operators' calls use. */
-class NodeRegister {
+/** The register of a control node as the operators' API uses it. */
+class NodeRegister implements operatorApi.OrderRegister {
   private readonly queue: stepQueue.StepQueue;
   constructor(clock: sim.SimWorld, proposer: proposer.Proposer) {
     this.queue = new stepQueue.StepQueue(clock, proposer.change.bind(proposer));
   }
-  order(step: registerStep.Step, withinMs: number): Promise<registerStep.Outcome> {
-    return this.queue.change(step, withinMs);
+  submitOrder(step: registerStep.Step, timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.queue.change(step, timeoutMs);
   }
-  read(withinMs: number): Promise<registerStep.Outcome> {
-    return this.queue.change(unchanged, withinMs);
+  read(timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.queue.change(unchanged, timeoutMs);
   }
 }
 
 export class Operators {
-  /** The part of answers that are lost on their way; the order arrived. */
+  /** Share of the answers that are lost; their orders arrived. */
   answerLossShare = 0;
-  private readonly desks = new Map<proposer.Proposer, operators.Operator>();
+  private readonly apis = new Map<proposer.Proposer, operatorApi.OperatorApi>();
 
   constructor(private readonly core: cores.SimCore) {}
 
-  private deskOf(node: cores.SimNode): operators.Operator {
-    let desk = this.desks.get(node.proposer);
-    if (!desk) {
-      const register = new NodeRegister(this.core.clock, node.proposer) as unknown as registerReplica.RegisterReplica;
-      desk = new operators.Operator(register, new Set(ZONES), () => null);
-      this.desks.set(node.proposer, desk);
+  private apiOf(node: cores.SimNode): operatorApi.OperatorApi {
+    let api = this.apis.get(node.proposer);
+    if (!api) {
+      const register = new NodeRegister(this.core.clock, node.proposer);
+      api = new operatorApi.OperatorApi(register, new Set(ZONES), () => null);
+      this.apis.set(node.proposer, api);
     }
-    return desk;
+    return api;
   }
 
-  /** One call at one node; null without an answer in time: the order may have been taken, or be taken yet. */
-  async call(address: string, order: Order, withinMs = SILENT_MS): Promise<number | null> {
+  /** One request to one node; null without an answer in time: the order may have been applied, or be applied later. */
+  async call(address: string, order: Order, timeoutMs = CALLER_TIMEOUT_MS): Promise<number | null> {
     const node = this.core.nodes.get(address)!;
     if (!node.isUp) return null;
-    const { proposer: proposer } = node;
+    const { proposer } = node;
     const headers: http.IncomingHttpHeaders = { "x-cranewind-base-version": String(order.base) };
-    const asked = { method: "POST", path: order.path, query: new URLSearchParams(), headers, body: order.body };
-    const reply = Promise.resolve(this.deskOf(node).reply(asked));
-    const told = await Promise.race([reply, this.core.wait(withinMs)]);
-    // A process that ended meanwhile answers nobody.
-    if (!told || !node.isUp || node.proposer !== proposer) return null;
-    return this.core.clock.random() < this.answerLossShare ? null : told.status;
+    const request = { method: "POST", path: order.path, query: new URLSearchParams(), headers, body: order.body };
+    const reply = Promise.resolve(this.apiOf(node).handle(request));
+    const response = await Promise.race([reply, this.core.wait(timeoutMs)]);
+    // A process that ended meanwhile sends no answer.
+    if (!response || !node.isUp || node.proposer !== proposer) return null;
+    return this.core.clock.random() < this.answerLossShare ? null : response.status;
   }
 
-  /** As an operator sends: to the next node after a failure, a 5xx or silence, until the answer is clear. */
-  async send(order: Order, addresses: readonly string[], withinMs = 20_000): Promise<number | null> {
+  /** Retries as an operator does: at the next node after a failure, a 5xx or a time-out, until the outcome is clear. */
+  async send(order: Order, addresses: readonly string[], timeoutMs = 20_000): Promise<number | null> {
     const { clock } = this.core;
-    const until = clock.now() + withinMs;
-    let pause = FIRST_PAUSE_MS;
-    for (let attempt = 0; clock.now() < until; attempt += 1) {
+    const deadline = clock.now() + timeoutMs;
+    let backoffMs = INITIAL_BACKOFF_MS;
+    for (let attempt = 0; clock.now() < deadline; attempt += 1) {
       const status = await this.call(addresses[attempt % addresses.length], order);
       if (status !== null && status < 500) return status;
-      await this.core.wait(pause * (0.5 + clock.random()));
-      pause = Math.min(MAX_PAUSE_MS, pause * 2);
+      await this.core.wait(backoffMs * (0.5 + clock.random()));
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
     return null;
   }
