--- a/src/admission/admission-decider.ts
+++ b/src/admission/admission-decider.ts
@@ -1,9 +1,9 @@
 /**
- * The decision at the door (design/admission 1, 11): a request is let in, moved to a runner that serves it in time,
- * or denied with a time to come back.
+ * The admission decision for a request (design/admission 1, 11): it is admitted at the chosen runner, admitted at
+ * another one that is predicted to serve it in time, or rejected with a time to retry after.
  *
- * Called once per request by the last policy of the router's chain, so it is on the hot path: on calm days exactly
- * one runner is looked at.
+ * Called once a request by the last policy of the router's chain, so it is on the hot path: without contention exactly
+ * one runner is examined.
  */
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as routePlan from "../routing/route-plan.js";
@@ -20,14 +20,14 @@
 import type * as admissionStats from "./admission-stats.js";
 import * as admissionDecision from "./admission-decision.js";
 
-/** The share of its spare time that a newcomer of rank 0, 1, 2 and on may wait (ours). */
+/** The fraction of its slack (the time to spare until its deadline) that a request of rank 0, 1, and 2 or more may wait (ours). */
 const SLACK_FRACTION_BY_RANK = [1, 0.5, 0.35] as const;
-/** A free place is of no use to a request that would take so many times the time it has left (ours). */
+/** A free slot is of no use to a request that is predicted to take more than this times its remaining time (ours). */
 const MAX_OVERRUN_FACTOR = 1.2;
-/** A prompt with at least so many unread tokens holds up the streams of its runner (ours). */
+/** The prefill of a prompt with at least this many uncached tokens delays the streams of its runner (ours). */
 const MIN_LONG_PREFILL_TOKENS = 1000;
 
-/** What the judge knows; the router's `Admission` is it. */
+/** What the decision is based on; implemented by `Admission`. */
 export interface Knowledge {
   readonly clock: types.Clock;
   readonly cellLeases: cellLeases.CellLeases;
@@ -35,13 +35,13 @@
   readonly slowdowns: runnerSlowdown.RunnerSlowdowns;
   readonly recentRejections: recentRejections.RecentRejections;
   readonly stats: admissionStats.AdmissionStats;
-  /** Learned timing of a service. */
+  /** The learned timing of a service. */
   serviceTimeOf(service: string): serviceTimeModel.ServiceTimeModel;
-  /** Admission of a route's requests by size. */
+  /** How often a route's requests were admitted, by size. */
   sizeClassesOf(route: string): sizeClasses.SizeClasses;
-  /** Tokens that the request takes at the runner. */
+  /** The tokens that the request takes at the runner. */
   demandOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): prediction.TokenDemand;
-  /** When it would be done there, with waits multiplied by `waitFactor`. */
+  /** When the request would be complete there, with waits multiplied by `waitFactor`. */
   predict(
     plan: routePlan.RoutePlan,
     runner: runnerEndpoint.RunnerEndpoint,
@@ -50,28 +50,29 @@
   ): prediction.Prediction;
 }
 
-/** What one request is judged by, whatever the runner. */
+/** What a request requires of any runner. */
 interface Criteria {
-  /** Milliseconds until its deadline. */
+  /** Milliseconds until the deadline. */
   readonly remainingMs: number;
-  /** Milliseconds within which its first event is to come; Infinity where no aim counts. */
+  /** Milliseconds until the first event is due; Infinity without a latency target. */
   readonly latencyTargetMs: number;
+  /** The fraction of the slack that may be spent waiting. */
   readonly slackFraction: number;
   /** What predicted waits are multiplied by. */
   readonly waitFactor: number;
-  /** Pauses of other streams do not hold it back: its size was admitted far too seldom. */
+  /** The gaps of other streams do not count, since requests of this size were admitted far too seldom. */
   readonly ignoresGaps: boolean;
 }
 
-/** What looking at the runners came to. */
+/** The result of examining the runners. */
 interface Survey {
-  /** The first that serves it in time and within its aim; the rest was not looked at. */
+  /** The first that meets all criteria; the runners after it were not examined. */
   best: runnerEndpoint.RunnerEndpoint | null;
-  /** The first that serves it by its deadline. */
+  /** The first that meets the deadline. */
   inTime: runnerEndpoint.RunnerEndpoint | null;
-  /** The first with a free place for it. */
+  /** The first with a free slot. */
   free: runnerEndpoint.RunnerEndpoint | null;
-  /** The earliest predicted end and first event over the runners that can take it at all; Infinity without one. */
+  /** The earliest predictions over the runners whose memory is large enough; Infinity without one. */
   minCompletionMs: number;
   minFirstEventMs: number;
 }
@@ -80,14 +81,20 @@
   return sizeClasses.sizeOf(plan.requestedTokens.prompt, plan.requestedTokens.maxOutput);
 }
 
-/** The decision for one request; it holds no state of its own. */
+/** Complete by the deadline, with no more of the slack spent waiting than the request may. */
+function isInTime(predicted: prediction.Prediction, criteria: Criteria): boolean {
+  return predicted.completionMs + predicted.delayMs * (1 / criteria.slackFraction - 1) <= criteria.remainingMs;
+}
+
+/** Decides on requests; has no state of its own. */
 export class AdmissionDecider {
   constructor(private readonly known: Knowledge) {}
 
   /**
-   * Null lets the request in; the first runner that serves it in time is put first. It is denied only when over half
-   * of the places of the allowed runners are taken and each of them is predicted to miss: its deadline; past the first
-   * rank also the aim of a newcomer, and the pauses of the streams there, were a long reading added (design/admission 11).
+   * Null admits the request, with the first runner that serves it in time moved to the front. A request is rejected
+   * only when at least half of the slots of the allowed runners are used and each runner is predicted to miss its
+   * deadline; for ranks after the first, also the latency target (of a request that was not rejected lately) or the
+   * allowed gaps of the streams there, were a long prefill added (design/admission 11).
    */
   decide(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const chosen = plan.candidates[0];
@@ -95,7 +102,7 @@
     return this.decideOverAll(plan);
   }
 
-  /** On calm days the runner policy's choice has a place free and is in time, and nothing else is looked at. */
+  /** Whether the runner policy's choice has a free slot and serves the request in time: no other runner is examined. */
   private isUncontendedAt(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): boolean {
     const predicted = this.known.predict(plan, runner, this.known.slowdowns.slowdownOf(runner.id, plan.now), 1);
     const latencyTargetMs = plan.entry.route.target_latency_ms ?? Infinity;
@@ -103,13 +110,13 @@
       predicted.hasFreeSlot &&
       !predicted.neverFits &&
       predicted.firstEventMs <= latencyTargetMs &&
-      this.mayAddPrompt(plan, runner) &&
+      this.mayAddPrefill(plan, runner) &&
       predicted.completionMs <= plan.deadline - plan.now
     );
   }
 
-  /** A long reading is not added where streams pause almost too long already. */
-  private mayAddPrompt(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): boolean {
+  /** A long prefill is not added where the gaps of the streams are near their limit. */
+  private mayAddPrefill(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): boolean {
     return (
       !this.known.interTokenGaps.isNearLimit(runner.id, plan.now) ||
       this.known.demandOf(plan, runner).prefillTokens < MIN_LONG_PREFILL_TOKENS
@@ -117,43 +124,40 @@
   }
 
   private decideOverAll(plan: routePlan.RoutePlan): routePlan.Rejection | null {
-    const unsuspected = plan.candidates.filter(isSure);
-    function isSure(runner: runnerEndpoint.RunnerEndpoint): boolean {
-      return !runner.isSuspect(plan.now);
-    }
+    const unsuspected = plan.candidates.filter((runner) => !runner.isSuspect(plan.now));
     if (unsuspected.length === 0) return null;
     const criteria = this.criteriaOf(plan);
-    const survey = this.survey(plan, unsuspected, criteria);
+    const survey = this.surveyRunners(plan, unsuspected, criteria);
     if (survey.best) return admissionDecision.admitAt(plan, survey.best);
-    // Every runner is too small for it: the chain goes on as before, and the runner itself says so.
+    // No runner's memory is large enough: the chain goes on, and the runner itself rejects the request.
     if (survey.minCompletionMs === Infinity) return null;
-    const room = this.known.cellLeases.capacityNow(unsuspected, plan.now);
-    // Nothing is denied while a place is free for it, but what cannot be done even without a wait.
-    if (plan.rank === 0 || cellCapacity.isUnderHalfUsed(room)) {
-      const taken = survey.inTime ?? survey.free;
-      if (taken) return admissionDecision.admitAt(plan, taken);
-      if (cellCapacity.isUnderHalfUsed(room)) return null;
+    const capacity = this.known.cellLeases.capacityNow(unsuspected, plan.now);
+    // While a slot is free, only a request that cannot be complete in time even without a wait is rejected.
+    if (plan.rank === 0 || cellCapacity.isUnderHalfUsed(capacity)) {
+      const runner = survey.inTime ?? survey.free;
+      if (runner) return admissionDecision.admitAt(plan, runner);
+      if (cellCapacity.isUnderHalfUsed(capacity)) return null;
     }
-    this.known.stats.recordUnusedCapacity(room);
-    return this.deny(plan, Math.max(survey.minCompletionMs - criteria.remainingMs, survey.minFirstEventMs - criteria.latencyTargetMs));
+    this.known.stats.recordUnusedCapacity(capacity);
+    return this.reject(plan, Math.max(survey.minCompletionMs - criteria.remainingMs, survey.minFirstEventMs - criteria.latencyTargetMs));
   }
 
   private criteriaOf(plan: routePlan.RoutePlan): Criteria {
     const { route } = plan.entry;
     const rank = plan.rank;
-    const hasLatencyTarget = rank !== 0 && !this.isReturning(plan);
+    const hasLatencyTarget = rank !== 0 && !this.wasRejectedLately(plan);
     return {
       remainingMs: plan.deadline - plan.now,
       latencyTargetMs: hasLatencyTarget ? (route.target_latency_ms ?? Infinity) : Infinity,
       slackFraction: this.slackFractionOf(plan),
       waitFactor: this.known.serviceTimeOf(plan.service).waitFactor(rank, plan.now),
-      // What holds long readings back may not starve the large ones of a kind.
+      // The limit on gaps delays long prefills; it must not starve the large requests of a route.
       ignoresGaps: this.known.sizeClassesOf(route.name).isStarved(sizeOf(plan)),
     };
   }
 
-  /** Looks at the runners in the order of the plan, up to the first that serves the request as it should be. */
-  private survey(plan: routePlan.RoutePlan, runners: readonly runnerEndpoint.RunnerEndpoint[], criteria: Criteria): Survey {
+  /** Examines the runners in the order of the plan, up to the first that meets all criteria. */
+  private surveyRunners(plan: routePlan.RoutePlan, runners: readonly runnerEndpoint.RunnerEndpoint[], criteria: Criteria): Survey {
     const found: Survey = { best: null, inTime: null, free: null, minCompletionMs: Infinity, minFirstEventMs: Infinity };
     for (const runner of runners) {
       const predicted = this.known.predict(plan, runner, this.known.slowdowns.slowdownOf(runner.id, plan.now), criteria.waitFactor);
@@ -161,7 +165,7 @@
       found.minCompletionMs = Math.min(found.minCompletionMs, predicted.completionMs);
       found.minFirstEventMs = Math.min(found.minFirstEventMs, predicted.firstEventMs);
       if (isInTime(predicted, criteria)) {
-        if (predicted.firstEventMs <= criteria.latencyTargetMs && (criteria.ignoresGaps || this.mayAddPrompt(plan, runner))) {
+        if (predicted.firstEventMs <= criteria.latencyTargetMs && (criteria.ignoresGaps || this.mayAddPrefill(plan, runner))) {
           found.best = runner;
           return found;
         }
@@ -177,21 +181,21 @@
     return found;
   }
 
-  private isReturning(plan: routePlan.RoutePlan): boolean {
+  private wasRejectedLately(plan: routePlan.RoutePlan): boolean {
     return this.known.recentRejections.count(plan.retryKey, plan.now) > 0;
   }
 
   /**
-   * The share of its spare time that a request may wait. The lesser ranks may wait less, so that the queue stays
-   * short enough for who came back, and for sizes served less often, with what time is left to them.
+   * The fraction of its slack that a request may wait. Less urgent ranks may wait less, so that the queues stay short
+   * enough for requests that were rejected before and for sizes that are admitted less often.
    */
   private slackFractionOf(plan: routePlan.RoutePlan): number {
     const isHeldBack = this.known.sizeClassesOf(plan.entry.route.name).isHeldBack(sizeOf(plan));
-    const share = SLACK_FRACTION_BY_RANK[Math.min(SLACK_FRACTION_BY_RANK.length - 1, plan.rank)];
-    return this.isReturning(plan) || isHeldBack ? Math.sqrt(share) : share;
+    const fraction = SLACK_FRACTION_BY_RANK[Math.min(SLACK_FRACTION_BY_RANK.length - 1, plan.rank)];
+    return this.wasRejectedLately(plan) || isHeldBack ? Math.sqrt(fraction) : fraction;
   }
 
-  private deny(plan: routePlan.RoutePlan, excessMs: number): routePlan.Rejection {
+  private reject(plan: routePlan.RoutePlan, excessMs: number): routePlan.Rejection {
     this.known.recentRejections.record(plan.retryKey, plan.now);
     this.known.sizeClassesOf(plan.entry.route.name).record(sizeOf(plan), false);
     log.count("admission.denied");
@@ -199,8 +203,3 @@
     return admissionDecision.reject(plan, excessMs, this.known.clock.random());
   }
 }
-
-/** Done by the deadline, with no more of the spare time waited away than the request may. */
-function isInTime(predicted: prediction.Prediction, criteria: Criteria): boolean {
-  return predicted.completionMs + predicted.delayMs * (1 / criteria.slackFraction - 1) <= criteria.remainingMs;
-}
--- a/src/admission/admission-status.ts
+++ b/src/admission/admission-status.ts
@@ -5,19 +5,19 @@
 import type * as serviceTimeModel from "./service-time-model.js";
 import type * as typicalRequest from "./typical-request.js";
 
-/** The ranks that pace is learned for; ranks above the last count as the last. */
+/** The ranks that waits are learned for; ranks above the last count as the last. */
 const RANKS = [0, 1, 2] as const;
 
-/** What the figures are taken from; built by `Admission.status`. */
+/** What the status is made from; built by `Admission.status`. */
 export interface Sources {
   /** Milliseconds of the steady clock. */
   readonly now: number;
   readonly isOn: boolean;
-  /** Tokens of prompts read a millisecond. */
+  /** Speed of prefill in tokens a millisecond. */
   readonly rate: number;
-  /** How late the router's own loop runs, in milliseconds. */
+  /** Lag of the router's event loop, in milliseconds. */
   readonly lagMs: number;
-  /** Requests remembered as denied lately. */
+  /** Requests recorded as rejected lately. */
   readonly returners: number;
   readonly tally: unknown;
   readonly cells: unknown;
@@ -40,29 +40,29 @@
 }
 
 function servicesOf({ services, now }: Sources): unknown[] {
-  const made: unknown[] = [];
-  for (const [name, pace] of services) {
+  const rows: unknown[] = [];
+  for (const [name, serviceTime] of services) {
     const errors: unknown[] = [];
-    for (const rank of RANKS) errors.push(errorOf(pace, rank, now));
-    made.push({ name, heldMs: pace.occupancyMs(true), errors });
+    for (const rank of RANKS) errors.push(waitErrorsOf(serviceTime, rank, now));
+    rows.push({ name, heldMs: serviceTime.occupancyMs(true), errors });
   }
-  return made;
+  return rows;
 }
 
-function errorOf(pace: serviceTimeModel.ServiceTimeModel, rank: number, now: number): unknown {
-  const error = pace.waitErrorOf(rank);
+function waitErrorsOf(serviceTime: serviceTimeModel.ServiceTimeModel, rank: number, now: number): unknown {
+  const error = serviceTime.waitErrorOf(rank);
   return {
     rank,
     replies: error.count,
     p50: error.percentile(50, 1),
     p90: error.percentile(90, 1),
     p99: error.percentile(99, 1),
-    margin: pace.waitFactor(rank, now),
+    margin: serviceTime.waitFactor(rank, now),
   };
 }
 
 function kindsOf(routes: Iterable<[string, typicalRequest.TypicalRequest]>): unknown[] {
-  const made: unknown[] = [];
-  for (const [route, typical] of routes) made.push({ route, service: typical.service, ...typical.status() });
-  return made;
+  const rows: unknown[] = [];
+  for (const [route, request] of routes) rows.push({ route, service: request.service, ...request.status() });
+  return rows;
 }
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,9 +1,9 @@
 /**
- * Fleet-wide admission at one router: it judges a request against all allowed runners, and learns from what became of
- * those it let in (design/admission).
+ * Fleet-wide admission control at one router: each request is decided on against all allowed runners, by models that
+ * are learned from the outcomes of admitted requests (design/admission).
  *
- * This class owns the state; `judge.ts` decides, `predict.ts` computes, `ticket.ts` feeds back what each response
- * showed. Made once per router by the chooser. Nothing here waits or does I/O, and no call throws.
+ * This class owns the state: `admission-decider.ts` decides, `prediction.ts` computes, `attempt-observer.ts` records
+ * what each response shows. Created once a router by the chooser. Nothing here waits or does I/O, and no call throws.
  */
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as routePlan from "../routing/route-plan.js";
@@ -27,58 +27,55 @@
 import * as attemptObserver from "./attempt-observer.js";
 import * as typicalRequest from "./typical-request.js";
 
-/** Services and routes whose learned figures are held; the least recently used make room. */
+/** Services and routes that models are kept for; the least recently used are evicted. */
 const MAX_SERVICES = 64;
 const MAX_ROUTES = 256;
-/** What is left of a measured lag after the next measurement. */
+/** The factor that a measured lag decays by with each further measurement. */
 const LAG_DECAY = 0.5;
 
-/** What admission reads of the router around it. */
+/** What admission needs to know from the router. */
 export interface Dependencies {
   /** The runners of a region. */
   readonly runners: (region: string) => Iterable<runnerEndpoint.RunnerEndpoint>;
-  /** Which prompts the runners hold, what they are reading, and how fast they read. */
+  /** Which prompts the runners have cached, their prefill backlog, and the speed of prefill. */
   readonly prefill: prefillTracker.PrefillTracker;
-  /** Routers of the fleet, this one included; 1 at least. */
+  /** Routers of the fleet, including this one; at least 1. */
   readonly routerCount: () => number;
 }
 
-/** What a prediction at one runner is made from. */
+/** The input of a prediction at one runner. */
 interface PredictionInput {
-  place: cellCapacity.SlotUsage;
-  need: prediction.TokenDemand;
+  usage: cellCapacity.SlotUsage;
+  demand: prediction.TokenDemand;
   slow: runnerSlowdown.Slowdown;
   waitFactor: number;
 }
 
-function newPace(): serviceTimeModel.ServiceTimeModel {
-  return new serviceTimeModel.ServiceTimeModel();
-}
-
-function newSizes(): sizeClasses.SizeClasses {
-  return new sizeClasses.SizeClasses();
-}
-
-function newTypicalRequest(): typicalRequest.TypicalRequest {
-  return new typicalRequest.TypicalRequest();
-}
-
-/** The admission of one router; all methods are called from its event loop. */
+/** The admission control of one router; all methods are called from its event loop. */
 export class Admission implements attemptObserver.LearnedModels, admissionDecider.Knowledge {
-  /** False lets every request in; learning goes on. Follows the setting `admission`. */
+  /** False admits every request; the models still learn. Follows the setting `admission`. */
   isOn = true;
   readonly cellLeases: cellLeases.CellLeases;
   readonly interTokenGaps = new interTokenGaps.InterTokenGaps();
   readonly slowdowns = new runnerSlowdown.RunnerSlowdowns();
   readonly recentRejections = new recentRejections.RecentRejections();
   readonly stats: admissionStats.AdmissionStats;
-  private readonly paceByService = new lruTable.LruTable<string, serviceTimeModel.ServiceTimeModel>(MAX_SERVICES, newPace);
-  private readonly sizesByRoute = new lruTable.LruTable<string, sizeClasses.SizeClasses>(MAX_ROUTES, newSizes);
-  private readonly typicalByRoute = new lruTable.LruTable<string, typicalRequest.TypicalRequest>(MAX_ROUTES, newTypicalRequest);
-  /** How late this router's own loop ran lately, in milliseconds. */
+  private readonly serviceTimeByService = new lruTable.LruTable<string, serviceTimeModel.ServiceTimeModel>(
+    MAX_SERVICES,
+    () => new serviceTimeModel.ServiceTimeModel(),
+  );
+  private readonly sizeClassesByRoute = new lruTable.LruTable<string, sizeClasses.SizeClasses>(
+    MAX_ROUTES,
+    () => new sizeClasses.SizeClasses(),
+  );
+  private readonly typicalRequestByRoute = new lruTable.LruTable<string, typicalRequest.TypicalRequest>(
+    MAX_ROUTES,
+    () => new typicalRequest.TypicalRequest(),
+  );
+  /** Recent lag of this router's event loop, in milliseconds. */
   lagMs = 0;
   private lastTimerAt = -1;
-  private readonly doorJudge = new admissionDecider.AdmissionDecider(this);
+  private readonly decider = new admissionDecider.AdmissionDecider(this);
 
   constructor(
     readonly clock: types.Clock,
@@ -88,19 +85,19 @@
     this.stats = new admissionStats.AdmissionStats(clock);
   }
 
-  /** Takes the runner reports of one region; called after the fleet has taken the same. */
+  /** Applies the load reports of one region; called after the fleet has applied the same. */
   applyReport(report: schema.CellReport): void {
     this.cellLeases.applyReport(report, this.dependencies.runners(report.region), this.dependencies.routerCount());
   }
 
-  /** Drops what is known of runners that are no longer listed; called with each new list. */
+  /** Drops the state of runners that are no longer listed; called with each new list. */
   retainOnly(listed: { has(id: string): boolean }): void {
     this.slowdowns.retainOnly(listed);
     this.interTokenGaps.retainOnly(listed);
     this.cellLeases.retainOnly(listed);
   }
 
-  /** Called by the router's timer every `everyMs` milliseconds: what comes later than that is this router's own lag. */
+  /** Called by the router's timer every `everyMs` milliseconds; any delay beyond that is lag of the event loop. */
   runPeriodically(everyMs: number): void {
     const now = this.clock.now();
     if (this.lastTimerAt >= 0) this.recordLag(Math.max(0, now - this.lastTimerAt - everyMs));
@@ -108,57 +105,57 @@
     this.stats.detectRecovery();
   }
 
-  /** A measured lag in milliseconds: up at once, halved with each smaller one. */
+  /** Records a measured lag in milliseconds: rises at once, halves with each smaller one. */
   recordLag(ms: number): void {
     this.lagMs = Math.max(ms, this.lagMs * LAG_DECAY);
   }
 
-  /** The learned timing of a service; empty, which admits all, until responses taught it. */
+  /** The learned timing of a service; admits all requests until responses were observed. */
   serviceTimeOf(service: string): serviceTimeModel.ServiceTimeModel {
-    return this.paceByService.getOrCreate(service);
+    return this.serviceTimeByService.getOrCreate(service);
   }
 
   /** What a request of a route usually takes. */
   typicalRequestOf(route: string): typicalRequest.TypicalRequest {
-    return this.typicalByRoute.getOrCreate(route);
+    return this.typicalRequestByRoute.getOrCreate(route);
   }
 
   /** How often requests of a route were admitted, by size. */
   sizeClassesOf(route: string): sizeClasses.SizeClasses {
-    return this.sizesByRoute.getOrCreate(route);
+    return this.sizeClassesByRoute.getOrCreate(route);
   }
 
-  /** What the request would take at this runner: tokens to read, to produce, and to hold. */
+  /** The tokens that the request would take at this runner: uncached prompt, output, and both together. */
   demandOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): prediction.TokenDemand {
-    const { prompt, maxOutput: mostOut } = plan.requestedTokens;
+    const { prompt, maxOutput } = plan.requestedTokens;
     return {
       prefillTokens: plan.parts.length > 0 ? this.dependencies.prefill.uncachedTokens(runner.id, plan.parts, plan.prefixKeys) : 0,
-      outputTokens: mostOut,
-      totalTokens: prompt + mostOut,
+      outputTokens: maxOutput,
+      totalTokens: prompt + maxOutput,
     };
   }
 
-  /** When the request would be done at this runner, with waits multiplied by `waitFactor`. */
+  /** When the request would be complete at this runner, with waits multiplied by `waitFactor`. */
   predict(
     plan: routePlan.RoutePlan,
     runner: runnerEndpoint.RunnerEndpoint,
     slow: runnerSlowdown.Slowdown,
     waitFactor: number,
   ): prediction.Prediction {
-    return this.predictAt(plan, runner, { place: this.placeOf(plan, runner), need: this.demandOf(plan, runner), slow, waitFactor });
+    return this.predictAt(plan, runner, { usage: this.slotUsageOf(plan, runner), demand: this.demandOf(plan, runner), slow, waitFactor });
   }
 
-  private placeOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): cellCapacity.SlotUsage {
+  private slotUsageOf(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): cellCapacity.SlotUsage {
     return this.cellLeases.slotUsageOf(this.dependencies.prefill.backlogMs(runner.id, plan.now), runner);
   }
 
   private predictAt(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint, input: PredictionInput): prediction.Prediction {
-    const pace = this.serviceTimeOf(plan.service);
-    const { place, need, slow, waitFactor } = input;
-    return prediction.predict(place, need, {
+    const serviceTime = this.serviceTimeOf(plan.service);
+    const { usage, demand, slow, waitFactor } = input;
+    return prediction.predict(usage, demand, {
       prefillTokensPerMs: this.dependencies.prefill.tokensPerMs,
-      occupancyMs: pace.occupancyMs(plan.requestedTokens.maxOutput > 0),
-      tokenMs: pace.tokenMs((place.used + 1) / Math.max(1, place.capacity)),
+      occupancyMs: serviceTime.occupancyMs(plan.requestedTokens.maxOutput > 0),
+      tokenMs: serviceTime.tokenMs((usage.used + 1) / Math.max(1, usage.capacity)),
       waitFactor,
       slowdown: slow,
       fullForMs: Math.max(0, runner.fullUntil - plan.now),
@@ -166,22 +163,22 @@
     });
   }
 
-  /** Called once per request, after the other policies: null lets it in, see `Judge.judge`. */
+  /** Called once a request, after the other policies; null admits it, see `AdmissionDecider.decide`. */
   decide(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     if (plan.isBatch) return batchAdmission.decideBatchItem(this, plan);
-    return this.isOn ? this.doorJudge.decide(plan) : null;
+    return this.isOn ? this.decider.decide(plan) : null;
   }
 
   /**
-   * The request goes to this runner: its part of the room is spent, and the ticket returned must be ended exactly
-   * once by whoever follows the response.
+   * The request is sent to this runner: it takes a slot of the cell's lease. The caller has to call `recordEnd` of the
+   * observer returned when the attempt ends.
    */
   recordSend(plan: routePlan.RoutePlan, runner: runnerEndpoint.RunnerEndpoint): attemptObserver.AttemptObserver {
     if (plan.attemptedRunners.size === 0) this.recordAdmitted(plan);
-    const need = this.demandOf(plan, runner);
-    const ticket = new attemptObserver.AttemptObserver(this, this.sentRequestOf(plan, runner, need));
-    this.cellLeases.spend(runner, need.prefillTokens + need.outputTokens);
-    return ticket;
+    const demand = this.demandOf(plan, runner);
+    const observer = new attemptObserver.AttemptObserver(this, this.describeAttempt(plan, runner, demand));
+    this.cellLeases.spend(runner, demand.prefillTokens + demand.outputTokens);
+    return observer;
   }
 
   private recordAdmitted(plan: routePlan.RoutePlan): void {
@@ -190,27 +187,27 @@
     this.sizeClassesOf(plan.entry.route.name).record(sizeClasses.sizeOf(plan.requestedTokens.prompt, plan.requestedTokens.maxOutput), true);
   }
 
-  private sentRequestOf(
+  private describeAttempt(
     plan: routePlan.RoutePlan,
     runner: runnerEndpoint.RunnerEndpoint,
-    need: prediction.TokenDemand,
+    demand: prediction.TokenDemand,
   ): attemptObserver.SentAttempt {
     const { route } = plan.entry;
     const { rank } = plan;
-    const pace = this.serviceTimeOf(plan.service);
-    const waitFactor = pace.typicalWaitFactor(rank);
-    const safeWaitFactor = Math.max(waitFactor, pace.waitFactor(rank, plan.now));
-    const place = this.placeOf(plan, runner);
+    const serviceTime = this.serviceTimeOf(plan.service);
+    const waitFactor = serviceTime.typicalWaitFactor(rank);
+    const conservativeWaitFactor = Math.max(waitFactor, serviceTime.waitFactor(rank, plan.now));
+    const usage = this.slotUsageOf(plan, runner);
     const slow = runnerSlowdown.NO_SLOWDOWN;
     return {
       runner,
-      demand: need,
+      demand,
       service: plan.service,
       route: route.name,
       sentAt: plan.now,
-      nominal: this.predictAt(plan, runner, { place, need, slow, waitFactor }),
+      nominal: this.predictAt(plan, runner, { usage, demand, slow, waitFactor }),
       waitFactor,
-      conservativeFirstEventMs: this.predictAt(plan, runner, { place, need, slow, waitFactor: safeWaitFactor }).firstEventMs,
+      conservativeFirstEventMs: this.predictAt(plan, runner, { usage, demand, slow, waitFactor: conservativeWaitFactor }).firstEventMs,
       fullness: runner.requestCount() / Math.max(1, runner.instance.capacity),
       rank,
       deadline: plan.deadline,
@@ -228,8 +225,8 @@
       returners: this.recentRejections.size,
       tally: this.stats.status(),
       cells: this.cellLeases.status(),
-      services: this.paceByService.entries(),
-      routes: this.typicalByRoute.entries(),
+      services: this.serviceTimeByService.entries(),
+      routes: this.typicalRequestByRoute.entries(),
     });
   }
 }
--- a/src/admission/inter-token-gaps.ts
+++ b/src/admission/inter-token-gaps.ts
@@ -1,39 +1,40 @@
 /**
- * Pauses between the events of this router's streams, by runner, over what their routes allow (design/admission 12).
+ * Gaps between the events of this router's streams, by runner, relative to the gap that their routes allow
+ * (design/admission 12).
  *
- * Long readings hold up every stream of their runner: where its streams pause almost too long, none is added.
+ * A long prefill delays every stream of its runner: where gaps are near their limit, none is added.
  */
 import type * as types from "../wire/types.js";
 
-/** What was seen counts half after so long (ours). */
+/** Half-life of an observed gap (ours). */
 const HALF_LIFE_MS = 500;
-/** From this part of the allowed pause on, a runner takes no further long reading from a newcomer (ours). */
-const PRESSED_SHARE = 0.45;
+/** From this fraction of the allowed gap on, no long prefill is added to a runner (ours). */
+const NEAR_LIMIT_FRACTION = 0.45;
 
-interface RecentPause {
-  share: number;
+interface RecentGap {
+  fraction: number;
   at: number;
 }
 
-/** The longest recent pause of each runner, as a share of the pause allowed; it decays by half-lives. */
+/** The longest recent gap of each runner, as a fraction of the gap allowed; decays exponentially. */
 export class InterTokenGaps {
-  private readonly byRunner = new Map<types.RunnerId, RecentPause>();
+  private readonly byRunner = new Map<types.RunnerId, RecentGap>();
 
-  /** A pause of so much of the one allowed has just ended there. */
-  recordGap(runner: types.RunnerId, share: number, now: number): void {
-    const seen = this.byRunner.get(runner);
-    if (!seen) this.byRunner.set(runner, { share, at: now });
-    else if (share >= this.shareAt(runner, now)) Object.assign(seen, { share, at: now });
+  /** Records a gap that has just ended, as a fraction of the gap allowed. */
+  recordGap(runner: types.RunnerId, fraction: number, now: number): void {
+    const recent = this.byRunner.get(runner);
+    if (!recent) this.byRunner.set(runner, { fraction, at: now });
+    else if (fraction >= this.fractionAt(runner, now)) Object.assign(recent, { fraction, at: now });
   }
 
-  private shareAt(runner: types.RunnerId, now: number): number {
-    const seen = this.byRunner.get(runner);
-    return seen ? seen.share * 0.5 ** ((now - seen.at) / HALF_LIFE_MS) : 0;
+  private fractionAt(runner: types.RunnerId, now: number): number {
+    const recent = this.byRunner.get(runner);
+    return recent ? recent.fraction * 0.5 ** ((now - recent.at) / HALF_LIFE_MS) : 0;
   }
 
-  /** Whether streams there pause too long for another long prompt. */
+  /** Whether the gaps of the runner's streams are too long for another long prefill. */
   isNearLimit(runner: types.RunnerId, now: number): boolean {
-    return this.shareAt(runner, now) >= PRESSED_SHARE;
+    return this.fractionAt(runner, now) >= NEAR_LIMIT_FRACTION;
   }
 
   /** Drops runners that are not listed. */
--- a/src/admission/lru-table.ts
+++ b/src/admission/lru-table.ts
@@ -1,6 +1,6 @@
-/** A bounded table in memory: the least recently used entry makes room for a new one. */
+/** A bounded table in memory that evicts its least recently used entry. */
 
-/** At most `capacity` entries; made on first use, forgotten when unused for longest. */
+/** At most `capacity` entries, each created on first use. */
 export class LruTable<K, V> {
   private readonly items = new Map<K, V>();
   constructor(
--- a/src/admission/recent-rejections.ts
+++ b/src/admission/recent-rejections.ts
@@ -1,4 +1,4 @@
-/** Requests denied a moment ago find a better chance on the way back (design/admission 5). Bounded, in memory. */
+/** Requests rejected lately, which have a better chance when they are retried (design/admission 5). Bounded, in memory. */
 import * as textHash from "../limits/text-hash.js";
 
 const RETENTION_MS = 10_000;
@@ -11,24 +11,27 @@
   at: number;
 }
 
-/** The same for each try of one request, whatever its id: its whole prompt, else the head of its body. */
+/**
+ * A key that is the same for each attempt of one request, whatever its id: the hash of its complete prompt, else of the
+ * head of its body; 0 where there is neither.
+ */
 export function requestKey(route: string, keys: readonly number[], body: Buffer | null): number {
   const last = keys[keys.length - 1];
   if (last !== undefined) return last;
   return body ? textHash.hashText(`${route}|${body.toString("latin1", 0, BODY_BYTES)}`) : 0;
 }
 
-/** How often requests were denied lately, by their key. At most 4,096 keys, for 10 s each. */
+/** How often requests were rejected lately, by their key. At most 4,096 keys, for 10 s each. */
 export class RecentRejections {
   private readonly byKey = new Map<number, RejectionRecord>();
 
-  /** How often it was denied lately; 0 where the key says nothing. */
+  /** How often the request was rejected lately; 0 for key 0. */
   count(key: number, now: number): number {
     const found = this.byKey.get(key);
     return found && key !== 0 && now - found.at <= RETENTION_MS ? found.times : 0;
   }
 
-  /** It was denied now; key 0 is not recorded. */
+  /** The request was rejected now; key 0 is not recorded. */
   record(key: number, now: number): void {
     if (key === 0) return;
     const count = Math.min(MAX_COUNT, this.count(key, now) + 1);
@@ -40,12 +43,12 @@
     }
   }
 
-  /** It was admitted: the next of this key is a newcomer again. */
+  /** The request was admitted: its rejections no longer count. */
   forget(key: number): void {
     this.byKey.delete(key);
   }
 
-  /** Keys held now. */
+  /** Keys recorded now. */
   get size(): number {
     return this.byKey.size;
   }
--- a/src/admission/runner-slowdown.ts
+++ b/src/admission/runner-slowdown.ts
@@ -1,40 +1,40 @@
 /**
- * How much slower a runner is than predicted: up at once, down slowly (design/admission 3). What is still without a
+ * How much slower a runner is than predicted: rises fast, decays slowly (design/admission 3). A request without a
  * response counts as soon as it is overdue.
  */
 import type * as types from "../wire/types.js";
 
 const RISE_WEIGHT = 0.7;
 const DECAY_WEIGHT = 0.15;
-/** A runner counts as no slower than this. */
+/** Upper bound of a slowdown. */
 const MAX_RATIO = 8;
-/** Times under this are noise of the way, not of the runner (ours). */
+/** Added to both times: differences of this size are noise of the network, not of the runner (ours). */
 const NOISE_MS = 100;
 
 /** A request at a runner; compared by identity. */
 export interface PendingRequest {
   /** Milliseconds of the steady clock. */
   readonly sentAt: number;
-  /** Until its first event, were the runner as quick as the others. */
+  /** Predicted milliseconds until its first event, without a slowdown. */
   readonly predictedMs: number;
 }
 
-/** Times seen over times predicted, never under 1: until the first event, and from there to the end. */
+/** Observed over predicted times, at least 1: until the first event, and from there to the end of the stream. */
 export interface Slowdown {
   readonly first: number;
   readonly stream: number;
 }
 
-/** As quick as predicted. */
+/** As fast as predicted. */
 export const NO_SLOWDOWN: Slowdown = { first: 1, stream: 1 };
-/** A first event that came a little late says nothing of the events after it (ours). */
-const CLEARLY_SLOW = 2;
-/** Streams differ by so much among runners of one speed, by who joins their batch on the way (ours). */
+/** From this slowdown of first events on, the events after them are expected to be as slow (ours). */
+const MIN_SPREADING_SLOWDOWN = 2;
+/** Streams differ by up to this among runners of one speed, by the requests that join their batch (ours). */
 const STREAM_TOLERANCE = 1.3;
 
-/** Up at once, down slowly, and never quicker than predicted. */
-function smoothed(factor: number, seen: number): number {
-  return Math.max(1, factor + (seen > factor ? RISE_WEIGHT : DECAY_WEIGHT) * (seen - factor));
+/** An exponential moving average that rises faster than it decays, and is at least 1. */
+function smooth(average: number, observed: number): number {
+  return Math.max(1, average + (observed > average ? RISE_WEIGHT : DECAY_WEIGHT) * (observed - average));
 }
 
 class RunnerRecord {
@@ -43,8 +43,8 @@
   readonly pending = new Set<PendingRequest>();
 }
 
-function ratio(seenMs: number, predictedMs: number): number {
-  return Math.min(MAX_RATIO, (seenMs + NOISE_MS) / (predictedMs + NOISE_MS));
+function ratio(observedMs: number, predictedMs: number): number {
+  return Math.min(MAX_RATIO, (observedMs + NOISE_MS) / (predictedMs + NOISE_MS));
 }
 
 /** Slowdowns of all runners that this router has sent to. */
@@ -65,27 +65,27 @@
     for (const id of this.runners.keys()) if (!listed.has(id)) this.runners.delete(id);
   }
 
-  /** It is on its way; responseStarted or requestDropped must follow. */
+  /** A request was sent; `responseStarted` or `requestDropped` has to follow. */
   requestSent(runner: types.RunnerId, request: PendingRequest): void {
     this.recordOf(runner).pending.add(request);
   }
 
-  /** The first event or the whole reply is here; predictions were made with slowness 1. */
+  /** The first event or the complete response has arrived. */
   responseStarted(runner: types.RunnerId, request: PendingRequest, now: number): void {
     const record = this.recordOf(runner);
     if (!record.pending.delete(request)) return;
-    record.first = smoothed(record.first, ratio(now - request.sentAt, request.predictedMs));
+    record.first = smooth(record.first, ratio(now - request.sentAt, request.predictedMs));
   }
 
-  /** Ended without a reply: it says nothing of its pace. */
+  /** The request ended without a response, which says nothing about the runner's speed. */
   requestDropped(runner: types.RunnerId, request: PendingRequest): void {
     this.recordOf(runner).pending.delete(request);
   }
 
-  /** A whole stream is here; the pace was predicted by the fullness of its batch. */
-  streamEnded(runner: types.RunnerId, seenMs: number, predictedMs: number): void {
+  /** A stream has ended; its time was predicted by the fullness of the runner's batch. */
+  streamEnded(runner: types.RunnerId, observedMs: number, predictedMs: number): void {
     const record = this.recordOf(runner);
-    if (predictedMs > 0) record.stream = smoothed(record.stream, ratio(seenMs, predictedMs));
+    if (predictedMs > 0) record.stream = smooth(record.stream, ratio(observedMs, predictedMs));
   }
 
   /** The slowdown of a runner now, overdue requests included. */
@@ -98,6 +98,6 @@
       break;
     }
     const stream = record.stream >= STREAM_TOLERANCE ? record.stream : 1;
-    return { first, stream: first >= CLEARLY_SLOW ? Math.max(first, stream) : stream };
+    return { first, stream: first >= MIN_SPREADING_SLOWDOWN ? Math.max(first, stream) : stream };
   }
 }
--- a/src/admission/service-time-model.ts
+++ b/src/admission/service-time-model.ts
@@ -1,6 +1,7 @@
 /**
- * What the responses of one service teach: time per requested token by fullness of the batch, how long a place is
- * held, and how far predicted waits were off (design/admission 3). Nothing is known at first, which admits all.
+ * The timing of one service, learned from its responses: time per requested token by fullness of the runner's batch,
+ * occupancy of a slot, and the errors of predicted waits (design/admission 3). Initially everything is 0, which admits
+ * all requests.
  */
 import * as histograms from "./histogram.js";
 
@@ -11,31 +12,37 @@
 /** Steps of the histograms: microseconds for token times, hundredths for ratios. */
 const TOKEN_TIME_SCALE = 1000;
 const RATIO_SCALE = 100;
-/** Beyond these an error says that the model does not hold, not that all must be denied or let in. */
+/** A predicted wait is taken as it is. */
 const NEUTRAL_FACTOR = 1;
-/** Before anything waited, by rank: the less urgent will be overtaken (ours). */
+/** Wait factors by rank until waits were observed: less urgent requests will be overtaken (ours). */
 const INITIAL_WAIT_FACTORS = [1, 1.25, 1.5] as const;
+/** Wait factors are clamped: an error beyond these shows that the model does not apply. */
 const MIN_WAIT_FACTOR = 0.05;
 const MAX_WAIT_FACTOR = 20;
-/** Shorter waits teach nothing of waits. */
+/** Shorter predicted waits are not recorded. */
 export const MIN_WAIT_MS = 50;
-/** So many waiting requests have to be overdue together (ours). */
+/** This many waiting requests have to be overdue together (ours). */
 const MIN_OVERDUE_REQUESTS = 3;
-/** Fewer waits than these say nothing of waits. */
+/** Waits that have to be recorded before their errors are used. */
 const MIN_RECORDS = 20;
-/** One too late weighs as much as so many in time: caution settles where one in a hundred is too late (ours). */
-const MORE_CAUTION = 1.1;
-const LESS_CAUTION = 0.999;
+/** Caution rises with each missed deadline and falls with each one met: in balance, one in a hundred is missed (ours). */
+const CAUTION_RISE = 1.1;
+const CAUTION_DECAY = 0.999;
 const MAX_CAUTION = 4;
 const WAIT_PERCENTILES = [75, 90, 95] as const;
 
-function stepOf(fullness: number): number {
+function fullnessStep(fullness: number): number {
   return Math.min(FULLNESS_STEPS - 1, Math.max(0, Math.floor(fullness * (FULLNESS_STEPS - 1))));
 }
 
-/** A request that was predicted to wait, and has not had its first event yet. */
+/** Ranks from 2 on are one class. */
+function rankClassOf(rank: number): number {
+  return Math.min(WAIT_PERCENTILES.length - 1, Math.max(0, Math.floor(rank)));
+}
+
+/** A request that was predicted to wait and has had no first event yet. */
 export interface PendingWait {
-  /** When it would have begun to be worked on, had it not waited. */
+  /** When its processing would have started without a wait. */
   readonly since: number;
   /** The predicted wait. */
   readonly waitMs: number;
@@ -43,83 +50,85 @@
 
 /** Learned timing of one service at one router. All times are milliseconds. */
 export class ServiceTimeModel {
-  private readonly perTokenByFullness: (histograms.Histogram | null)[] = Array.from({ length: FULLNESS_STEPS }, none);
-  private readonly holdTimes = new histograms.Histogram(1);
-  /** Wait seen / wait predicted, by rank: runners let the more urgent in first. */
-  private readonly waitErrors = WAIT_PERCENTILES.map(newHistogram);
-
-  private readonly caution = WAIT_PERCENTILES.map(one);
-
-  /** Those that still wait, by rank, the longest waiting first. */
-  readonly pendingWaits = WAIT_PERCENTILES.map(newSet);
+  private readonly perTokenByFullness: (histograms.Histogram | null)[] = Array.from({ length: FULLNESS_STEPS }, () => null);
+  private readonly occupancyTimes = new histograms.Histogram(1);
+  /** Observed over predicted waits, by rank class: runners process more urgent requests first. */
+  private readonly waitErrors = WAIT_PERCENTILES.map(() => new histograms.Histogram(RATIO_SCALE));
+  /** What wait factors are multiplied by, by rank class; rises with missed deadlines. */
+  private readonly caution = WAIT_PERCENTILES.map(() => 1);
+  private readonly pendingWaits = WAIT_PERCENTILES.map(() => new Set<PendingWait>());
 
   /** The requests of this rank that still wait, the longest waiting first. */
   pendingWaitsOf(rank: number): Set<PendingWait> {
     return this.pendingWaits[rankClassOf(rank)];
   }
 
-  /** What the longest waiting have waited already, over what was predicted: all of them, so that one silent runner is no proof. */
+  /**
+   * Elapsed over predicted wait of the requests that wait longest, the least of several, so that one unresponsive
+   * runner is no evidence.
+   */
   private overdueFactor(rank: number, now: number): number {
-    let least = Infinity;
-    let seen = 0;
+    let minRatio = Infinity;
+    let count = 0;
     for (const { since, waitMs } of this.pendingWaitsOf(rank)) {
-      least = Math.min(least, (now - since) / waitMs);
-      seen += 1;
-      if (seen === MIN_OVERDUE_REQUESTS) return Math.min(MAX_WAIT_FACTOR, least);
+      minRatio = Math.min(minRatio, (now - since) / waitMs);
+      count += 1;
+      if (count === MIN_OVERDUE_REQUESTS) return Math.min(MAX_WAIT_FACTOR, minRatio);
     }
     return 0;
   }
 
-  /** Whether one that had to wait was done by its deadline. */
+  /** Records whether a request that had to wait was complete by its deadline. */
   recordOutcome(rank: number, isInTime: boolean): void {
-    const at = rankClassOf(rank);
-    this.caution[at] = Math.min(MAX_CAUTION, Math.max(1, this.caution[at] * (isInTime ? LESS_CAUTION : MORE_CAUTION)));
+    const rankClass = rankClassOf(rank);
+    this.caution[rankClass] = Math.min(MAX_CAUTION, Math.max(1, this.caution[rankClass] * (isInTime ? CAUTION_DECAY : CAUTION_RISE)));
   }
 
-  /** From the first event to the end, over the tokens asked for at most. */
+  /** Records the milliseconds from the first event to the end of a response with at most `out` tokens. */
   recordTokens(fullness: number, out: number, ms: number): void {
     if (out < 1) return;
-    const step = stepOf(fullness);
+    const step = fullnessStep(fullness);
     const histogram = (this.perTokenByFullness[step] ??= new histograms.Histogram(TOKEN_TIME_SCALE));
     histogram.record(ms / out);
   }
 
-  /** How long one place was taken, in milliseconds. */
+  /** Records for how many milliseconds a request occupied its slot. */
   recordOccupancy(ms: number): void {
-    this.holdTimes.record(ms);
+    this.occupancyTimes.record(ms);
   }
 
-  /** A wait is over, or has lasted so long already. */
-  recordWait(rank: number, seenMs: number, predictedMs: number): void {
-    if (predictedMs >= MIN_WAIT_MS) this.waitErrorOf(rank).record(Math.max(0, seenMs) / predictedMs);
+  /** Records a wait that is over, or has lasted this long already. */
+  recordWait(rank: number, observedMs: number, predictedMs: number): void {
+    if (predictedMs >= MIN_WAIT_MS) this.waitErrorOf(rank).record(Math.max(0, observedMs) / predictedMs);
   }
 
-  /** Waits seen over waits predicted, for this rank. */
+  /** Observed over predicted waits of this rank. */
   waitErrorOf(rank: number): histograms.Histogram {
     return this.waitErrors[rankClassOf(rank)];
   }
 
-  /** Milliseconds per asked token; never less in a fuller batch. */
+  /** Milliseconds per requested token; never less in a fuller batch. */
   tokenMs(fullness: number): number {
-    let most = 0;
-    for (let step = stepOf(fullness); step >= 0; step -= 1)
-      most = Math.max(most, this.perTokenByFullness[step]?.percentile(MEDIAN, 0) ?? 0);
-    return most;
+    let maxMs = 0;
+    for (let step = fullnessStep(fullness); step >= 0; step -= 1)
+      maxMs = Math.max(maxMs, this.perTokenByFullness[step]?.percentile(MEDIAN, 0) ?? 0);
+    return maxMs;
   }
 
   /**
-   * Milliseconds a place is taken: the median for batches, the lower quartile where waiting cannot be told from work.
+   * Milliseconds that a request occupies a slot: the median where tokens are produced, else the lower quartile, since
+   * a wait cannot be distinguished from processing.
    */
   occupancyMs(hasTokens: boolean): number {
-    return this.holdTimes.percentile(hasTokens ? MEDIAN : LOWER_QUARTILE, 0);
+    return this.occupancyTimes.percentile(hasTokens ? MEDIAN : LOWER_QUARTILE, 0);
   }
 
-  /** What a wait usually takes of what was predicted; 1 until enough was learned. */
+  /** The median of observed over predicted waits; 1 until enough were recorded. */
   typicalWaitFactor(rank: number): number {
     return this.learnedFactor(rank, MEDIAN, NEUTRAL_FACTOR);
   }
 
-  /** What a predicted wait is multiplied by to be judged: the less urgent the rank, the surer it must be. */
+  /** What a predicted wait is multiplied by for a decision: a higher percentile for less urgent ranks. */
   waitFactor(rank: number, now: number): number {
     const learned =
       this.caution[rankClassOf(rank)] *
@@ -127,30 +136,9 @@
     return Math.max(learned, this.overdueFactor(rank, now));
   }
 
-  private learnedFactor(rank: number, percent: number, first: number): number {
+  private learnedFactor(rank: number, percent: number, initial: number): number {
     const error = this.waitErrorOf(rank);
-    if (error.count < MIN_RECORDS) return first;
+    if (error.count < MIN_RECORDS) return initial;
     return Math.min(MAX_WAIT_FACTOR, Math.max(MIN_WAIT_FACTOR, error.percentile(percent, NEUTRAL_FACTOR)));
   }
 }
-
-/** Ranks from 2 on are one class. */
-function rankClassOf(rank: number): number {
-  return Math.min(WAIT_PERCENTILES.length - 1, Math.max(0, Math.floor(rank)));
-}
-
-function newHistogram(): histograms.Histogram {
-  return new histograms.Histogram(RATIO_SCALE);
-}
-
-function newSet(): Set<PendingWait> {
-  return new Set();
-}
-
-function one(): number {
-  return 1;
-}
-
-function none(): null {
-  return null;
-}
--- a/src/admission/typical-request.ts
+++ b/src/admission/typical-request.ts
@@ -1,4 +1,4 @@
-/** What a request of one route usually takes, for "how many more" (design/admission 6). */
+/** What a typical request of one route takes, for the capacity command (design/admission 6). */
 import type * as prediction from "./prediction.js";
 
 const LEARNING_RATE = 0.05;
@@ -10,20 +10,20 @@
   private count = 0;
   private tokens = 0;
   private unread = 0;
-  private heldMs = 0;
+  private occupancyMs = 0;
 
-  /** One request was served and held a place for `heldMs` milliseconds. */
-  recordCompletion(service: string, need: prediction.TokenDemand, heldMs: number): void {
+  /** A request is complete and has occupied its slot for `occupancyMs` milliseconds. */
+  recordCompletion(service: string, demand: prediction.TokenDemand, occupancyMs: number): void {
     this.service = service;
     this.count += 1;
     const rate = Math.max(LEARNING_RATE, 1 / this.count);
-    this.tokens += rate * (need.totalTokens - this.tokens);
-    this.unread += rate * (need.prefillTokens - this.unread);
-    this.heldMs += rate * (heldMs - this.heldMs);
+    this.tokens += rate * (demand.totalTokens - this.tokens);
+    this.unread += rate * (demand.prefillTokens - this.unread);
+    this.occupancyMs += rate * (occupancyMs - this.occupancyMs);
   }
 
   /** The means, rounded; these names are read by `cranewind capacity`. */
   status(): { count: number; tokens: number; unread: number; heldMs: number } {
-    return { count: this.count, tokens: Math.round(this.tokens), unread: Math.round(this.unread), heldMs: Math.round(this.heldMs) };
+    return { count: this.count, tokens: Math.round(this.tokens), unread: Math.round(this.unread), heldMs: Math.round(this.occupancyMs) };
   }
 }
--- a/src/hints/hint-exchange.ts
+++ b/src/hints/hint-exchange.ts
@@ -26,7 +26,7 @@
 
   constructor(
     clock: types.Clock,
-    private readonly marks: runnerHash.RunnerHashes<types.RunnerId>,
+    private readonly runnerHashes: runnerHash.RunnerHashes<types.RunnerId>,
     private readonly handler: HintHandler,
     private readonly publish: (signs: schema.Signs) => void,
   ) {
@@ -43,7 +43,7 @@
 
   /** A reading sent from here; `keys` are those of its unread parts: the others were told when they were read. */
   publishPrefill(runner: types.RunnerId, unread: number, keys: readonly number[]): void {
-    const mark = this.marks.hashOf(runner);
+    const mark = this.runnerHashes.hashOf(runner);
     if (mark === null) return;
     this.batch.addPrefill({ runner: mark, unread, keys: keys.slice(-MAX_KEYS) });
     this.throttle.request();
@@ -52,7 +52,7 @@
   /** These runners fell silent while at work for this router. */
   publishUnresponsive(runners: readonly types.RunnerId[]): void {
     for (const runner of runners) {
-      const mark = this.marks.hashOf(runner);
+      const mark = this.runnerHashes.hashOf(runner);
       if (mark !== null) this.batch.addUnresponsive(mark);
     }
     if (!this.batch.isEmpty) this.throttle.request();
@@ -62,12 +62,12 @@
   receive(signs: schema.Signs): void {
     const silent: types.RunnerId[] = [];
     for (const mark of signs.silent) {
-      const id = this.marks.idOf(mark);
+      const id = this.runnerHashes.idOf(mark);
       if (id !== null) silent.push(id);
     }
     if (silent.length > 0) this.handler.onUnresponsive(silent);
     for (const reading of signs.readings) {
-      const id = this.marks.idOf(reading.runner);
+      const id = this.runnerHashes.idOf(reading.runner);
       if (id === null) log.count("signs.unknown");
       else this.handler.onPrefill(id, reading.unread, reading.keys);
     }
--- a/src/hints/hint-relay.ts
+++ b/src/hints/hint-relay.ts
@@ -51,7 +51,7 @@
  * per router.
  */
 export class HintRelay {
-  private readonly marks = new runnerHash.RunnerHashes<types.RunnerId>();
+  private readonly runnerHashes = new runnerHash.RunnerHashes<types.RunnerId>();
   private regions: ReadonlyMap<types.RunnerId, string> = new Map();
   private readonly pending = new Map<Peer, PendingSigns>();
   private readonly buckets = new Map<Peer, TokenBucket>();
@@ -67,7 +67,7 @@
   /** The regions of the runners listed. */
   setRegions(regions: ReadonlyMap<types.RunnerId, string>): void {
     this.regions = regions;
-    this.marks.replaceAll(regions.keys());
+    this.runnerHashes.replaceAll(regions.keys());
   }
 
   /** Signs came by this link, from a router or from another control node. */
@@ -109,7 +109,7 @@
 
   private batchesFor(mark: number, from: Peer, toRouters: Map<Peer, hintBatch.HintBatch>): hintBatch.HintBatch[] {
     const found: hintBatch.HintBatch[] = [];
-    const region = this.regions.get(this.marks.idOf(mark) ?? types.small(""));
+    const region = this.regions.get(this.runnerHashes.idOf(mark) ?? types.small(""));
     if (region === undefined) {
       log.count("signs.unknown");
       return found;
--- a/src/load/load-publisher.ts
+++ b/src/load/load-publisher.ts
@@ -15,7 +15,7 @@
 const SUMMARY_MS = 1800;
 
 /** The key of a runner's item: its mark, or its id where the mark would name another too. */
-export function keyOf(known: runnerHash.RunnerHashes<types.RunnerId>, id: types.RunnerId): string {
+export function reportKey(known: runnerHash.RunnerHashes<types.RunnerId>, id: types.RunnerId): string {
   const mark = known.hashOf(id);
   return mark === null ? `=${id}` : (mark >>> 0).toString(36);
 }
@@ -23,7 +23,7 @@
 /** Owned by the control node's `Cells`; it publishes by the feed and sends nothing itself. */
 export class LoadPublisher {
   private readonly regionReports = new Map<string, regionReports.RegionReports>();
-  private readonly marks = new runnerHash.RunnerHashes<types.RunnerId>();
+  private readonly runnerHashes = new runnerHash.RunnerHashes<types.RunnerId>();
   private instances: readonly schema.Instance[] = [];
   private regions: ReadonlyMap<types.RunnerId, string> = new Map();
   private readonly capacities = new Map<types.RunnerId, number>();
@@ -48,7 +48,7 @@
   setInstances(instances: readonly schema.Instance[], regions: ReadonlyMap<types.RunnerId, string>): void {
     this.instances = instances;
     this.regions = regions;
-    this.marks.replaceAll(regions.keys());
+    this.runnerHashes.replaceAll(regions.keys());
     this.capacities.clear();
     for (const instance of instances) this.capacities.set(instance.id, instance.capacity);
     for (const known of this.regionReports.values()) {
@@ -65,7 +65,7 @@
 
   /** Of the reports that this orchestrator has read, what is to be published. */
   selectChanges(region: string, reports: readonly schema.Report[]): schema.Report[] {
-    return this.reportsOf(region).changesIn(reports, this.capacities);
+    return this.reportsOf(region).selectChanges(reports, this.capacities);
   }
 
   /** All reports of a region as published last. */
@@ -82,7 +82,7 @@
 
   private items(reports: readonly schema.Report[]): Map<string, Buffer> {
     const items = new Map<string, Buffer>();
-    for (const report of reports) items.set(keyOf(this.marks, report.id), reportResolution.bodyOf(report));
+    for (const report of reports) items.set(reportKey(this.runnerHashes, report.id), reportResolution.encodeReport(report));
     return items;
   }
 
@@ -94,8 +94,8 @@
     const current = new Map<string, schema.Summary>();
     for (const known of this.regionReports.values()) {
       const here = this.instances.filter(isHere.bind(null, this.regions, known.region));
-      for (const [service, summary] of loadSummary.summarise(known, here, now)) {
-        const key = loadSummary.keyOf(known.region, service);
+      for (const [service, summary] of loadSummary.summarizeRegion(known, here, now)) {
+        const key = loadSummary.summaryKey(known.region, service);
         current.set(key, loadSummary.withHysteresis(this.summaries.get(key), summary));
       }
     }
--- a/src/load/load-reader.ts
+++ b/src/load/load-reader.ts
@@ -39,7 +39,7 @@
 
 /** Keeps the load of the fleet's runners by what control nodes publish. Owned by the router's program. */
 export class LoadReader {
-  private readonly interest: regionInterest.RegionInterest;
+  private readonly regionInterest: regionInterest.RegionInterest;
   private listVersion = 0;
   /** Estimates by summary are renewed when a summary, the list or what is followed has changed. */
   private isEstimateDue = true;
@@ -54,18 +54,18 @@
     ownRegion: string,
     private readonly onPeriod: (region: string) => void,
   ) {
-    this.interest = new regionInterest.RegionInterest(clock, ownRegion);
+    this.regionInterest = new regionInterest.RegionInterest(clock, ownRegion);
   }
 
   /** A request went to a runner of the region. */
   recordSend(region: string): void {
-    this.interest.recordUse(region);
+    this.regionInterest.recordUse(region);
   }
 
   /** The topics to follow now: the summaries, and the cells of the regions of interest. */
-  topics(): string[] {
-    for (const region of this.fleet.summaries.drainRequestedRegions()) this.interest.recordUse(region);
-    return [loadSummary.SUMMARY_TOPIC, ...this.interest.regions().map(feedTopics.cellTopic)];
+  followedTopics(): string[] {
+    for (const region of this.fleet.summaries.drainRequestedRegions()) this.regionInterest.recordUse(region);
+    return [loadSummary.SUMMARY_TOPIC, ...this.regionInterest.regions().map(feedTopics.cellTopic)];
   }
 
   /** Takes what the mirror has just applied of a topic. */
@@ -84,7 +84,7 @@
     const reports: schema.Report[] = [];
     for (const [key, body] of items) {
       const id = this.idsByKey.get(key);
-      if (id !== undefined) reports.push(reportResolution.reportOf(id, body));
+      if (id !== undefined) reports.push(reportResolution.decodeReport(id, body));
     }
     this.fleet.applyReport({ region, reports });
   }
@@ -97,8 +97,8 @@
     for (const { id } of this.fleet.all()) ids.push(id);
     this.runnerHashes.replaceAll(ids);
     this.idsByKey = new Map();
-    for (const id of ids) this.idsByKey.set(loadPublisher.keyOf(this.runnerHashes, id), id);
-    for (const region of this.interest.regions()) {
+    for (const id of ids) this.idsByKey.set(loadPublisher.reportKey(this.runnerHashes, id), id);
+    for (const region of this.regionInterest.regions()) {
       if (!this.followed.get(region)?.isStale) this.takeItems(region, mirror.bodies(feedTopics.cellTopic(region)));
     }
   }
@@ -107,7 +107,7 @@
   refresh(mirror: feedReplica.FeedReplica): void {
     const now = this.clock.now();
     if (this.listVersion !== this.fleet.membershipVersion) this.relist(mirror);
-    const regions = new Set(this.interest.regions());
+    const regions = new Set(this.regionInterest.regions());
     for (const region of this.followed.keys()) if (!regions.has(region)) this.unfollow(region);
     for (const region of regions) {
       const followed = this.followed.get(region) ?? { stamp: null, movedAt: now, isStale: false };
--- a/src/load/load-summary.ts
+++ b/src/load/load-summary.ts
@@ -21,12 +21,12 @@
 }
 
 /** The key of a summary's item in the topic. */
-export function keyOf(region: string, service: string): string {
+export function summaryKey(region: string, service: string): string {
   return `${region}/${service}`;
 }
 
 /** Service -> summary of the region's runners. */
-export function summarise(
+export function summarizeRegion(
   known: regionReports.RegionReports,
   instances: Iterable<schema.Instance>,
   now: number,
@@ -104,7 +104,7 @@
   /** Null when nothing fresh is known, or more is known by reports. */
   summaryOf(region: string, service: string): schema.Summary | null {
     if (this.detailedRegions.has(region)) return null;
-    const found = this.byKey.get(keyOf(region, service));
+    const found = this.byKey.get(summaryKey(region, service));
     return found?.isFresh ? found : null;
   }
 }
--- a/src/load/region-reports.ts
+++ b/src/load/region-reports.ts
@@ -36,13 +36,13 @@
    * Of reports just read, what is to be published: those that changed, the most changed first, and a part of the
    * others as published, so that lost knowledge heals.
    */
-  changesIn(reports: readonly schema.Report[], capacities: Capacities): schema.Report[] {
+  selectChanges(reports: readonly schema.Report[], capacities: Capacities): schema.Report[] {
     this.refreshSlot = (this.refreshSlot + 1) % REFRESH_PARTS;
     const changed: ChangedReport[] = [];
     const refreshed: schema.Report[] = [];
     for (const report of reports) {
       const published = this.reports.get(report.id);
-      const deviation = published ? reportResolution.deviation(published, report, capacities.get(report.id) ?? 1) : Infinity;
+      const deviation = published ? reportResolution.measureDeviation(published, report, capacities.get(report.id) ?? 1) : Infinity;
       if (deviation >= 1) changed.push({ report, deviation });
       else if (published && (runnerHash.runnerHash(report.id) >>> 0) % REFRESH_PARTS === this.refreshSlot) refreshed.push(published);
     }
--- a/src/load/report-resolution.ts
+++ b/src/load/report-resolution.ts
@@ -21,7 +21,7 @@
 }
 
 /** In steps: from 1 on the report has moved materially; a change of status always has. */
-export function deviation(published: schema.Report, report: schema.Report, capacity: number): number {
+export function measureDeviation(published: schema.Report, report: schema.Report, capacity: number): number {
   if (published.isSpeaking !== report.isSpeaking || published.kvCapacity !== report.kvCapacity) return Infinity;
   if (!report.isSpeaking) return 0;
   const step = resolutionOf(capacity);
@@ -39,13 +39,13 @@
 }
 
 /** Report <-> body of an item of the topic `cell:REGION`; the key names the runner. */
-export function bodyOf(report: schema.Report): Buffer {
+export function encodeReport(report: schema.Report): Buffer {
   const { isSpeaking, active, waiting, kvCapacity } = report;
   return schema.usage.toBuffer({ isSpeaking, active, waiting, kvStep: stepOf(report), kvCapacity });
 }
 
 /** The report of an item; throws what the decoder throws on bytes that are none. */
-export function reportOf(id: schema.Report["id"], body: Buffer): schema.Report {
+export function decodeReport(id: schema.Report["id"], body: Buffer): schema.Report {
   const { isSpeaking, active, waiting, kvStep, kvCapacity } = schema.usage.fromBuffer(body);
   return { id, isSpeaking, active, waiting, kvUsed: Math.round((kvStep / KV_STEPS) * kvCapacity), kvCapacity };
 }
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -161,7 +161,7 @@
   }
 
   private topics(): string[] {
-    return [...followedTopics.topicsOf(followedTopics.neededRegions(this.startup.zones)), ...this.load.topics()];
+    return [...followedTopics.topicsOf(followedTopics.neededRegions(this.startup.zones)), ...this.load.followedTopics()];
   }
 
   onChange(applied: feedReplica.AppliedChange): void {
--- a/tests/sim/usage.ts
+++ b/tests/sim/usage.ts
@@ -94,7 +94,7 @@
     this.reader = new loadReader.LoadReader(system.clock, this.fleet, region, () => undefined);
     this.fleet.applySnapshot(system.instances());
     this.made = new links.SimRouter(system.clock, region);
-    this.made.topics = this.reader.topics();
+    this.made.topics = this.reader.followedTopics();
     this.made.applied.push = (...applied: feedReplica.AppliedChange[]) => {
       for (const item of applied) this.reader.applyUpdate(item);
       return applied.length;
@@ -104,7 +104,7 @@
   }
 
   watch(): void {
-    this.made.topics = this.reader.topics();
+    this.made.topics = this.reader.followedTopics();
     this.made.follower.updateSubscriptions();
     this.reader.refresh(this.made.follower.replica);
   }
--- a/tests/summary.test.ts
+++ b/tests/summary.test.ts
@@ -21,8 +21,8 @@
     100,
   );
   const expected = { isFresh: true, total: 4, good: 2, usage: 8, room: 3 };
-  expect(loadSummary.summarise(picture, instances, 100).get("s")).toEqual(expected);
-  expect(loadSummary.summarise(picture, instances, 2200).get("s")!.isFresh).toBe(false);
+  expect(loadSummary.summarizeRegion(picture, instances, 100).get("s")).toEqual(expected);
+  expect(loadSummary.summarizeRegion(picture, instances, 2200).get("s")!.isFresh).toBe(false);
   expect(loadSummary.withHysteresis(expected, { ...expected, usage: 9, room: 2 })).toEqual(expected);
   expect(loadSummary.withHysteresis(expected, { ...expected, usage: 10, room: 0, good: 1 })).toEqual({
     ...expected,
--- a/tests/usage.test.ts
+++ b/tests/usage.test.ts
@@ -36,17 +36,17 @@
   ["still silent, with other numbers", { isSpeaking: false }, { isSpeaking: false, active: 9 }, 8, false],
   ["another memory", {}, { kvCapacity: 90_000 }, 64, true],
 ])("material or not: %s", (_name, told, now, capacity, expected) => {
-  expect(reportResolution.deviation(report("a", told), report("a", now), capacity) >= 1).toBe(expected);
+  expect(reportResolution.measureDeviation(report("a", told), report("a", now), capacity) >= 1).toBe(expected);
 });
 
 test("a report travels as its item says, kept tokens to a sixty-fourth", () => {
   for (const kvUsed of [0, 700, 800, 50_000, 100_000, 120_000]) {
     const sent = report("a", { active: 5, waiting: 2, kvUsed });
-    const back = reportResolution.reportOf(sent.id, reportResolution.bodyOf(sent));
+    const back = reportResolution.decodeReport(sent.id, reportResolution.encodeReport(sent));
     expect(back).toEqual(reportResolution.quantized(sent));
     expect(Math.abs(back.kvUsed - Math.min(100_000, kvUsed))).toBeLessThanOrEqual(100_000 / 128 + 1);
   }
-  expect(reportResolution.reportOf(types.small("a"), reportResolution.bodyOf(report("a", { kvCapacity: 0 }))).kvUsed).toBe(0);
+  expect(reportResolution.decodeReport(types.small("a"), reportResolution.encodeReport(report("a", { kvCapacity: 0 }))).kvUsed).toBe(0);
 });
 
 const CAPACITY_64 = { get: () => 64 };
@@ -56,7 +56,7 @@
   let told = 0;
   for (let turn = 0; turn < 100; turn += 1) {
     const reports = [report("a", { active: turn % 2 === 0 ? 31 : 33 })];
-    const news = picture.changesIn(reports, CAPACITY_64).filter((item) => picture.reports.get(item.id) !== item);
+    const news = picture.selectChanges(reports, CAPACITY_64).filter((item) => picture.reports.get(item.id) !== item);
     told += news.length;
     picture.apply(news, turn);
   }
@@ -66,11 +66,11 @@
 test("each runner is told again within the rolling refresh, as it was told, so that lost knowledge heals", () => {
   const picture = new regionReports.RegionReports("r");
   const reports = Array.from({ length: 200 }, (_item, index) => report(`i-${index}`, { active: 20 }));
-  picture.apply(picture.changesIn(reports, CAPACITY_64), 0);
+  picture.apply(picture.selectChanges(reports, CAPACITY_64), 0);
   const moved = reports.map((item) => ({ ...item, active: 21 }));
   const seen = new Map<string, number>();
   for (let turn = 0; turn < regionReports.REFRESH_PARTS; turn += 1) {
-    const told = picture.changesIn(moved, CAPACITY_64);
+    const told = picture.selectChanges(moved, CAPACITY_64);
     expect(told.length).toBeLessThan(40);
     for (const item of told) seen.set(item.id, item.active);
   }
@@ -80,18 +80,18 @@
 test("past the bound of a period those that moved most go first, the others later, and status always", () => {
   const picture = new regionReports.RegionReports("r");
   const reports = Array.from({ length: 300 }, (_item, index) => report(`i-${index}`));
-  picture.apply(picture.changesIn(reports, CAPACITY_64), 0);
+  picture.apply(picture.selectChanges(reports, CAPACITY_64), 0);
   const moved = reports.map((item, index) => report(item.id, { active: index < 10 ? 40 : 8, isSpeaking: index < 250 }));
-  const told = picture.changesIn(moved, CAPACITY_64).filter((item) => item.active > 0);
+  const told = picture.selectChanges(moved, CAPACITY_64).filter((item) => item.active > 0);
   expect(told.filter((item) => !item.isSpeaking)).toHaveLength(50);
   expect(told).toHaveLength(50);
   picture.apply(told, 1);
-  const next = picture.changesIn(moved, CAPACITY_64).filter((item) => item.active > 0 && item.isSpeaking);
+  const next = picture.selectChanges(moved, CAPACITY_64).filter((item) => item.active > 0 && item.isSpeaking);
   expect(next).toHaveLength(regionReports.MAX_CHANGED);
   expect(next.slice(0, 10).every((item) => item.active === 40)).toBe(true);
   let turns = 0;
   for (; turns < 20 && [...picture.reports.values()].some((item) => item.active === 0); turns += 1)
-    picture.apply(picture.changesIn(moved, CAPACITY_64), 2);
+    picture.apply(picture.selectChanges(moved, CAPACITY_64), 2);
   expect(turns).toBeLessThanOrEqual(8);
 });
 
@@ -163,7 +163,7 @@
 test("items are named by marks, by the id where two runners share a mark", () => {
   const made = new runnerHash.RunnerHashes<types.RunnerId>((id) => (id === "c" ? 40 : 7));
   made.replaceAll([types.small("a"), types.small("b"), types.small("c")]);
-  expect(["a", "b", "c"].map((id) => loadPublisher.keyOf(made, types.small(id)))).toEqual(["=a", "=b", "14"]);
+  expect(["a", "b", "c"].map((id) => loadPublisher.reportKey(made, types.small(id)))).toEqual(["=a", "=b", "14"]);
 });
 
 async function bytesPerS(system: usage.System, region: string, alsoSent: readonly string[]): Promise<number> {
@@ -181,7 +181,7 @@
     const truth = own.reports.find((item) => item.id === runner.id);
     if (!truth) continue;
     expect(runner.isReporting).toBe(truth.isSpeaking);
-    if (truth.isSpeaking && reportResolution.deviation(report(runner.id, runner), truth, 64) >= 2) far += 1;
+    if (truth.isSpeaking && reportResolution.measureDeviation(report(runner.id, runner), truth, 64) >= 2) far += 1;
   }
   expect(far).toBeLessThanOrEqual(own.reports.length * 0.02);
   return (router.bytes() * 1000) / (turns * usage.PERIOD_MS);
