--- a/src/cli/tallies.ts
+++ b/src/cli/tallies.ts
@@ -2,8 +2,8 @@
 import * as crypto from "node:crypto";
 import type * as commander from "commander";
 import * as superstruct from "superstruct";
-import * as tallyCalls from "../tallies/calls.js";
-import * as request from "../tallies/request.js";
+import * as tallyCalls from "../tallies/tally-calls.js";
+import * as tallyRequest from "../tallies/tally-request.js";
 import type * as types from "../wire/types.js";
 import * as timers from "../runtime/timers.js";
 import * as client from "./client.js";
@@ -55,7 +55,7 @@
 async function add({ clock: world, output }: Setting, name: string, amount: string, options: Options): Promise<number> {
   const id = options.id ?? crypto.randomUUID();
   const body = Buffer.from(JSON.stringify({ instance_id: id, actor: Number(amount) }));
-  const checked = request.parseAdd(body);
+  const checked = tallyRequest.parseAdd(body);
   if (checked.isErr) return commands.reportFailure(output, checked.error);
   const path = `${tallyCalls.UPDATE}${encodeURIComponent(name)}`;
   const headers = { "Content-Type": "application/json" };
--- a/src/control/control-parts.ts
+++ b/src/control/control-parts.ts
@@ -11,7 +11,7 @@
 import * as feedPublisher from "../feed/feed-publisher.js";
 import * as feedTopics from "../feed/feed-topics.js";
 import * as registerValue from "../register/register-value.js";
-import type * as tallies from "../tallies/tallies.js";
+import type * as replicatedCounters from "../tallies/replicated-counters.js";
 import * as batches from "./batches/batches.js";
 import * as leaseServer from "./leases/lease-server.js";
 import * as membership from "./members/membership.js";
@@ -57,7 +57,7 @@
   readonly contact: quorumContact.QuorumContact;
   readonly fleetObserver: fleetObserver.FleetObserver;
   readonly voterManager: voterManager.VoterManager;
-  readonly tallies: tallies.Tallies;
+  readonly tallies: replicatedCounters.ReplicatedCounters;
   /** Null where the setting `batches` is off. */
   readonly batches: batches.Batches | null;
 }
--- a/src/control/control-program.ts
+++ b/src/control/control-program.ts
@@ -163,7 +163,7 @@
     contact.runPeriodically();
     fleetObserver.runPeriodically();
     voterManager.runPeriodically();
-    tallies.turn();
+    tallies.runPeriodically();
     batches?.runPeriodically();
   }
 
@@ -216,7 +216,7 @@
     const { dial, members, contact, fleetObserver, voterManager, tallies, batches } = this.parts;
     this.isLeaving = true;
     contact.withdraw();
-    tallies.leave();
+    tallies.drain();
     this.publishHeartbeats();
     await Promise.all([
       timers.sleep(this.clock, DRAIN_NOTICE_MS),
--- a/src/control/tallies-host.ts
+++ b/src/control/tallies-host.ts
@@ -2,8 +2,8 @@
 import * as crypto from "node:crypto";
 import type * as dialer from "../feed/dialer.js";
 import type * as settings from "../settings/settings.js";
-import * as tallyCalls from "../tallies/calls.js";
-import * as tallies from "../tallies/tallies.js";
+import * as tallyCalls from "../tallies/tally-calls.js";
+import * as replicatedCounters from "../tallies/replicated-counters.js";
 import type * as link from "../wire/link.js";
 import type * as types from "../wire/types.js";
 import type * as registerReplica from "./register-replica.js";
@@ -29,18 +29,18 @@
 }
 
 /** Makes the tallies of a control node. */
-export function makeTallies(host: TalliesHost): tallies.Tallies {
+export function makeTallies(host: TalliesHost): replicatedCounters.ReplicatedCounters {
   const { clock, incarnation, address, dial, handlers, members, replica } = host;
-  return new tallies.Tallies(clock, {
-    life: incarnation,
+  return new replicatedCounters.ReplicatedCounters(clock, {
+    incarnation: incarnation,
     address,
     isCounted: host.settings().failure_counted,
     dial,
     handlers,
-    newStore: () => crypto.randomBytes(STORE_ID_BYTES).toString("base64url"),
+    newDiskId: () => crypto.randomBytes(STORE_ID_BYTES).toString("base64url"),
     tolerated: () => host.settings().fault_tolerance.machines,
     members: () => (replica.chosen ?? replica.accepted)?.voters.map((voter) => voter.address) ?? [...dial.controls.keys()],
-    hearsZone: (zone) => isZoneInTouch(members, zone),
+    isZoneHeard: (zone) => isZoneInTouch(members, zone),
   });
 }
 
@@ -52,7 +52,7 @@
 }
 
 /** Calls on tallies are answered by any node, confirmed or not; all others go on to `next`. */
-export function withTallyCalls(kept: tallies.Tallies, next: serve.Reply): serve.Reply {
+export function withTallyCalls(kept: replicatedCounters.ReplicatedCounters, next: serve.Reply): serve.Reply {
   const calls = new tallyCalls.TallyCalls(kept);
   return (request) => (request.path.startsWith(tallyCalls.PREFIX) ? calls.reply(request) : next(request));
 }
--- a/src/tallies/acknowledgements.ts
+++ b/src/tallies/acknowledgements.ts
@@ -4,17 +4,17 @@
  */
 import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
-import * as peers from "./peers.js";
-import type * as stores from "./store.js";
+import * as peerTable from "./peer-table.js";
+import type * as counterStore from "./counter-store.js";
 
 /** A node that has just started, as after a loss of power of all, takes nobody for cut off before this. */
-const START_MS = 5000;
+const STARTUP_GRACE_MS = 5000;
 
 /** What decides on acknowledgements. */
 export interface AcknowledgementParts {
   clock: types.Clock;
-  store: stores.TallyStore;
-  peers: peers.Peers;
+  store: counterStore.CounterStore;
+  peers: peerTable.PeerTable;
   /** Whether the loss of this node is counted: only then does its disk count. */
   isCounted: boolean;
   /** Disks that must hold an add. */
@@ -22,13 +22,13 @@
   /** Addresses of the other nodes that should keep tallies. */
   expected(): Iterable<string>;
   /** Whether any router of the zone was heard lately. */
-  hearsZone(zone: string): boolean;
+  isZoneHeard(zone: string): boolean;
 }
 
-/** `held`: durable enough; `unknown`: some disks may hold it, and it may count. */
-export type Outcome = "held" | "unknown";
+/** `durable`: on enough disks; `unknown`: some disks may hold it, and it may count. */
+export type Outcome = "durable" | "unknown";
 
-interface Waiting {
+interface PendingAdd {
   stream: string;
   position: number;
   resolve(outcome: Outcome): void;
@@ -37,7 +37,7 @@
 
 /** Adds that wait to be acknowledged. */
 export class Acknowledgements {
-  private readonly waiting = new Set<Waiting>();
+  private readonly pending = new Set<PendingAdd>();
   private readonly startedAt: types.SteadyMs;
 
   constructor(private readonly parts: AcknowledgementParts) {
@@ -46,47 +46,47 @@
 
   /** Adds that wait now. */
   get size(): number {
-    return this.waiting.size;
+    return this.pending.size;
   }
 
   /** Resolves once the stream is held up to the position by enough disks, or after the time. */
   wait(stream: string, position: number, withinMs: number): Promise<Outcome> {
     return new Promise((resolve) => {
       const timer = this.parts.clock.schedule(withinMs, () => this.end(item, "unknown"));
-      const item: Waiting = { stream, position, resolve, timer };
-      this.waiting.add(item);
-      this.judge(item, this.isApart());
+      const item: PendingAdd = { stream, position, resolve, timer };
+      this.pending.add(item);
+      this.resolveIfDurable(item, this.isPartitioned());
     });
   }
 
   /** Called whenever a disk holds more, and each 100 ms: a cut shows by time alone. */
   check(): void {
-    if (this.waiting.size === 0) return;
-    const isApart = this.isApart();
-    for (const item of [...this.waiting]) this.judge(item, isApart);
+    if (this.pending.size === 0) return;
+    const isApart = this.isPartitioned();
+    for (const item of [...this.pending]) this.resolveIfDurable(item, isApart);
   }
 
   /** Whether enough disks are in reach for an add, or a cut excuses that they are not. */
   canAcknowledge(): boolean {
-    return this.inReach() >= this.parts.required() || this.isApart();
+    return this.reachableDisks() >= this.parts.required() || this.isPartitioned();
   }
 
-  private judge(item: Waiting, isApart: boolean): void {
+  private resolveIfDurable(item: PendingAdd, isApart: boolean): void {
     const { store, peers: all, isCounted } = this.parts;
-    const isOwn = store.durableOf(item.stream) >= item.position;
-    const holders = all.holders(item.stream, item.position) + (isOwn && isCounted ? 1 : 0);
-    if (holders >= this.parts.required()) this.end(item, "held");
+    const isOwn = store.durableOffset(item.stream) >= item.position;
+    const holders = all.countReplicas(item.stream, item.position) + (isOwn && isCounted ? 1 : 0);
+    if (holders >= this.parts.required()) this.end(item, "durable");
     else if (isApart && isOwn && this.allInTouchHold(item)) {
       log.count("tallies.acknowledged_apart");
-      this.end(item, "held");
+      this.end(item, "durable");
     }
   }
 
-  private allInTouchHold({ stream, position }: Waiting): boolean {
-    return this.parts.peers.countedInTouch().every((peer) => (peer.held.get(stream) ?? 0) >= position);
+  private allInTouchHold({ stream, position }: PendingAdd): boolean {
+    return this.parts.peers.countedInTouch().every((peer) => (peer.durableOffsets.get(stream) ?? 0) >= position);
   }
 
-  private inReach(): number {
+  private reachableDisks(): number {
     const own = this.parts.isCounted && this.parts.store.isOpen ? 1 : 0;
     return this.parts.peers.countedInTouch().length + own;
   }
@@ -96,9 +96,9 @@
    * cut: the disks left might be lost before they are back. A node that beats here but answers nothing is behind a cut of one
    * way; one that is silent together with all routers of its zone is taken for cut off.
    */
-  isApart(): boolean {
+  isPartitioned(): boolean {
     const { clock: world } = this.parts;
-    if (world.now() - this.startedAt < START_MS || this.inReach() >= this.parts.required()) return false;
+    if (world.now() - this.startedAt < STARTUP_GRACE_MS || this.reachableDisks() >= this.parts.required()) return false;
     for (const address of this.parts.expected()) if (this.isCutOff(address)) return true;
     return false;
   }
@@ -107,12 +107,12 @@
     const peer = this.parts.peers.get(address);
     if (!peer || peer.zone === "") return true;
     if (this.parts.peers.isInTouch(peer)) return false;
-    const isHeard = this.parts.clock.now() - peer.toldAt <= peers.TOUCH_MS;
-    return isHeard || !this.parts.hearsZone(peer.zone);
+    const isHeard = this.parts.clock.now() - peer.heartbeatAt <= peerTable.IN_TOUCH_MS;
+    return isHeard || !this.parts.isZoneHeard(peer.zone);
   }
 
-  private end(item: Waiting, outcome: Outcome): void {
-    if (!this.waiting.delete(item)) return;
+  private end(item: PendingAdd, outcome: Outcome): void {
+    if (!this.pending.delete(item)) return;
     item.timer.stop();
     item.resolve(outcome);
   }
--- a/src/tallies/log.ts
+++ b/src/tallies/counter-log.ts
@@ -10,32 +10,32 @@
 import type { TallyRecord } from "../wire/tally-schema.js";
 import * as types from "../wire/types.js";
 import * as timers from "../runtime/timers.js";
-import * as generations from "./generation.js";
+import * as logGeneration from "./log-generation.js";
 
-const FILES = ["tallies-0", "tallies-1"];
+const FILE_NAMES = ["tallies-0", "tallies-1"];
 /** Pause between two attempts at a disk that refuses. */
-export const RETRY_MS = 500;
+export const RETRY_INTERVAL_MS = 500;
 /** Records of one frame of a snapshot. */
 const SNAPSHOT_FRAME_RECORDS = 1024;
 /** A file is followed by the next one when what was appended takes so many times the snapshot, and at least MIN_BYTES. */
 const GROWTH_FACTOR = 2;
-const MIN_BYTES = 512 * 1024;
-const SALTS = 2 ** 32;
+const MIN_GROWTH_BYTES = 512 * 1024;
+const SALT_COUNT = 2 ** 32;
 
 /** Records that wait for the disk, and who waits for them. */
 interface Batch {
   records: TallyRecord[];
-  done: (() => void)[];
+  resolvers: (() => void)[];
 }
 
 function emptyBatch(): Batch {
-  return { records: [], done: [] };
+  return { records: [], resolvers: [] };
 }
 
 /** Makes the records of a snapshot of now; must hold still until `finished` is called, but for what is appended. */
 export interface SnapshotSource {
-  begin(): Iterable<TallyRecord>;
-  finished(): void;
+  beginSnapshot(): Iterable<TallyRecord>;
+  endSnapshot(): void;
 }
 
 async function closeAll(opened: readonly files.StoreFile[]): Promise<void> {
@@ -43,13 +43,13 @@
 }
 
 /** One open log; group commit: what comes while a sync is under way goes into the next frame. */
-export class TallyLog {
-  private waiting: Batch = emptyBatch();
+export class CounterLog {
+  private pending: Batch = emptyBatch();
   private isWriting = false;
   private isClosed = false;
   private error = "";
   private snapshotBytes = 0;
-  private writer!: generations.GenerationWriter;
+  private writer!: logGeneration.GenerationWriter;
   private busySince: types.SteadyMs | null = null;
   private mustRewrite = false;
   private source: SnapshotSource | null = null;
@@ -63,35 +63,35 @@
   ) {}
 
   /** The log and the records that it held. Rejects if the disk refuses; `start` must follow. */
-  static async open(clock: types.Clock, folder: files.StoreFolder): Promise<{ log: TallyLog; records: TallyRecord[] }> {
+  static async open(clock: types.Clock, folder: files.StoreFolder): Promise<{ log: CounterLog; records: TallyRecord[] }> {
     await folder.make();
     const opened: files.StoreFile[] = [];
     try {
-      for (const name of FILES) opened.push(await folder.open(name));
+      for (const name of FILE_NAMES) opened.push(await folder.open(name));
       await folder.sync();
-      return await TallyLog.read(clock, opened);
+      return await CounterLog.read(clock, opened);
     } catch (cause) {
       await closeAll(opened);
       throw cause;
     }
   }
 
-  private static async read(clock: types.Clock, opened: files.StoreFile[]): Promise<{ log: TallyLog; records: TallyRecord[] }> {
-    const contents: generations.GenerationContent[] = [];
-    for (const file of opened) contents.push(await generations.read(file));
+  private static async read(clock: types.Clock, opened: files.StoreFile[]): Promise<{ log: CounterLog; records: TallyRecord[] }> {
+    const contents: logGeneration.GenerationContent[] = [];
+    for (const file of opened) contents.push(await logGeneration.readGeneration(file));
     const newest = contents[1].generation > contents[0].generation ? 1 : 0;
     const capacities = contents.map((content) => content.capacity);
     const { generation, records } = contents[newest];
-    return { log: new TallyLog(clock, opened, capacities, newest, generation), records };
+    return { log: new CounterLog(clock, opened, capacities, newest, generation), records };
   }
 
   /** Writes the first snapshot of this life; resolves once it is durable. */
   async start(source: SnapshotSource): Promise<void> {
     this.isWriting = true;
-    await this.persistently(() => this.rewrite(source));
+    await this.retryUntilDone(() => this.rewrite(source));
     this.isWriting = false;
     this.source = source;
-    this.go();
+    this.startWriting();
   }
 
   /** What failed last; empty while the disk takes writes. */
@@ -102,15 +102,15 @@
 
   /** Resolves once the records are durable, however long that takes. */
   append(records: TallyRecord[]): Promise<void> {
-    const { waiting } = this;
+    const { pending: waiting } = this;
     for (const record of records) waiting.records.push(record);
-    const durable = new Promise<void>((resolve) => waiting.done.push(resolve));
-    this.go();
+    const durable = new Promise<void>((resolve) => waiting.resolvers.push(resolve));
+    this.startWriting();
     return durable;
   }
 
   /** The next thing that is written is a whole snapshot; resolves once that is durable. */
-  replace(): Promise<void> {
+  writeSnapshot(): Promise<void> {
     this.mustRewrite = true;
     return this.append([]);
   }
@@ -120,24 +120,24 @@
     await closeAll(this.opened);
   }
 
-  private go(): void {
-    if (this.isWriting || this.isClosed || !this.source || this.waiting.done.length === 0) return;
+  private startWriting(): void {
+    if (this.isWriting || this.isClosed || !this.source || this.pending.resolvers.length === 0) return;
     this.isWriting = true;
     void this.writeAll(this.source);
   }
 
   private async writeAll(source: SnapshotSource): Promise<void> {
-    while (this.waiting.done.length > 0 && !this.isClosed) {
-      const batch = this.waiting;
-      this.waiting = emptyBatch();
-      await this.persistently(() => this.writeNext(batch, source));
-      if (!this.isClosed) for (const done of batch.done) done();
+    while (this.pending.resolvers.length > 0 && !this.isClosed) {
+      const batch = this.pending;
+      this.pending = emptyBatch();
+      await this.retryUntilDone(() => this.writeNext(batch, source));
+      if (!this.isClosed) for (const done of batch.resolvers) done();
     }
     this.isWriting = false;
   }
 
   private isGrown(): boolean {
-    return this.writer.bytes > Math.max(MIN_BYTES, GROWTH_FACTOR * this.snapshotBytes + MIN_BYTES);
+    return this.writer.bytes > Math.max(MIN_GROWTH_BYTES, GROWTH_FACTOR * this.snapshotBytes + MIN_GROWTH_BYTES);
   }
 
   /** A snapshot is made of the state now, which has the records of the batch. After a failed sync nothing is known of any frame. */
@@ -157,12 +157,12 @@
 
   private async rewrite(source: SnapshotSource): Promise<void> {
     const file = (this.newest + 1) % this.opened.length;
-    const place = { generation: this.generation + 1, salt: Math.floor(this.clock.random() * SALTS) };
-    const writer = new generations.GenerationWriter(this.opened[file], place, this.capacities[file]);
+    const place = { generation: this.generation + 1, salt: Math.floor(this.clock.random() * SALT_COUNT) };
+    const writer = new logGeneration.GenerationWriter(this.opened[file], place, this.capacities[file]);
     this.mustRewrite = false;
     try {
       let records: TallyRecord[] = [];
-      for (const record of source.begin()) {
+      for (const record of source.beginSnapshot()) {
         records.push(record);
         if (records.length < SNAPSHOT_FRAME_RECORDS) continue;
         await writer.write(records, false);
@@ -175,7 +175,7 @@
       throw cause;
     } finally {
       this.capacities[file] = writer.capacity;
-      source.finished();
+      source.endSnapshot();
     }
     this.writer = writer;
     this.newest = file;
@@ -184,27 +184,27 @@
   }
 
   /** Tries again until it succeeds or the log is closed. */
-  private async persistently(attempt: () => Promise<void>): Promise<void> {
+  private async retryUntilDone(attempt: () => Promise<void>): Promise<void> {
     while (!this.isClosed) {
       this.busySince = this.clock.now();
       try {
         await attempt();
-        this.succeeded();
+        this.recordSuccess();
         return;
       } catch (cause) {
-        this.failed(cause);
+        this.recordFailure(cause);
       }
-      await timers.sleep(this.clock, RETRY_MS);
+      await timers.sleep(this.clock, RETRY_INTERVAL_MS);
     }
   }
 
-  private succeeded(): void {
+  private recordSuccess(): void {
     this.busySince = null;
     if (this.error !== "") log.state("tallies: the disk takes writes again");
     this.error = "";
   }
 
-  private failed(cause: unknown): void {
+  private recordFailure(cause: unknown): void {
     if (this.isClosed) return;
     const error = storageRemedies.describeFailure(cause);
     log.count("tallies.disk_refused");
--- a/src/tallies/ledger.ts
+++ b/src/tallies/counter-state.ts
@@ -10,12 +10,12 @@
 import type { TallyAdd } from "../wire/tally-schema.js";
 
 /** Two adds with one id count once if their eras are at most so far apart. */
-export const NEAR_ERAS = 2;
+export const MAX_ERA_DISTANCE = 2;
 
 /** An id as it counts. `folded`: the part of `amount` that stands in the folded sums; null while none does. */
 interface CountedId {
   amount: number;
-  folded: number | null;
+  compacted: number | null;
   /** Where it was first seen; empty and 0 where it came in a snapshot's folded sums. */
   stream: string;
   position: number;
@@ -23,12 +23,12 @@
 
 /** Adds 1 to `folded` are folded; `adds` follow them. */
 interface Stream {
-  folded: number;
+  compacted: number;
   adds: TallyAdd[];
 }
 
 /** What a new add was: `repeated`: its id is held already; `conflicting`: with another amount, of which the greater counts. */
-export type Counted = "new" | "repeated" | "conflicting";
+export type AppendResult = "new" | "repeated" | "conflicting";
 
 /** An id is one of its tally's. */
 export function keyOf(tally: string, id: string): string {
@@ -36,12 +36,12 @@
 }
 
 /** Reads and changes of all tallies; nothing in here waits. */
-export class Ledger {
+export class CounterState {
   /** Of this node; grows only (eras.ts). */
   era = 0;
   private readonly streams = new Map<string, Stream>();
   private readonly totals = new Map<string, number>();
-  private readonly foldedSums = new Map<string, number>();
+  private readonly compactedSums = new Map<string, number>();
   private readonly eras = new Map<number, Map<string, CountedId>>();
   private idCount = 0;
 
@@ -56,14 +56,14 @@
   }
 
   /** How much of the stream is held. */
-  held(stream: string): number {
+  offsetOf(stream: string): number {
     const found = this.streams.get(stream);
-    return found ? found.folded + found.adds.length : 0;
+    return found ? found.compacted + found.adds.length : 0;
   }
 
   /** How much of the stream is folded, and can be told only by a snapshot. */
-  folded(stream: string): number {
-    return this.streams.get(stream)?.folded ?? 0;
+  compactedOffset(stream: string): number {
+    return this.streams.get(stream)?.compacted ?? 0;
   }
 
   /** Names of all streams. */
@@ -89,52 +89,52 @@
   /** The adds after position `after` that are not folded, `most` of them; empty where `after` lies in the folded part. */
   addsAfter(stream: string, after: number, most: number): TallyAdd[] {
     const found = this.streams.get(stream);
-    if (!found || after < found.folded) return [];
-    return found.adds.slice(after - found.folded, after - found.folded + most);
+    if (!found || after < found.compacted) return [];
+    return found.adds.slice(after - found.compacted, after - found.compacted + most);
   }
 
   /** Takes the stream's next add and counts it. */
-  append(stream: string, add: TallyAdd): Counted {
-    const { folded, adds } = this.streamOf(stream);
+  append(stream: string, add: TallyAdd): AppendResult {
+    const { compacted: folded, adds } = this.streamOf(stream);
     const position = folded + adds.push(add);
     const key = keyOf(add.tally, add.id);
     const counted = this.findNear(key, add.era);
     if (!counted) {
-      this.idsOf(add.era).set(key, { amount: add.amount, folded: null, stream, position });
+      this.idsOf(add.era).set(key, { amount: add.amount, compacted: null, stream, position });
       this.idCount += 1;
-      this.raise(this.totals, add.tally, add.amount);
+      this.increase(this.totals, add.tally, add.amount);
       return "new";
     }
     if (counted.amount === add.amount) return "repeated";
     if (add.amount > counted.amount) {
-      this.raise(this.totals, add.tally, add.amount - counted.amount);
+      this.increase(this.totals, add.tally, add.amount - counted.amount);
       counted.amount = add.amount;
     }
     return "conflicting";
   }
 
   /** Folds the stream up to a position that every member holds. */
-  fold(stream: string, position: number): number {
+  compact(stream: string, position: number): number {
     const found = this.streamOf(stream);
-    const count = Math.min(position - found.folded, found.adds.length);
+    const count = Math.min(position - found.compacted, found.adds.length);
     if (count <= 0) return 0;
-    for (const add of found.adds.splice(0, count)) this.foldAdd(add);
-    found.folded += count;
+    for (const add of found.adds.splice(0, count)) this.compactAdd(add);
+    found.compacted += count;
     return count;
   }
 
-  private foldAdd(add: TallyAdd): void {
+  private compactAdd(add: TallyAdd): void {
     const counted = this.findNear(keyOf(add.tally, add.id), add.era)!;
-    const before = counted.folded;
+    const before = counted.compacted;
     if (before !== null && before >= add.amount) return;
-    this.raise(this.foldedSums, add.tally, add.amount - (before ?? 0));
-    counted.folded = add.amount;
+    this.increase(this.compactedSums, add.tally, add.amount - (before ?? 0));
+    counted.compacted = add.amount;
   }
 
   /** Forgets ids that no add to come can repeat; an era with adds that are not folded stays. */
-  forget(): void {
-    let oldest = this.era - NEAR_ERAS;
-    for (const { adds } of this.streams.values()) if (adds.length > 0) oldest = Math.min(oldest, adds[0].era - NEAR_ERAS);
+  forgetOldIds(): void {
+    let oldest = this.era - MAX_ERA_DISTANCE;
+    for (const { adds } of this.streams.values()) if (adds.length > 0) oldest = Math.min(oldest, adds[0].era - MAX_ERA_DISTANCE);
     for (const [era, ids] of this.eras) {
       if (era >= oldest) continue;
       this.idCount -= ids.size;
@@ -144,35 +144,35 @@
 
   /** The folded sums. */
   sums(): Iterable<[tally: string, sum: number]> {
-    return this.foldedSums;
+    return this.compactedSums;
   }
 
   /** Ids that stand in the folded sums, with the amount there. */
-  *foldedIds(): Generator<{ key: string; era: number; amount: number }> {
+  *compactedIds(): Generator<{ key: string; era: number; amount: number }> {
     for (const [era, ids] of this.eras) {
-      for (const [key, { folded }] of ids) if (folded !== null) yield { key, era, amount: folded };
+      for (const [key, { compacted: folded }] of ids) if (folded !== null) yield { key, era, amount: folded };
     }
   }
 
   /** Only for restoring a snapshot: a folded sum. */
   restoreSum(tally: string, sum: number): void {
-    this.foldedSums.set(tally, sum);
-    this.raise(this.totals, tally, sum);
+    this.compactedSums.set(tally, sum);
+    this.increase(this.totals, tally, sum);
   }
 
   /** Only for restoring a snapshot: an id that stands in the folded sums. */
   restoreId(key: string, era: number, amount: number): void {
-    this.idsOf(era).set(key, { amount, folded: amount, stream: "", position: 0 });
+    this.idsOf(era).set(key, { amount, compacted: amount, stream: "", position: 0 });
     this.idCount += 1;
   }
 
   /** Only for restoring a snapshot: how much of a stream is folded. */
   restoreStream(stream: string, folded: number): void {
-    this.streams.set(stream, { folded, adds: [] });
+    this.streams.set(stream, { compacted: folded, adds: [] });
   }
 
   private findNear(key: string, era: number): CountedId | null {
-    for (let near = era - NEAR_ERAS; near <= era + NEAR_ERAS; near += 1) {
+    for (let near = era - MAX_ERA_DISTANCE; near <= era + MAX_ERA_DISTANCE; near += 1) {
       const counted = this.eras.get(near)?.get(key);
       if (counted) return counted;
     }
@@ -181,7 +181,7 @@
 
   private streamOf(name: string): Stream {
     let found = this.streams.get(name);
-    if (!found) this.streams.set(name, (found = { folded: 0, adds: [] }));
+    if (!found) this.streams.set(name, (found = { compacted: 0, adds: [] }));
     return found;
   }
 
@@ -191,7 +191,7 @@
     return ids;
   }
 
-  private raise(sums: Map<string, number>, tally: string, by: number): void {
+  private increase(sums: Map<string, number>, tally: string, by: number): void {
     sums.set(tally, (sums.get(tally) ?? 0) + by);
   }
 }
--- a/src/tallies/store.ts
+++ b/src/tallies/counter-store.ts
@@ -7,30 +7,30 @@
 import * as storageRemedies from "../store/storage-remedies.js";
 import type { StreamPosition, TallyAdd, TallyRecord } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
-import * as ledgers from "./ledger.js";
-import * as logs from "./log.js";
-import * as records from "./records.js";
+import * as counterState from "./counter-state.js";
+import * as counterLog from "./counter-log.js";
+import * as logRecords from "./log-records.js";
 
 /** The tallies of one node. `newStore`: a random identity for a disk that has none. */
-export class TallyStore implements logs.SnapshotSource {
-  ledger = new ledgers.Ledger();
+export class CounterStore implements counterLog.SnapshotSource {
+  state = new counterState.CounterState();
   /** Empty until the disk is read. */
-  store = "";
+  diskId = "";
   /** Whether this disk holds what the system held before it was made (readiness.ts). */
-  isWhole = false;
+  isComplete = false;
   /** Whether the disk was made whole in an earlier life. */
-  wasWhole = false;
+  wasComplete = false;
   /** The era as the disk holds it: all adds of earlier eras are durable, too. */
   durableEra = 0;
-  private readonly durable = new Map<string, number>();
-  private log: logs.TallyLog | null = null;
+  private readonly durableOffsets = new Map<string, number>();
+  private log: counterLog.CounterLog | null = null;
   private isClosed = false;
   /** Snapshots under way: folding rests meanwhile. */
-  private snapshots = 0;
+  private openSnapshots = 0;
 
   constructor(
     private readonly clock: types.Clock,
-    private readonly newStore: () => string,
+    private readonly newDiskId: () => string,
   ) {}
 
   get isOpen(): boolean {
@@ -40,97 +40,97 @@
   /** Opens the log, however often that takes; resolves once its content is durable. */
   async open(folder: files.StoreFolder): Promise<void> {
     try {
-      const opened = await logs.TallyLog.open(this.clock, folder);
+      const opened = await counterLog.CounterLog.open(this.clock, folder);
       for (const record of opened.records) this.restore(record);
-      this.wasWhole = this.isWhole;
-      if (this.store === "") this.store = this.newStore();
+      this.wasComplete = this.isComplete;
+      if (this.diskId === "") this.diskId = this.newDiskId();
       await opened.log.start(this);
       this.log = opened.log;
-      this.madeDurable(this.positions());
-      this.durableEra = this.ledger.era;
-      log.state(`tallies: disk ${this.store} is open, ${this.wasWhole ? "whole" : "new"}`);
+      this.recordDurable(this.positions());
+      this.durableEra = this.state.era;
+      log.state(`tallies: disk ${this.diskId} is open, ${this.wasComplete ? "whole" : "new"}`);
     } catch (cause) {
       log.count("tallies.disk_refused");
       log.state(`tallies: the disk can't be opened: ${storageRemedies.describeFailure(cause)}`);
-      if (!this.isClosed) this.clock.schedule(logs.RETRY_MS, () => void this.open(folder));
+      if (!this.isClosed) this.clock.schedule(counterLog.RETRY_INTERVAL_MS, () => void this.open(folder));
     }
   }
 
   private restore(record: TallyRecord): void {
-    if (record.kind === records.KIND.store) this.store = record.stream;
-    else if (record.kind === records.KIND.whole) this.isWhole = true;
-    else if (!records.restore(this.ledger, record)) log.count("tallies.gap_on_disk");
+    if (record.kind === logRecords.KIND.store) this.diskId = record.stream;
+    else if (record.kind === logRecords.KIND.whole) this.isComplete = true;
+    else if (!logRecords.applyRecord(this.state, record)) log.count("tallies.gap_on_disk");
   }
 
   /** How much of the stream is on the own disk. */
-  durableOf(stream: string): number {
-    return this.durable.get(stream) ?? 0;
+  durableOffset(stream: string): number {
+    return this.durableOffsets.get(stream) ?? 0;
   }
 
   /** All streams, as far as they are on the own disk. */
   durablePositions(): StreamPosition[] {
-    return [...this.durable].map(([stream, position]) => ({ stream, position }));
+    return [...this.durableOffsets].map(([stream, position]) => ({ stream, position }));
   }
 
   /** Counts adds that follow what is held of the stream; what is held already is passed over, and nothing is taken after a gap. */
-  take(stream: string, from: number, adds: readonly TallyAdd[]): Promise<void> {
+  appendAdds(stream: string, from: number, adds: readonly TallyAdd[]): Promise<void> {
     const taken: TallyRecord[] = [];
     for (const [index, add] of adds.entries()) {
       const position = from + index;
-      const held = this.ledger.held(stream);
+      const held = this.state.offsetOf(stream);
       if (position > held + 1) break;
       if (position <= held) continue;
-      const counted = this.ledger.append(stream, add);
+      const counted = this.state.append(stream, add);
       if (counted !== "new") log.count(`tallies.${counted}`);
-      taken.push(records.addRecord(stream, position, add));
+      taken.push(logRecords.addRecord(stream, position, add));
     }
-    const end = Math.min(from + adds.length - 1, this.ledger.held(stream));
-    if (taken.length === 0 && this.durableOf(stream) >= end) return Promise.resolve();
+    const end = Math.min(from + adds.length - 1, this.state.offsetOf(stream));
+    if (taken.length === 0 && this.durableOffset(stream) >= end) return Promise.resolve();
     return this.append(taken, [{ stream, position: end }]);
   }
 
   /** From now on adds are accepted in this era. */
   async enterEra(era: number): Promise<void> {
-    this.ledger.era = era;
-    await this.append([records.eraRecord(era)], []);
+    this.state.era = era;
+    await this.append([logRecords.eraRecord(era)], []);
     this.durableEra = Math.max(this.durableEra, era);
   }
 
   /** The disk holds all that it should from now on. */
-  becomeWhole(): void {
-    this.isWhole = true;
-    void this.append([records.wholeRecord()], []);
+  markComplete(): void {
+    this.isComplete = true;
+    void this.append([logRecords.completeRecord()], []);
   }
 
   /** Takes another node's snapshot in the place of what is held, but for what only this node holds. False: it is not ahead. */
-  async adopt(snapshot: Iterable<TallyRecord>): Promise<boolean> {
-    const ledger = records.adopted(snapshot, this.ledger);
+  async mergeSnapshot(snapshot: Iterable<TallyRecord>): Promise<boolean> {
+    const ledger = logRecords.mergeSnapshot(snapshot, this.state);
     if (!ledger || !this.log) return false;
-    this.ledger = ledger;
+    this.state = ledger;
     const positions = this.positions();
-    await this.log.replace();
-    this.madeDurable(positions);
+    await this.log.writeSnapshot();
+    this.recordDurable(positions);
     this.durableEra = Math.max(this.durableEra, ledger.era);
     return true;
   }
 
-  begin(): Iterable<TallyRecord> {
-    this.snapshots += 1;
-    const head = [records.storeRecord(this.store)];
-    if (this.isWhole) head.push(records.wholeRecord());
-    return concatenated(head, records.snapshotOf(this.ledger));
+  beginSnapshot(): Iterable<TallyRecord> {
+    this.openSnapshots += 1;
+    const head = [logRecords.storeRecord(this.diskId)];
+    if (this.isComplete) head.push(logRecords.completeRecord());
+    return concatenated(head, logRecords.snapshotRecords(this.state));
   }
 
-  finished(): void {
-    this.snapshots -= 1;
+  endSnapshot(): void {
+    this.openSnapshots -= 1;
   }
 
   /** Folds what every member holds, unless a snapshot is under way. */
-  fold(positions: Iterable<StreamPosition>): void {
-    if (this.snapshots > 0) return;
+  compact(positions: Iterable<StreamPosition>): void {
+    if (this.openSnapshots > 0) return;
     let folded = 0;
-    for (const { stream, position } of positions) folded += this.ledger.fold(stream, Math.min(position, this.durableOf(stream)));
-    this.ledger.forget();
+    for (const { stream, position } of positions) folded += this.state.compact(stream, Math.min(position, this.durableOffset(stream)));
+    this.state.forgetOldIds();
     if (folded > 0) log.count("tallies.folded", folded);
   }
 
@@ -146,15 +146,15 @@
   private async append(taken: TallyRecord[], positions: StreamPosition[]): Promise<void> {
     if (!this.log) return new Promise(() => {});
     await this.log.append(taken);
-    this.madeDurable(positions);
+    this.recordDurable(positions);
   }
 
   private positions(): StreamPosition[] {
-    return [...this.ledger.streamNames()].map((stream) => ({ stream, position: this.ledger.held(stream) }));
+    return [...this.state.streamNames()].map((stream) => ({ stream, position: this.state.offsetOf(stream) }));
   }
 
-  private madeDurable(positions: readonly StreamPosition[]): void {
-    for (const { stream, position } of positions) if (position > this.durableOf(stream)) this.durable.set(stream, position);
+  private recordDurable(positions: readonly StreamPosition[]): void {
+    for (const { stream, position } of positions) if (position > this.durableOffset(stream)) this.durableOffsets.set(stream, position);
   }
 }
 
--- a/src/tallies/frame.ts
+++ b/src/tallies/log-frame.ts
@@ -17,21 +17,21 @@
  * Where a frame stands: in which generation of files, and as which frame of its file. `salt`: drawn for each attempt to
  * write a generation, so that frames of an attempt that was cut never follow those of the next one.
  */
-export interface FramePlace {
+export interface FrameId {
   generation: number;
   salt: number;
   index: number;
 }
 
 /** A whole frame, and how many bytes of the file it takes. */
-export interface ReadFrame extends FramePlace {
+export interface ReadFrame extends FrameId {
   frame: tallySchema.TallyFrame;
   bytes: number;
 }
 
 // magic u32, version u32, generation u64, salt u32, index u32, length u32, checksum of the body u32, checksum u32
 /** A frame as it is written. */
-export function encode({ generation, salt, index }: FramePlace, frame: tallySchema.TallyFrame): Buffer {
+export function encodeFrame({ generation, salt, index }: FrameId, frame: tallySchema.TallyFrame): Buffer {
   const body = tallySchema.tallyFrame.toBuffer(frame);
   const head = Buffer.alloc(HEAD_BYTES);
   head.writeUInt32BE(MAGIC, 0);
@@ -46,7 +46,7 @@
 }
 
 /** The whole frame that begins there, or null. */
-export function decode(content: Buffer, at: number): ReadFrame | null {
+export function decodeFrame(content: Buffer, at: number): ReadFrame | null {
   if (content.length < at + HEAD_BYTES) return null;
   const head = content.subarray(at, at + HEAD_BYTES);
   if (head.readUInt32BE(0) !== MAGIC) return null;
--- a/src/tallies/generation.ts
+++ b/src/tallies/log-generation.ts
@@ -1,10 +1,10 @@
 /** One file of the tallies' log: a snapshot, and behind it the frames that were appended since (design/tallies 5). */
 import * as files from "../store/files.js";
 import type { TallyRecord } from "../wire/tally-schema.js";
-import * as frame from "./frame.js";
+import * as logFrame from "./log-frame.js";
 
 /** Room is made ahead of need in steps of so many bytes, so that a disk that fills up still takes the next frames. */
-export const STEP_BYTES = 1024 * 1024;
+export const RESERVE_STEP_BYTES = 1024 * 1024;
 
 /** What a file holds. */
 export interface GenerationContent {
@@ -16,13 +16,13 @@
 }
 
 /** The whole frames of a file, as far as they are of one generation and without a gap. */
-export async function read(file: files.StoreFile): Promise<GenerationContent> {
+export async function readGeneration(file: files.StoreFile): Promise<GenerationContent> {
   const content = await file.read();
   const records: TallyRecord[] = [];
-  const first = frame.decode(content, 0);
+  const first = logFrame.decodeFrame(content, 0);
   let hasSnapshot = false;
   let at = 0;
-  for (let next = first, index = 0; next && follows(next, first!, index); next = frame.decode(content, at), index += 1) {
+  for (let next = first, index = 0; next && isNextFrame(next, first!, index); next = logFrame.decodeFrame(content, at), index += 1) {
     hasSnapshot ||= next.frame.endsSnapshot;
     for (const record of next.frame.records) records.push(record);
     at += next.bytes;
@@ -30,7 +30,7 @@
   return { generation: hasSnapshot ? first!.generation : 0, records: hasSnapshot ? records : [], capacity: content.length };
 }
 
-function follows(frame: frame.FramePlace, first: frame.FramePlace, index: number): boolean {
+function isNextFrame(frame: logFrame.FrameId, first: logFrame.FrameId, index: number): boolean {
   return frame.index === index && frame.generation === first.generation && frame.salt === first.salt;
 }
 
@@ -41,13 +41,13 @@
 
   constructor(
     private readonly file: files.StoreFile,
-    private readonly place: Omit<frame.FramePlace, "index">,
-    private room: number,
+    private readonly id: Omit<logFrame.FrameId, "index">,
+    private reservedBytes: number,
   ) {}
 
   /** Bytes that the file has room for. */
   get capacity(): number {
-    return this.room;
+    return this.reservedBytes;
   }
 
   /** Bytes of all frames so far. */
@@ -57,7 +57,7 @@
 
   /** Resolves once the frame is written; `sync` makes it durable. */
   async write(records: TallyRecord[], endsSnapshot: boolean): Promise<void> {
-    const bytes = frame.encode({ ...this.place, index: this.index }, { endsSnapshot, records });
+    const bytes = logFrame.encodeFrame({ ...this.id, index: this.index }, { endsSnapshot, records });
     await this.reserve(this.end + bytes.length);
     await files.writeFully(this.file, bytes, this.end);
     this.index += 1;
@@ -69,9 +69,9 @@
   }
 
   private async reserve(needed: number): Promise<void> {
-    if (needed <= this.room) return;
-    const target = Math.ceil(needed / STEP_BYTES) * STEP_BYTES;
-    await files.writeFully(this.file, Buffer.alloc(target - this.room), this.room);
-    this.room = target;
+    if (needed <= this.reservedBytes) return;
+    const target = Math.ceil(needed / RESERVE_STEP_BYTES) * RESERVE_STEP_BYTES;
+    await files.writeFully(this.file, Buffer.alloc(target - this.reservedBytes), this.reservedBytes);
+    this.reservedBytes = target;
   }
 }
--- a/src/tallies/records.ts
+++ b/src/tallies/log-records.ts
@@ -3,7 +3,7 @@
  * made piece by piece while adds go on coming: folding must rest meanwhile, and adds that came after it began follow it.
  */
 import type { TallyAdd, TallyRecord } from "../wire/tally-schema.js";
-import * as ledgers from "./ledger.js";
+import * as counterState from "./counter-state.js";
 
 /** Which fields of a record count. */
 export const KIND = {
@@ -36,7 +36,7 @@
 }
 
 /** That the node is whole. */
-export function wholeRecord(): TallyRecord {
+export function completeRecord(): TallyRecord {
   return { ...BLANK, kind: KIND.whole };
 }
 
@@ -46,27 +46,27 @@
 }
 
 /** All records of a ledger as it is when this is called; the ledger may take adds, but not fold, until the last one is read. */
-export function snapshotOf(ledger: ledgers.Ledger): Generator<TallyRecord> {
+export function snapshotRecords(ledger: counterState.CounterState): Generator<TallyRecord> {
   const ends = new Map<string, number>();
-  for (const stream of ledger.streamNames()) ends.set(stream, ledger.held(stream));
+  for (const stream of ledger.streamNames()) ends.set(stream, ledger.offsetOf(stream));
   return recordsOf(ledger, ends);
 }
 
 /** Adds are read so many at a time. */
-const ADDS_A_STEP = 256;
+const ADDS_PER_STEP = 256;
 
-function* recordsOf(ledger: ledgers.Ledger, ends: ReadonlyMap<string, number>): Generator<TallyRecord> {
+function* recordsOf(ledger: counterState.CounterState, ends: ReadonlyMap<string, number>): Generator<TallyRecord> {
   yield eraRecord(ledger.era);
   for (const [tally, amount] of ledger.sums()) yield { ...BLANK, kind: KIND.sum, tally, amount };
-  for (const { key, era, amount } of ledger.foldedIds()) {
+  for (const { key, era, amount } of ledger.compactedIds()) {
     const [tally, id] = key.split("\n");
     yield { ...BLANK, kind: KIND.id, tally, id, era, amount };
   }
   for (const [stream, end] of ends) {
-    let position = ledger.folded(stream);
+    let position = ledger.compactedOffset(stream);
     yield { ...BLANK, kind: KIND.stream, stream, position };
     while (position < end) {
-      for (const add of ledger.addsAfter(stream, position, Math.min(ADDS_A_STEP, end - position))) {
+      for (const add of ledger.addsAfter(stream, position, Math.min(ADDS_PER_STEP, end - position))) {
         position += 1;
         yield addRecord(stream, position, add);
       }
@@ -75,14 +75,14 @@
 }
 
 /** Takes one record of a snapshot or a log. An add that is held already is passed over; one after a gap is left out (false). */
-export function restore(ledger: ledgers.Ledger, record: TallyRecord): boolean {
+export function applyRecord(ledger: counterState.CounterState, record: TallyRecord): boolean {
   const { kind, stream, position, tally, id, amount, era } = record;
   if (kind === KIND.era) ledger.era = Math.max(ledger.era, era);
   if (kind === KIND.sum) ledger.restoreSum(tally, amount);
-  if (kind === KIND.id) ledger.restoreId(ledgers.keyOf(tally, id), era, amount);
+  if (kind === KIND.id) ledger.restoreId(counterState.keyOf(tally, id), era, amount);
   if (kind === KIND.stream) ledger.restoreStream(stream, position);
   if (kind !== KIND.add) return true;
-  const held = ledger.held(stream);
+  const held = ledger.offsetOf(stream);
   if (position > held + 1) return false;
   if (position === held + 1) ledger.append(stream, { tally, id, amount, era });
   return true;
@@ -92,12 +92,12 @@
  * A ledger made of another node's snapshot and of what this node alone holds. Null where the other one lacks adds that are
  * folded here: then it is not ahead, and nothing may be given up for it.
  */
-export function adopted(snapshot: Iterable<TallyRecord>, own: ledgers.Ledger): ledgers.Ledger | null {
-  const ledger = new ledgers.Ledger();
-  for (const record of snapshot) if (!restore(ledger, record)) return null;
+export function mergeSnapshot(snapshot: Iterable<TallyRecord>, own: counterState.CounterState): counterState.CounterState | null {
+  const ledger = new counterState.CounterState();
+  for (const record of snapshot) if (!applyRecord(ledger, record)) return null;
   for (const stream of own.streamNames()) {
-    const held = ledger.held(stream);
-    if (held < own.folded(stream)) return null;
+    const held = ledger.offsetOf(stream);
+    if (held < own.compactedOffset(stream)) return null;
     for (const add of own.addsAfter(stream, held, Infinity)) ledger.append(stream, add);
   }
   ledger.era = Math.max(ledger.era, own.era);
--- a/src/tallies/snapshots.ts
+++ b/src/tallies/snapshot-transfer.ts
@@ -7,12 +7,12 @@
 import type { TallyRecord, TallySnapshotAsk, TallySnapshotPart } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
-import type * as stores from "./store.js";
+import type * as counterStore from "./counter-store.js";
 
 const PART_RECORDS = 512;
-const PART_MS = 2000;
+const PART_TIMEOUT_MS = 2000;
 /** A snapshot that nobody asks for is given up after so long, so that folding goes on. */
-const KEPT_MS = 5000;
+const SNAPSHOT_EXPIRY_MS = 5000;
 const MAX_SNAPSHOTS = 2;
 
 interface Snapshot {
@@ -21,26 +21,26 @@
   expiry: types.Timer;
 }
 
-const GONE: TallySnapshotPart = { token: "", isLast: true, records: [] };
+const EXPIRED: TallySnapshotPart = { token: "", isLast: true, records: [] };
 
 /** Tells snapshots to others and takes theirs. */
-export class Snapshots {
+export class SnapshotTransfer {
   private readonly open = new Map<string, Snapshot>();
   private lastToken = 0;
-  private isTaking = false;
+  private isFetching = false;
 
   constructor(
     private readonly clock: types.Clock,
-    private readonly store: stores.TallyStore,
+    private readonly store: counterStore.CounterStore,
   ) {}
 
   /** Answers a node that takes a snapshot. */
-  part(ask: TallySnapshotAsk): TallySnapshotPart {
+  readPart(ask: TallySnapshotAsk): TallySnapshotPart {
     const token = ask.token === "" ? this.begin() : ask.token;
     const snapshot = this.open.get(token);
-    if (!snapshot || snapshot.next !== ask.part) return GONE;
+    if (!snapshot || snapshot.next !== ask.part) return EXPIRED;
     snapshot.expiry.stop();
-    snapshot.expiry = this.clock.schedule(KEPT_MS, this.end.bind(this, token));
+    snapshot.expiry = this.clock.schedule(SNAPSHOT_EXPIRY_MS, this.end.bind(this, token));
     snapshot.next += 1;
     const told: TallyRecord[] = [];
     let isLast = false;
@@ -57,8 +57,8 @@
     if (this.open.size >= MAX_SNAPSHOTS || !this.store.isOpen) return "";
     this.lastToken += 1;
     const token = String(this.lastToken);
-    const expiry = this.clock.schedule(KEPT_MS, this.end.bind(this, token));
-    this.open.set(token, { records: this.store.begin()[Symbol.iterator](), next: 0, expiry });
+    const expiry = this.clock.schedule(SNAPSHOT_EXPIRY_MS, this.end.bind(this, token));
+    this.open.set(token, { records: this.store.beginSnapshot()[Symbol.iterator](), next: 0, expiry });
     return token;
   }
 
@@ -67,29 +67,29 @@
     if (!snapshot) return;
     snapshot.expiry.stop();
     this.open.delete(token);
-    this.store.finished();
+    this.store.endSnapshot();
   }
 
   /** Takes a snapshot of the node at the other end of the link, one at a time. */
-  async takeFrom(from: link.Link): Promise<void> {
-    if (this.isTaking) return;
-    this.isTaking = true;
+  async fetchFrom(from: link.Link): Promise<void> {
+    if (this.isFetching) return;
+    this.isFetching = true;
     try {
-      const records = await this.gather(from);
-      if (!records || !(await this.store.adopt(records))) return;
+      const records = await this.fetchRecords(from);
+      if (!records || !(await this.store.mergeSnapshot(records))) return;
       log.count("tallies.snapshots_taken");
       log.state(`tallies: ${records.length} records taken from another node`);
     } finally {
-      this.isTaking = false;
+      this.isFetching = false;
     }
   }
 
   /** All records; null where the link or the snapshot ended meanwhile. */
-  private async gather(from: link.Link): Promise<TallyRecord[] | null> {
+  private async fetchRecords(from: link.Link): Promise<TallyRecord[] | null> {
     const records: TallyRecord[] = [];
     let token = "";
     for (let part = 0; ; part += 1) {
-      const told = await from.call(calls.tallySnapshot, { token, part }, PART_MS);
+      const told = await from.call(calls.tallySnapshot, { token, part }, PART_TIMEOUT_MS);
       if (!told || told.token === "") return null;
       for (const record of told.records) records.push(record);
       if (told.isLast) return records;
--- a/src/tallies/calls.ts
+++ b/src/tallies/tally-calls.ts
@@ -5,8 +5,8 @@
 import type * as serve from "../wire/serve.js";
 import * as errors from "../runtime/errors.js";
 import * as log from "../runtime/log.js";
-import * as request from "./request.js";
-import type * as tallies from "./tallies.js";
+import * as tallyRequest from "./tally-request.js";
+import type * as replicatedCounters from "./replicated-counters.js";
 
 /** All paths begin so. */
 export const PREFIX = "/-/Tallies.";
@@ -18,12 +18,12 @@
 export const LIST = `${PREFIX}List`;
 
 /** Seconds after which the answer may be another one: a cut is found, or over, or a start is. */
-const SOON_S = "0.3";
-const FULL_S = "5";
+const RETRY_AFTER_S = "0.3";
+const FULL_RETRY_AFTER_S = "5";
 
 /** Replies to every call on tallies; holds no state. */
 export class TallyCalls {
-  constructor(private readonly tallies: Pick<tallies.Tallies, "add" | "total" | "totals">) {}
+  constructor(private readonly tallies: Pick<replicatedCounters.ReplicatedCounters, "add" | "total" | "totals">) {}
 
   /** Replies to any path that begins with PREFIX. */
   async reply(asked: serve.Asked): Promise<serve.Told> {
@@ -31,21 +31,21 @@
     if (method === "POST" && path.startsWith(UPDATE)) return this.update(path.slice(UPDATE.length), asked.body);
     if (method === "GET" && path.startsWith(DESCRIBE)) return this.describe(path.slice(DESCRIBE.length));
     if (method === "GET" && path === LIST) return this.list();
-    return denied(404, new errors.NotFoundError(`no call ${method} ${path}`, "see docs/tallies.md for the calls"));
+    return rejected(404, new errors.NotFoundError(`no call ${method} ${path}`, "see docs/tallies.md for the calls"));
   }
 
   private async update(encoded: string, body: Buffer): Promise<serve.Told> {
-    const name = request.parseName(encoded);
-    if (name.isErr) return denied(400, name.error);
-    const add = request.parseAdd(body);
-    if (add.isErr) return denied(400, add.error);
+    const name = tallyRequest.parseName(encoded);
+    if (name.isErr) return rejected(400, name.error);
+    const add = tallyRequest.parseAdd(body);
+    if (add.isErr) return rejected(400, add.error);
     const added = await this.tallies.add(name.value, add.value);
-    return ANSWERS[added]();
+    return RESPONSES[added]();
   }
 
   private async describe(encoded: string): Promise<serve.Told> {
-    const name = request.parseName(encoded);
-    if (name.isErr) return denied(400, name.error);
+    const name = tallyRequest.parseName(encoded);
+    if (name.isErr) return rejected(400, name.error);
     const total = await this.tallies.total(name.value);
     return total === null ? notReady() : { status: 200, json: { total } };
   }
@@ -58,16 +58,16 @@
   }
 }
 
-const ANSWERS: { readonly [Outcome in tallies.Added]: () => serve.Told } = {
+const RESPONSES: { readonly [Outcome in replicatedCounters.AddOutcome]: () => serve.Told } = {
   added: () => ({ status: 200, json: {} }),
-  conflict: () => denied(409, new errors.InvalidRequestError("this instance_id was added with another amount", "send a new instance_id")),
-  busy: () => retryLater(503, SOON_S, "too few other control nodes are in reach to keep an add; nothing was done"),
-  full: () => retryLater(429, FULL_S, "too many adds wait for control nodes that are cut off; nothing was done"),
-  unknown: () => denied(504, new errors.TimeoutError("not enough disks hold the add yet", "send it again with the same instance_id")),
+  conflict: () => rejected(409, new errors.InvalidRequestError("this instance_id was added with another amount", "send a new instance_id")),
+  busy: () => retryLater(503, RETRY_AFTER_S, "too few other control nodes are in reach to keep an add; nothing was done"),
+  full: () => retryLater(429, FULL_RETRY_AFTER_S, "too many adds wait for control nodes that are cut off; nothing was done"),
+  unknown: () => rejected(504, new errors.TimeoutError("not enough disks hold the add yet", "send it again with the same instance_id")),
 };
 
 function notReady(): serve.Told {
-  return retryLater(503, SOON_S, "this control node has just started and does not know all tallies yet");
+  return retryLater(503, RETRY_AFTER_S, "this control node has just started and does not know all tallies yet");
 }
 
 function retryLater(status: number, seconds: string, message: string): serve.Told {
@@ -76,7 +76,7 @@
   return { status, headers, json: { message: `${message}; send the call again, to any control node` } };
 }
 
-function denied(status: number, error: errors.CranewindError): serve.Told {
+function rejected(status: number, error: errors.CranewindError): serve.Told {
   log.count(`tallies.denied_${status}`);
   return { status, json: { message: error.message } };
 }
--- a/src/tallies/request.ts
+++ b/src/tallies/tally-request.ts
@@ -4,16 +4,16 @@
 import * as errors from "../runtime/errors.js";
 
 /** The longest name of a tally, and the longest id, in characters. */
-export const MAX_NAME = 200;
+export const MAX_NAME_LENGTH = 200;
 /** Amounts are at most so far from 0, so that sums stay exact. */
 export const MAX_AMOUNT = 2 ** 40;
 
 const PRINTABLE = /^[^\p{Cc}]+$/u;
-const name = superstruct.size(superstruct.pattern(superstruct.string(), PRINTABLE), 1, MAX_NAME);
+const name = superstruct.size(superstruct.pattern(superstruct.string(), PRINTABLE), 1, MAX_NAME_LENGTH);
 const body = superstruct.type({ instance_id: name, actor: superstruct.size(superstruct.integer(), -MAX_AMOUNT, MAX_AMOUNT) });
 
 /** An add as a caller asks for it. */
-export interface AskedAdd {
+export interface AddRequest {
   id: string;
   amount: number;
 }
@@ -26,11 +26,13 @@
   } catch {
     // Said below, as of any other bad name.
   }
-  return result.err(new errors.InvalidRequestError("the tally's name", `give 1 to ${MAX_NAME} printable characters, percent-encoded`));
+  return result.err(
+    new errors.InvalidRequestError("the tally's name", `give 1 to ${MAX_NAME_LENGTH} printable characters, percent-encoded`),
+  );
 }
 
 /** The body of an add. */
-export function parseAdd(bytes: Buffer): result.Result<AskedAdd, errors.CranewindError> {
+export function parseAdd(bytes: Buffer): result.Result<AddRequest, errors.CranewindError> {
   let document: unknown;
   try {
     document = JSON.parse(bytes.toString("utf8"));
@@ -40,6 +42,6 @@
   const [failure, asked] = superstruct.validate(document, body);
   if (!failure) return result.ok({ id: asked.instance_id, amount: asked.actor });
   const field = failure.path.join(".") || "the body";
-  const remedy = `send instance_id as 1 to ${MAX_NAME} printable characters, and actor as a whole number up to ${MAX_AMOUNT}`;
+  const remedy = `send instance_id as 1 to ${MAX_NAME_LENGTH} printable characters, and actor as a whole number up to ${MAX_AMOUNT}`;
   return result.err(new errors.InvalidRequestError(`${field} is not right`, remedy));
 }
--- a/src/tallies/readiness.ts
+++ b/src/tallies/totals-readiness.ts
@@ -5,21 +5,21 @@
 import * as events from "node:events";
 import * as log from "../runtime/log.js";
 import type * as types from "../wire/types.js";
-import * as peers from "./peers.js";
-import type * as stores from "./store.js";
+import * as peerTable from "./peer-table.js";
+import type * as counterStore from "./counter-store.js";
 
 /** A node whose disk is whole tells what it has after so long, if fewer others are in touch than it should hear. */
-const ALONE_MS = 6000;
+const ALONE_TIMEOUT_MS = 6000;
 /** New disks that are a majority, among them no whole one, are those of a new system after so long. */
-const FIRST_MS = 4000;
+const NEW_SYSTEM_TIMEOUT_MS = 4000;
 /** The same with too few whole ones among them: the others may come back for so long. */
-const LATE_MS = 15_000;
+const MISSING_PEERS_TIMEOUT_MS = 15_000;
 
 /** What decides on readiness. */
 export interface ReadinessParts {
   clock: types.Clock;
-  store: stores.TallyStore;
-  peers: peers.Peers;
+  store: counterStore.CounterStore;
+  peers: peerTable.PeerTable;
   /** Disks that must hold an add. */
   required(): number;
   /** Addresses of the other nodes that should keep tallies. */
@@ -32,7 +32,7 @@
 }
 
 /** The start of one life. */
-export class Readiness extends events.EventEmitter<ReadinessEvents> {
+export class TotalsReadiness extends events.EventEmitter<ReadinessEvents> {
   private openedAt = Infinity;
   /** Whether totals may be told. */
   isReady = false;
@@ -43,19 +43,19 @@
   }
 
   /** Called each 100 ms and whenever a disk holds more. */
-  turn(): void {
+  update(): void {
     const { store, clock: world } = this.parts;
     if (this.isReady || !store.isOpen) return;
     this.openedAt = Math.min(this.openedAt, world.now());
     if (!this.hasEnough()) return;
-    if (!store.isWhole) store.becomeWhole();
+    if (!store.isComplete) store.markComplete();
     this.isReady = true;
     log.state("tallies: totals are told from now on");
     this.emit("ready");
   }
 
   /** Whether it may be ready within `ms`; resolves at once where it is. */
-  within(ms: number): Promise<boolean> {
+  waitUntilReady(ms: number): Promise<boolean> {
     if (this.isReady) return Promise.resolve(true);
     return new Promise((resolve) => {
       const end = (): void => {
@@ -72,22 +72,22 @@
     const { peers: all, store, clock: world } = this.parts;
     const expected = [...this.parts.expected()];
     const members = expected.length + 1;
-    const inTouch = [...all.all()].filter((peer) => peer.store !== "" && all.isInTouch(peer));
-    const whole = inTouch.filter((peer) => peer.isWhole);
-    if (!whole.every((peer) => this.isJoined(peer))) return false;
+    const inTouch = [...all.all()].filter((peer) => peer.diskId !== "" && all.isInTouch(peer));
+    const whole = inTouch.filter((peer) => peer.isComplete);
+    if (!whole.every((peer) => this.hasAllOf(peer))) return false;
     const waitedMs = world.now() - this.openedAt;
     // Each acknowledged add is on `required` disks; the own one may be one of them only if it is whole.
-    const needed = members - this.parts.required() + (store.isWhole ? 0 : 1);
+    const needed = members - this.parts.required() + (store.isComplete ? 0 : 1);
     if (whole.length >= needed || members === 1) return true;
     if (expected.every((address) => inTouch.some((peer) => peer.address === address))) return true;
-    if (store.isWhole) return waitedMs >= ALONE_MS;
-    if (whole.length + 1 > members / 2) return waitedMs >= ALONE_MS;
-    return waitedMs >= (whole.length > 0 ? LATE_MS : FIRST_MS) && inTouch.length + 1 > members / 2;
+    if (store.isComplete) return waitedMs >= ALONE_TIMEOUT_MS;
+    if (whole.length + 1 > members / 2) return waitedMs >= ALONE_TIMEOUT_MS;
+    return waitedMs >= (whole.length > 0 ? MISSING_PEERS_TIMEOUT_MS : NEW_SYSTEM_TIMEOUT_MS) && inTouch.length + 1 > members / 2;
   }
 
-  private isJoined(peer: peers.Peer): boolean {
-    const { ledger } = this.parts.store;
-    for (const [stream, position] of peer.held) if (ledger.held(stream) < position) return false;
+  private hasAllOf(peer: peerTable.Peer): boolean {
+    const { state: ledger } = this.parts.store;
+    for (const [stream, position] of peer.durableOffsets) if (ledger.offsetOf(stream) < position) return false;
     return true;
   }
 }
--- a/tests/support/tally-cluster.ts
+++ b/tests/support/tally-cluster.ts
@@ -2,7 +2,7 @@
 import * as events from "node:events";
 import type * as controlNode from "../../src/feed/control-node.js";
 import type * as dialer from "../../src/feed/dialer.js";
-import * as tallies from "../../src/tallies/tallies.js";
+import * as replicatedCounters from "../../src/tallies/replicated-counters.js";
 import type * as calls from "../../src/wire/calls.js";
 import * as features from "../../src/wire/features.js";
 import * as link from "../../src/wire/link.js";
@@ -31,7 +31,7 @@
 /** One life of one node's process. */
 interface Life {
   name: string;
-  kept: tallies.Tallies;
+  kept: replicatedCounters.ReplicatedCounters;
   dial: SimDial;
   handlers: link.Handlers;
   isDead: boolean;
@@ -52,7 +52,7 @@
     this.disk.losesSyncs = cluster.weak.losesSyncs ?? false;
   }
 
-  get tallies(): tallies.Tallies | null {
+  get tallies(): replicatedCounters.ReplicatedCounters | null {
     return this.life?.kept ?? null;
   }
 
@@ -69,16 +69,16 @@
       random: () => cluster.clock.random(),
       schedule: (ms, run) => cluster.clock.schedule(ms, () => !isDead() && run()),
     };
-    const kept = new tallies.Tallies(clock, {
-      life: name,
+    const kept = new replicatedCounters.ReplicatedCounters(clock, {
+      incarnation: name,
       address,
       isCounted: true,
       dial,
       handlers,
-      newStore: () => `disk-${address}-${this.wipes}`,
+      newDiskId: () => `disk-${address}-${this.wipes}`,
       tolerated: () => (cluster.weak.asksOneDisk ? 0 : cluster.tolerated),
       members: () => [...cluster.nodes.keys()],
-      hearsZone: (zone) => cluster.hearsRouters(address, zone),
+      isZoneHeard: (zone) => cluster.hearsRouters(address, zone),
     });
     const life: Life = { name, kept, dial, handlers, isDead: false };
     this.life = life;
@@ -86,7 +86,7 @@
     const turn = (): void => {
       if (isDead()) return;
       cluster.dialAll(this);
-      kept.turn();
+      kept.runPeriodically();
       cluster.clock.schedule(TURN_MS, turn);
     };
     turn();
--- a/tests/support/tally-guards.ts
+++ b/tests/support/tally-guards.ts
@@ -1,7 +1,7 @@
 // Guards of tallies taken out, one at a time, for histories that must then show it.
-import * as eras from "../../src/tallies/eras.js";
-import * as ledgers from "../../src/tallies/ledger.js";
-import * as readinesses from "../../src/tallies/readiness.js";
+import * as eraAdvancer from "../../src/tallies/era-advancer.js";
+import * as counterState from "../../src/tallies/counter-state.js";
+import * as totalsReadiness from "../../src/tallies/totals-readiness.js";
 import type * as types from "../../src/wire/types.js";
 import type * as tallyCluster from "./tally-cluster.js";
 
@@ -21,10 +21,10 @@
 
 /** Runs the work with eras that end after so many milliseconds. */
 export async function withEras<T>(eraMs: number, work: () => Promise<T>): Promise<T> {
-  const prototype = eras.Eras.prototype as unknown as Record<string, unknown>;
+  const prototype = eraAdvancer.EraAdvancer.prototype as unknown as Record<string, unknown>;
   const usual = prototype["isDue"];
-  prototype["isDue"] = function isDue(this: { clock: types.Clock; since: number }): boolean {
-    return this.clock.now() - this.since >= eraMs;
+  prototype["isDue"] = function isDue(this: { clock: types.Clock; enteredAt: number }): boolean {
+    return this.clock.now() - this.enteredAt >= eraMs;
   };
   try {
     return await work();
@@ -40,18 +40,22 @@
 }
 
 function patchOf(guard: Guard): Patch | null {
-  const ledger = ledgers.Ledger.prototype as unknown as Record<string, unknown>;
-  const readiness = readinesses.Readiness.prototype as unknown as Record<string, unknown>;
-  if (guard === "dedupe") return { prototype: ledger, method: "append", without: appendAsNew };
+  const state = counterState.CounterState.prototype as unknown as Record<string, unknown>;
+  const readiness = totalsReadiness.TotalsReadiness.prototype as unknown as Record<string, unknown>;
+  if (guard === "dedupe") return { prototype: state, method: "append", without: appendAsNew };
   if (guard === "wait_after_loss") return { prototype: readiness, method: "hasEnough", without: () => true };
-  if (guard === "memory") return { prototype: ledger, method: "restoreId", without: () => undefined };
+  if (guard === "memory") return { prototype: state, method: "restoreId", without: () => undefined };
   return null;
 }
 
-const { append } = ledgers.Ledger.prototype;
+const { append } = counterState.CounterState.prototype;
 
 /** Counts each add of each stream. */
-function appendAsNew(this: ledgers.Ledger, stream: string, add: { id: string; tally: string; amount: number; era: number }): unknown {
+function appendAsNew(
+  this: counterState.CounterState,
+  stream: string,
+  add: { id: string; tally: string; amount: number; era: number },
+): unknown {
   return append.call(this, stream, { ...add, id: `${add.id} of ${stream}` });
 }
 
@@ -59,11 +63,11 @@
 export async function without<T>(guard: Guard, work: () => Promise<T>): Promise<T> {
   const patch = patchOf(guard);
   if (!patch) return work();
-  const whole = patch.prototype[patch.method];
+  const guarded = patch.prototype[patch.method];
   patch.prototype[patch.method] = patch.without;
   try {
     return await work();
   } finally {
-    patch.prototype[patch.method] = whole;
+    patch.prototype[patch.method] = guarded;
   }
 }
--- a/tests/tallies/log.test.ts
+++ b/tests/tallies/counter-log.test.ts
@@ -1,8 +1,8 @@
 // The tallies' log on a disk that tears, refuses, drops syncs and loses power: what was durable is read again (design/tallies 5).
 import * as fc from "fast-check";
-import * as ledgers from "../../src/tallies/ledger.js";
-import * as logs from "../../src/tallies/log.js";
-import * as records from "../../src/tallies/records.js";
+import * as counterState from "../../src/tallies/counter-state.js";
+import * as counterLog from "../../src/tallies/counter-log.js";
+import * as logRecords from "../../src/tallies/log-records.js";
 import type * as types from "../../src/wire/types.js";
 import * as simulated from "../sim/disk.js";
 
@@ -58,26 +58,26 @@
 
   private async live(clock: types.Clock, folder: simulated.MountedDisk, life: Life): Promise<void> {
     const opened = await this.open(clock, folder);
-    const ledger = new ledgers.Ledger();
-    for (const record of opened.records) expect(records.restore(ledger, record)).toBe(true);
-    expect(ledger.held("s")).toBeGreaterThanOrEqual(this.durable);
-    expect(ledger.total("t")).toBe(ledger.held("s"));
-    await opened.log.start({ begin: () => records.snapshotOf(ledger), finished: () => undefined });
-    this.durable = ledger.held("s");
+    const ledger = new counterState.CounterState();
+    for (const record of opened.records) expect(logRecords.applyRecord(ledger, record)).toBe(true);
+    expect(ledger.offsetOf("s")).toBeGreaterThanOrEqual(this.durable);
+    expect(ledger.total("t")).toBe(ledger.offsetOf("s"));
+    await opened.log.start({ beginSnapshot: () => logRecords.snapshotRecords(ledger), endSnapshot: () => undefined });
+    this.durable = ledger.offsetOf("s");
     for (let count = 0; count < life.adds; count += 1) {
-      const position = ledger.held("s") + 1;
+      const position = ledger.offsetOf("s") + 1;
       const add = { tally: "t", id: String(position), amount: 1, era: 0 };
       ledger.append("s", add);
-      await opened.log.append([records.addRecord("s", position, add)]);
+      await opened.log.append([logRecords.addRecord("s", position, add)]);
       this.durable = position;
-      if (life.rewrites && count % 3 === 0) await opened.log.replace();
+      if (life.rewrites && count % 3 === 0) await opened.log.writeSnapshot();
     }
   }
 
   /** A disk that refuses is opened again, as the store does. */
-  private async open(clock: types.Clock, folder: simulated.MountedDisk): ReturnType<typeof logs.TallyLog.open> {
+  private async open(clock: types.Clock, folder: simulated.MountedDisk): ReturnType<typeof counterLog.CounterLog.open> {
     for (;;) {
-      const opened = await logs.TallyLog.open(clock, folder).catch(() => null);
+      const opened = await counterLog.CounterLog.open(clock, folder).catch(() => null);
       if (opened) return opened;
       await new Promise(setImmediate);
     }
@@ -106,16 +106,16 @@
 test("a full disk takes what there is room for, and a stalled one keeps nobody but those who wait for it", async () => {
   const disk = new simulated.SimulatedDisk();
   const world = new EagerWorld();
-  const ledger = new ledgers.Ledger();
-  const { log } = await logs.TallyLog.open(world, disk.mount());
-  await log.start({ begin: () => records.snapshotOf(ledger), finished: () => undefined });
+  const ledger = new counterState.CounterState();
+  const { log } = await counterLog.CounterLog.open(world, disk.mount());
+  await log.start({ beginSnapshot: () => logRecords.snapshotRecords(ledger), endSnapshot: () => undefined });
   disk.isFull = true;
   const add = { tally: "t", id: "1", amount: 1, era: 0 };
   ledger.append("s", add);
-  await log.append([records.addRecord("s", 1, add)]);
+  await log.append([logRecords.addRecord("s", 1, add)]);
   disk.refusal = "EIO";
   let isDurable = false;
-  const later = log.append([records.eraRecord(1)]).then(() => (isDurable = true));
+  const later = log.append([logRecords.eraRecord(1)]).then(() => (isDurable = true));
   for (let turn = 0; turn < 20; turn += 1) await new Promise(setImmediate);
   expect([isDurable, log.status().error]).toEqual([false, expect.stringContaining("EIO")]);
   disk.refusal = null;
--- a/tests/tallies/calls.test.ts
+++ b/tests/tallies/tally-calls.test.ts
@@ -1,6 +1,6 @@
 // What the calls on tallies answer, as docs/tallies.md says it.
-import * as tallyCalls from "../../src/tallies/calls.js";
-import type * as tallies from "../../src/tallies/tallies.js";
+import * as tallyCalls from "../../src/tallies/tally-calls.js";
+import type * as replicatedCounters from "../../src/tallies/replicated-counters.js";
 
 interface Asked {
   method: string;
@@ -8,7 +8,11 @@
   body?: string;
 }
 
-function answer(asked: Asked, added: tallies.Added = "added", total: number | null = 7): ReturnType<tallyCalls.TallyCalls["reply"]> {
+function answer(
+  asked: Asked,
+  added: replicatedCounters.AddOutcome = "added",
+  total: number | null = 7,
+): ReturnType<tallyCalls.TallyCalls["reply"]> {
   const calls = new tallyCalls.TallyCalls({
     add: () => Promise.resolve(added),
     total: () => Promise.resolve(total),
@@ -29,7 +33,7 @@
 const UPDATE = { method: "POST", path: "/-/Tallies.Update/t%203" };
 const GOOD = '{"instance_id":"5c0e","actor":4}';
 
-test.each<[tallies.Added, number, string | undefined]>([
+test.each<[replicatedCounters.AddOutcome, number, string | undefined]>([
   ["added", 200, undefined],
   ["conflict", 409, undefined],
   ["busy", 503, "0.3"],
