--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -196,7 +196,7 @@
         requestId: `r${index}`,
         service: "s",
         sharedTokens: 0,
-        shared: [],
+        sharedParts: [],
         now,
         candidates: [...fleet.ofService("s")],
         cells: [],
--- a/tests/summary.test.ts
+++ b/tests/summary.test.ts
@@ -46,7 +46,7 @@
     const plan = {
       requestId: "q",
       service: "s",
-      shared: [],
+      sharedParts: [],
       sharedTokens: 0,
       now: clock.now(),
       cells: [],
@@ -70,9 +70,9 @@
   const known = new loadSummary.LoadSummaries();
   const policy = new cellPolicy.CellPolicy("a", known);
   for (let index = 0; index < 50; index += 1) {
-    const shared = [{ id: `p${index}`, tokens }];
+    const sharedParts = [{ id: `p${index}`, tokens }];
     const candidates = regions.map((region) => ({ id: region, region, isSuspect: () => false }));
-    policy.apply({ requestId: "q", service: "s", shared, sharedTokens: tokens, now: 0, cells: [], candidates } as never);
+    policy.apply({ requestId: "q", service: "s", sharedParts, sharedTokens: tokens, now: 0, cells: [], candidates } as never);
   }
   expect([...known.drainRequestedRegions()].sort()).toEqual(expected);
   expect(known.drainRequestedRegions().size).toBe(0);
