--- a/src/batch/routers.ts
+++ b/src/batch/routers.ts
@@ -30,7 +30,7 @@
   introduce(): void {
     for (const router of this.ready()) {
       if (this.toldAt.has(router.link)) continue;
-      router.link.tell(calls.batchPass, { pass: this.pass });
+      router.link.send(calls.batchPass, { pass: this.pass });
       this.toldAt.set(router.link, this.clock.now());
     }
   }
--- a/src/config/change.ts
+++ b/src/config/change.ts
@@ -22,7 +22,7 @@
  * The bound on a configuration, as JSON without spaces. The feed sends it as items, each with its name once more, so
  * that a view is at most twice as large, and fits a frame.
  */
-export const MAX_DOCUMENT_BYTES = (link.MAX_BYTES - FRAME_REST_BYTES) / 2;
+export const MAX_DOCUMENT_BYTES = (link.MAX_FRAME_BYTES - FRAME_REST_BYTES) / 2;
 
 function lostRace(base: number, value: schema.Value): Made {
   return result.err(
--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -44,7 +44,7 @@
   constructor(private readonly needs: BatchDependencies) {}
 
   /** Replies to any path that begins with PREFIX. */
-  async reply(asked: serve.Asked): Promise<serve.Told> {
+  async reply(asked: serve.HttpRequest): Promise<serve.HttpResponse> {
     const { method, path } = asked;
     const [call, argument] = path.slice(PREFIX.length).split("/");
     if (method === "POST" && call === "Quote") return this.quote(asked);
@@ -56,7 +56,10 @@
     return serve.errorReply(new errors.NotFoundError(`no call ${method} ${path}`, "see docs/batch.md for the calls"));
   }
 
-  private withNumber(argument: string | undefined, run: (number: number) => Promise<serve.Told>): Promise<serve.Told> | serve.Told {
+  private withNumber(
+    argument: string | undefined,
+    run: (number: number) => Promise<serve.HttpResponse>,
+  ): Promise<serve.HttpResponse> | serve.HttpResponse {
     const number = Number(argument);
     if (Number.isSafeInteger(number) && number > 0) return run(number);
     return serve.errorReply(new errors.UsageError(`${argument ?? "nothing"} is no number of a batch`, "cranewind batch list shows all"));
@@ -68,7 +71,7 @@
     return chosen ? tables.tableOf(chosen) : tables.EMPTY;
   }
 
-  private async quote(asked: serve.Asked): Promise<serve.Told> {
+  private async quote(asked: serve.HttpRequest): Promise<serve.HttpResponse> {
     const outline = submissions.parseOutline(asked.body);
     if (outline.isErr) return serve.errorReply(outline.error);
     const denied = this.check(outline.value);
@@ -108,7 +111,7 @@
     return { ...quote, confidence: { ...confidence, isSure: confidence.reasons.length === 0 }, medianError: pastErrors.medianError() };
   }
 
-  private async submit(body: Buffer): Promise<serve.Told> {
+  private async submit(body: Buffer): Promise<serve.HttpResponse> {
     const parsed = submissions.parse(body);
     if (parsed.isErr) return serve.errorReply(parsed.error);
     const submission = parsed.value;
@@ -142,7 +145,7 @@
     };
   }
 
-  private async cancel(number: number): Promise<serve.Told> {
+  private async cancel(number: number): Promise<serve.HttpResponse> {
     const step = owners.registrationStep((table) => steps.cancel(table, number));
     const outcome = await this.needs.register.submitOrder(step, CHANGE_MS);
     if (outcome.isErr) return serve.errorReply(outcome.error);
@@ -150,17 +153,17 @@
   }
 
   /** Read at a majority, so that a submission that was acknowledged is there. */
-  private async status(number: number): Promise<serve.Told> {
+  private async status(number: number): Promise<serve.HttpResponse> {
     const read = await this.read();
     return read.isOk ? this.told(read.value, number) : serve.errorReply(read.error);
   }
 
-  private told(table: batchSchema.BatchTable, number: number): serve.Told {
+  private told(table: batchSchema.BatchTable, number: number): serve.HttpResponse {
     const batch = tables.findNumber(table, number);
     return batch ? { status: 200, json: accountOf(table, batch) } : serve.errorReply(noBatch(number));
   }
 
-  private async list(): Promise<serve.Told> {
+  private async list(): Promise<serve.HttpResponse> {
     const read = await this.read();
     if (read.isErr) return serve.errorReply(read.error);
     const table = read.value;
@@ -173,7 +176,7 @@
     return outcome.isOk ? result.ok(tables.tableOf(outcome.value)) : result.err(outcome.error);
   }
 
-  private async results(number: number, query: URLSearchParams): Promise<serve.Told> {
+  private async results(number: number, query: URLSearchParams): Promise<serve.HttpResponse> {
     const from = Number(query.get("from") ?? 0);
     if (!Number.isSafeInteger(from) || from < 0)
       return serve.errorReply(new errors.UsageError(`from=${query.get("from")}`, "give the index of an item"));
@@ -238,6 +241,6 @@
 }
 
 /** What control nodes with the setting `batches` off reply. */
-export function off(): serve.Told {
+export function off(): serve.HttpResponse {
   return serve.errorReply(new errors.NotFoundError("batches are off on this node", "set batches=on in the settings of all control nodes"));
 }
--- a/src/control/batches/batch-loads.ts
+++ b/src/control/batches/batch-loads.ts
@@ -70,7 +70,7 @@
     const report = this.reportOf(heard, spanMs);
     if (report.loads.length === 0) return;
     this.forecast.take(report);
-    for (const sibling of this.dial.links()) sibling.tell(calls.loadReport, report);
+    for (const sibling of this.dial.links()) sibling.send(calls.loadReport, report);
   }
 
   private reportOf(heard: readonly (Heard | null)[], spanMs: number): batchSchema.LoadReport {
--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -94,7 +94,7 @@
   }
 
   private tell(control: controlNode.ControlNode): void {
-    control.link.tell(calls.batchNode, { address: this.options.address, disk: this.replica.disk });
+    control.link.send(calls.batchNode, { address: this.options.address, disk: this.replica.disk });
   }
 
   /** The nodes in touch with their disks in this register. */
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -175,7 +175,7 @@
     return sender.send(this.clock, this.routers.in(send.region), { route, item });
   }
 
-  reply(asked: serve.Asked): Promise<serve.Told> {
+  reply(asked: serve.HttpRequest): Promise<serve.HttpResponse> {
     return this.calls.reply(asked);
   }
 
--- a/src/control/control-parts.ts
+++ b/src/control/control-parts.ts
@@ -66,8 +66,8 @@
 export function makeParts(host: ControlHost): ControlParts {
   const { clock, incarnation, address, handlers, seeds } = host;
   const startup = host.settings();
-  const dial = new dialer.Dialer(clock, address, handlers, () => host.describe(), link.SILENT_MS);
-  const members = new membership.Membership(clock, link.SILENT_MS, incarnation);
+  const dial = new dialer.Dialer(clock, address, handlers, () => host.describe(), link.LINK_TIMEOUT_MS);
+  const members = new membership.Membership(clock, link.LINK_TIMEOUT_MS, incarnation);
   const feed = new feedPublisher.FeedPublisher(incarnation);
   dial.addAddresses(seeds);
   const initialValue = registerValue.initialValue(startup.bootstrap ? seeds : []);
--- a/src/control/control-program.ts
+++ b/src/control/control-program.ts
@@ -81,13 +81,13 @@
     root.add(endpoints.linkServer(this.clock, this.address, this.handlers));
     root.add(endpoints.operatorServer(startup, talliesHost.withTallyCalls(parts.tallies, reply)));
     root.add(endpoints.directoryServer(startup, this.directorySource()));
-    root.add(root.turns("beats", link.BEAT_MS, () => this.sendHeartbeats()));
+    root.add(root.turns("beats", link.HEARTBEAT_INTERVAL_MS, () => this.sendHeartbeats()));
     root.add(root.turns("turn", CHECK_INTERVAL_MS, () => this.runPeriodically()));
     root.add({ name: "disk", start: () => this.openDisk(), stop: () => this.closeDisk() });
     if (parts.batches) root.add(parts.batches.child());
   }
 
-  private operatorReply(): serve.Reply {
+  private operatorReply(): serve.RequestHandler {
     const { replica, batches, dial, contact } = this.parts;
     const zones = new Set(Object.keys(this.startup.zones));
     const calls = new operatorApi.OperatorApi(replica, zones, () => this.status(), batches);
--- a/src/control/directory/directory.ts
+++ b/src/control/directory/directory.ts
@@ -25,7 +25,7 @@
 }
 
 /** 200 with up to 64 addresses, or 503 while no router is known. */
-export function resolve(view: DirectoryView, query: URLSearchParams): serve.Told {
+export function resolve(view: DirectoryView, query: URLSearchParams): serve.HttpResponse {
   const asker = { region: query.get("region") ?? "", zone: query.get("zone") ?? "", homes: view.homesOf(query.get("name") ?? "") };
   const chosen = nearest(view.routers(), asker, (node) => view.stillServes(node));
   if (chosen.length === 0) {
--- a/src/control/endpoints.ts
+++ b/src/control/endpoints.ts
@@ -13,7 +13,7 @@
 const RESOLVE_PATH = "/-/resolve";
 
 /** Serves operators' calls, where the settings name an address. */
-export function operatorServer(startup: settings.Settings, reply: serve.Reply): tree.Child {
+export function operatorServer(startup: settings.Settings, reply: serve.RequestHandler): tree.Child {
   return serve.child("operator", startup.bind_addresses.control_plane, reply);
 }
 
--- a/src/control/members/membership.ts
+++ b/src/control/members/membership.ts
@@ -86,7 +86,7 @@
 
   /** Sends the known control nodes to the routers that have sessions here. */
   publishControls(controls: schema.ControlInfo[]): void {
-    for (const { node, link } of this.sessions.all()) if (node.role === "router") link.tell(calls.controls, { controls });
+    for (const { node, link } of this.sessions.all()) if (node.role === "router") link.send(calls.controls, { controls });
   }
 
   /**
@@ -98,7 +98,7 @@
     const indexes = new Map(routers.map(({ node }, index) => [node.name, index]));
     for (const { node, link } of this.sessions.all()) {
       const index = node.role === "control" ? base.index : (indexes.get(node.name) ?? 0);
-      link.tell(calls.beat, { ...base, index, members: Math.max(1, routers.length) });
+      link.send(calls.beat, { ...base, index, members: Math.max(1, routers.length) });
     }
   }
 
--- a/src/control/members/roster-exchange.ts
+++ b/src/control/members/roster-exchange.ts
@@ -43,7 +43,7 @@
       const update = this.roster.deltaSince(offset ?? -1);
       if (update.isWhole) log.count("members.snapshots");
       log.count("members.entries", update.nodes.length + update.gone.length);
-      to.tell(calls.sessions, haveControlsChanged || update.isWhole ? { ...update, controls } : update);
+      to.send(calls.sessions, haveControlsChanged || update.isWhole ? { ...update, controls } : update);
       if (offset === undefined) to.once("end", () => this.forgetOffset(to));
       this.offsets.set(to, this.roster.newestNumber);
     }
@@ -69,7 +69,7 @@
     if (report.roster.applyUpdate(update) || now - report.requestedAt < SNAPSHOT_REQUEST_INTERVAL_MS) return;
     report.requestedAt = now;
     log.count("members.gap");
-    from.tell(calls.whole, { _: false });
+    from.send(calls.whole, { _: false });
   }
 
   private newReport(): PeerReport {
--- a/src/control/members/sessions.ts
+++ b/src/control/members/sessions.ts
@@ -74,7 +74,7 @@
 
   /** Ends the sessions whose links are silent: a network partition closes no connection. */
   closeSilent(): void {
-    for (const { link } of [...this.byNode.values()]) if (link.silentMs() > this.timeoutMs) link.end("silent");
+    for (const { link } of [...this.byNode.values()]) if (link.idleMs() > this.timeoutMs) link.end("silent");
   }
 
   /** Ends all sessions: this node shuts down. */
@@ -85,5 +85,5 @@
 
 /** Missing heartbeats take a node out of the directory long before its session ends. */
 function observed({ node, link }: Session): schema.NodeInfo {
-  return link.silentMs() > MISSED_HEARTBEATS_MS ? { ...node, isReady: false } : node;
+  return link.idleMs() > MISSED_HEARTBEATS_MS ? { ...node, isReady: false } : node;
 }
--- a/src/control/operator/operator-api.ts
+++ b/src/control/operator/operator-api.ts
@@ -24,7 +24,7 @@
 
 /** The part of the API for batches, on deployments that have them. */
 export interface Batches {
-  reply(request: serve.Asked): Promise<serve.Told>;
+  reply(request: serve.HttpRequest): Promise<serve.HttpResponse>;
 }
 
 /** Answers the operators' requests at one control node. */
@@ -37,7 +37,7 @@
   ) {}
 
   /** Routes a request by method and path; unknown ones are `not_found`. */
-  handle(request: serve.Asked): Promise<serve.Told> | serve.Told {
+  handle(request: serve.HttpRequest): Promise<serve.HttpResponse> | serve.HttpResponse {
     const { method, path } = request;
     if (method === "POST" && path === operatorPaths.REPLACE) return this.handleOrder(request, change.replaceOrder);
     if (method === "POST" && path === operatorPaths.UPDATE) return this.handleOrder(request, change.updateOrder);
@@ -49,21 +49,24 @@
     return serve.errorReply(new errors.NotFoundError(`no call ${method} ${path}`, "see docs/operating.md for the calls"));
   }
 
-  private async changeRegister(step: registerStep.Step, bodyOf: (value: schema.Value) => unknown): Promise<serve.Told> {
+  private async changeRegister(step: registerStep.Step, bodyOf: (value: schema.Value) => unknown): Promise<serve.HttpResponse> {
     const outcome = await this.register.submitOrder(step, CHANGE_TIMEOUT_MS);
     log.count(outcome.isOk ? "operator.taken" : `operator.${outcome.error.code}`);
     return outcome.isOk ? { status: 200, json: bodyOf(outcome.value) } : serve.errorReply(outcome.error);
   }
 
   /** Replace or Update: validated by its own bytes first, then decided by the register. */
-  private handleOrder(request: serve.Asked, parseOrder: typeof change.replaceOrder): Promise<serve.Told> | serve.Told {
+  private handleOrder(
+    request: serve.HttpRequest,
+    parseOrder: typeof change.replaceOrder,
+  ): Promise<serve.HttpResponse> | serve.HttpResponse {
     const base = parseBase(request);
     if (base.isErr) return serve.errorReply(base.error);
     const step = parseOrder(base.value, request.body);
     return step.isErr ? serve.errorReply(step.error) : this.changeRegister(step.value, revisionBody);
   }
 
-  private async handleDescribe(): Promise<serve.Told> {
+  private async handleDescribe(): Promise<serve.HttpResponse> {
     const outcome = await this.register.read(CHANGE_TIMEOUT_MS);
     if (outcome.isErr) return serve.errorReply(outcome.error);
     const document = registerValue.unpack(outcome.value.config);
@@ -72,7 +75,7 @@
     return { status: 200, json: document };
   }
 
-  private handleEvacuation(path: string, isStart: boolean): Promise<serve.Told> | serve.Told {
+  private handleEvacuation(path: string, isStart: boolean): Promise<serve.HttpResponse> | serve.HttpResponse {
     const zone = decodeURIComponent(path.slice(path.lastIndexOf("/") + 1));
     if (!this.zones.has(zone))
       return serve.errorReply(new errors.NotFoundError(`no zone ${zone}`, "name one of the zones of the settings"));
@@ -89,7 +92,7 @@
   return { evacuations: value.evacuations };
 }
 
-function parseBase(request: serve.Asked): result.Result<number, errors.CranewindError> {
+function parseBase(request: serve.HttpRequest): result.Result<number, errors.CranewindError> {
   const header = request.headers[names.HEADER.base];
   const base = typeof header === "string" && header !== "" ? Number(header) : Number.NaN;
   if (Number.isSafeInteger(base) && base >= 0) return result.ok(base);
--- a/src/control/operator/operator-chain.ts
+++ b/src/control/operator/operator-chain.ts
@@ -19,7 +19,7 @@
 }
 
 /** A handler that redirects or forwards a request where another node is to answer it, and else passes it to `api`. */
-export function createOperatorHandler(parts: OperatorParts, api: serve.Reply): serve.Reply {
+export function createOperatorHandler(parts: OperatorParts, api: serve.RequestHandler): serve.RequestHandler {
   const { clock, handlers, dial, core, contact } = parts;
   const controls = (): Iterable<controlNode.ControlNode> => dial.controls.values();
   const forwarder = new orderForwarder.OrderForwarder(clock, core, controls, api);
--- a/src/control/operator/order-forwarder.ts
+++ b/src/control/operator/order-forwarder.ts
@@ -43,7 +43,7 @@
     private readonly clock: types.Clock,
     private readonly core: registerReplica.RegisterReplica,
     private readonly controls: () => Iterable<controlNode.ControlNode>,
-    private readonly next: serve.Reply,
+    private readonly next: serve.RequestHandler,
   ) {}
 
   /** Answers orders forwarded by other control nodes; these are not forwarded again. */
@@ -60,7 +60,7 @@
   }
 
   /** Answers as `next` does, here or at the common proposer. */
-  async handle(request: serve.Asked): Promise<serve.Told> {
+  async handle(request: serve.HttpRequest): Promise<serve.HttpResponse> {
     if (!isOrder(request)) return this.next(request);
     for (let attempt = 0; attempt < MAX_FORWARDS; attempt += 1) {
       const proposer = this.findCommonProposer();
@@ -97,7 +97,7 @@
   }
 
   /** Null where the other node gave no decision: the order may have been applied there, which shows when it is proposed here. */
-  private async forward(proposer: controlNode.ControlNode, request: serve.Asked): Promise<serve.Told | null> {
+  private async forward(proposer: controlNode.ControlNode, request: serve.HttpRequest): Promise<serve.HttpResponse | null> {
     log.count("operator.forwarded");
     const base = request.headers[names.HEADER.base];
     const order = { path: request.path, base: typeof base === "string" ? base : "", body: request.body };
@@ -128,6 +128,6 @@
   return left.address < right.address ? -1 : left.address > right.address ? 1 : 0;
 }
 
-function isOrder(request: serve.Asked): boolean {
+function isOrder(request: serve.HttpRequest): boolean {
   return request.method === "POST" && request.body.length <= MAX_BODY_BYTES && operatorPaths.isOrder(request.path);
 }
--- a/src/control/operator/redirect.ts
+++ b/src/control/operator/redirect.ts
@@ -35,11 +35,11 @@
     private readonly clock: types.Clock,
     private readonly contact: quorumContact.QuorumContact,
     private readonly controls: () => Iterable<controlNode.ControlNode>,
-    private readonly next: serve.Reply,
+    private readonly next: serve.RequestHandler,
   ) {}
 
   /** Answers as `next` does while this node is confirmed; else 307 to a confirmed node, or 503 at once. */
-  async handle(request: serve.Asked): Promise<serve.Told> {
+  async handle(request: serve.HttpRequest): Promise<serve.HttpResponse> {
     if (request.path === STATUS_PATH) return this.next(request);
     if (!this.contact.isConfirmed() && !this.contact.wasEverConfirmed) await this.waitForConfirmation(INITIAL_CONFIRMATION_TIMEOUT_MS);
     if (!this.contact.isConfirmed()) return this.redirectOrReject(request);
@@ -47,7 +47,7 @@
   }
 
   /** The outcome of an order in progress when contact is lost is unknown; retried elsewhere it is applied once. */
-  private handleUntilContactLost(request: serve.Asked): Promise<serve.Told> {
+  private handleUntilContactLost(request: serve.HttpRequest): Promise<serve.HttpResponse> {
     const { contact } = this;
     const next = Promise.resolve(this.next(request));
     return new Promise((resolve, reject) => {
@@ -71,7 +71,7 @@
     });
   }
 
-  private redirectOrReject(request: serve.Asked): serve.Told {
+  private redirectOrReject(request: serve.HttpRequest): serve.HttpResponse {
     const peer = this.confirmedPeer() ?? this.rememberedPeer();
     if (!peer) {
       log.count("operator.unconfirmed");
--- a/src/control/platform/endpoint-watcher.ts
+++ b/src/control/platform/endpoint-watcher.ts
@@ -93,7 +93,7 @@
   }
 
   private sendSnapshot(control: controlNode.ControlNode): void {
-    control.link.tell(calls.instances, this.makeChange(keyedItems.EMPTY_DIGEST, true, this.endpoints.snapshot()));
+    control.link.send(calls.instances, this.makeChange(keyedItems.EMPTY_DIGEST, true, this.endpoints.snapshot()));
   }
 
   private makeChange(base: types.Digest, isView: boolean, packed: ReturnType<typeof keyedItems.packChanges>): schema.Change {
--- a/src/control/platform/fleet-observer.ts
+++ b/src/control/platform/fleet-observer.ts
@@ -104,7 +104,7 @@
   /** A peer that has connected is sent all reports of the regions that this node polls. */
   private sendReportSnapshots(control: controlNode.ControlNode): void {
     for (const region of new Set(this.regionOfZone.values())) {
-      if (this.orchestrator.isReader(region)) control.link.tell(calls.report, { region, reports: this.publisher.snapshot(region) });
+      if (this.orchestrator.isReader(region)) control.link.send(calls.report, { region, reports: this.publisher.snapshot(region) });
     }
   }
 
--- a/src/control/platform/region-orchestrator.ts
+++ b/src/control/platform/region-orchestrator.ts
@@ -82,7 +82,7 @@
     state.receivedAt = state.polledAt = this.clock.now();
     const changed = { region, reports: this.view.selectChanges(region, reports) };
     this.onReport(changed);
-    for (const control of this.dial.controls.values()) control.link.tell(calls.report, changed);
+    for (const control of this.dial.controls.values()) control.link.send(calls.report, changed);
   }
 
   /** The runners listed in any region; `instances` are those of `region`. */
--- a/src/control/register-replica.ts
+++ b/src/control/register-replica.ts
@@ -184,7 +184,7 @@
   private publishChosen(value: schema.Value): void {
     this.isConfirmed = true;
     if (!this.learn(value)) return;
-    for (const control of this.dial.controls.values()) control.link.tell(this.channel.chosen, { value });
+    for (const control of this.dial.controls.values()) control.link.send(this.channel.chosen, { value });
   }
 
   /** Learns a chosen value; false when a newer one, or the same, is known already. */
--- a/src/control/tallies-host.ts
+++ b/src/control/tallies-host.ts
@@ -46,13 +46,13 @@
 
 function isZoneInTouch(members: membership.Membership, zone: string): boolean {
   for (const router of members.readyRouters()) {
-    if (router.node.zone === zone && router.link.silentMs() <= MAX_ROUTER_SILENT_MS) return true;
+    if (router.node.zone === zone && router.link.idleMs() <= MAX_ROUTER_SILENT_MS) return true;
   }
   return false;
 }
 
 /** Calls on tallies are answered by any node, confirmed or not; all others go on to `next`. */
-export function withTallyCalls(kept: replicatedCounters.ReplicatedCounters, next: serve.Reply): serve.Reply {
+export function withTallyCalls(kept: replicatedCounters.ReplicatedCounters, next: serve.RequestHandler): serve.RequestHandler {
   const calls = new tallyCalls.TallyCalls(kept);
   return (request) => (request.path.startsWith(tallyCalls.PREFIX) ? calls.reply(request) : next(request));
 }
--- a/src/feed/dialer.ts
+++ b/src/feed/dialer.ts
@@ -107,7 +107,7 @@
   silentRegions(): string[] {
     const silent = new Map<string, boolean>();
     for (const { node, link: held } of this.controls.values()) {
-      silent.set(node.region, (silent.get(node.region) ?? true) && held.silentMs() > PARTITIONED_AFTER_MS);
+      silent.set(node.region, (silent.get(node.region) ?? true) && held.idleMs() > PARTITIONED_AFTER_MS);
     }
     const regions: string[] = [];
     for (const [region, isSilent] of silent) if (isSilent) regions.push(region);
@@ -124,7 +124,7 @@
     if (this.isClosed) return;
     const now = this.clock.now();
     for (const control of [...this.controls.values()]) {
-      if (control.link.silentMs() > this.linkTimeoutMs) control.link.end("silent");
+      if (control.link.idleMs() > this.linkTimeoutMs) control.link.end("silent");
     }
     this.selector?.planDials(this.targets, this.controls);
     for (const [address, target] of this.targets) {
@@ -237,7 +237,7 @@
 
   /** Sends a beat to all control nodes with links. */
   sendHeartbeats(beat: schema.Beat): void {
-    for (const control of this.controls.values()) control.link.tell(calls.beat, beat);
+    for (const control of this.controls.values()) control.link.send(calls.beat, beat);
   }
 
   /** Ends all links for good. */
--- a/src/feed/feed-publisher.ts
+++ b/src/feed/feed-publisher.ts
@@ -139,11 +139,11 @@
   private sendChange(follower: link.Link, change: schema.Change): void {
     log.count(change.isView ? "feed.view" : "feed.difference");
     log.count("feed.item_bytes", change.items.length);
-    follower.tell(calls.change, change);
+    follower.send(calls.change, change);
   }
 
   private sendNotice(follower: link.Link, name: string, topic: Topic): void {
-    follower.tell(calls.notice, {
+    follower.send(calls.notice, {
       place: this.incarnation,
       topic: name,
       number: topic.offset,
--- a/src/feed/feed-subscriber.ts
+++ b/src/feed/feed-subscriber.ts
@@ -64,7 +64,7 @@
   }
 
   private requestTopics(control: controlNode.ControlNode, topics: schema.Wanted[]): void {
-    control.link.tell(calls.follow, { place: control.feedIncarnation, topics });
+    control.link.send(calls.follow, { place: control.feedIncarnation, topics });
   }
 
   private receiveHeartbeat(from: link.Link, beat: schema.Beat): null {
--- a/src/feed/network-partitions.ts
+++ b/src/feed/network-partitions.ts
@@ -3,7 +3,7 @@
 import * as types from "../wire/types.js";
 import type * as dialer from "./dialer.js";
 
-const HEARTBEAT_FRESH_MS = 3 * link.BEAT_MS;
+const HEARTBEAT_FRESH_MS = 3 * link.HEARTBEAT_INTERVAL_MS;
 
 /** Own links' silence where it tells all; else the word of the own region's control nodes, when all of them agree. */
 export function partitionedRegions(dial: dialer.Dialer, own: string, now: types.SteadyMs): Set<string> {
--- a/src/feed/session-selector.ts
+++ b/src/feed/session-selector.ts
@@ -98,7 +98,7 @@
   }
 
   private isResponsive(control: controlNode.ControlNode, isLate: boolean): boolean {
-    return control.link.isOpen && (isLate || control.link.silentMs() < SILENCE_TIMEOUT_MS);
+    return control.link.isOpen && (isLate || control.link.idleMs() < SILENCE_TIMEOUT_MS);
   }
 
   /** Sets when each target is due to be dialled; releases those that are held beyond what it needs. */
--- a/src/hints/hint-relay.ts
+++ b/src/hints/hint-relay.ts
@@ -23,7 +23,7 @@
   return Math.max(MIN_BYTES_PER_S, Math.min(MAX_BYTES_PER_S, TOTAL_BYTES_PER_S / Math.max(1, routers)));
 }
 
-type Peer = Pick<link.Link, "tell" | "once">;
+type Peer = Pick<link.Link, "send" | "once">;
 
 /** Where signs can go; the control node's `Cells` is it. */
 export interface RelayTargets {
@@ -93,7 +93,7 @@
     this.pending.clear();
     if (!toPeers.isEmpty) {
       const frame = { isRelayed: true, ...toPeers.drain() };
-      for (const peer of this.targets.peers()) peer.tell(calls.signs, frame);
+      for (const peer of this.targets.peers()) peer.send(calls.signs, frame);
     }
     const perS = routerBytesPerS(this.targets.routerCount());
     for (const [router, batch] of toRouters) this.send(router, batch.drain(), perS);
@@ -139,7 +139,7 @@
     if (readings.length < frame.readings.length) log.count("signs.dropped", frame.readings.length - readings.length);
     if (readings.length === 0 && frame.silent.length === 0) return;
     log.count("signs.relayed");
-    router.tell(calls.signs, { isRelayed: true, silent: frame.silent, readings: readings.reverse() });
+    router.send(calls.signs, { isRelayed: true, silent: frame.silent, readings: readings.reverse() });
   }
 
   private bucketOf(router: Peer, perS: number): TokenBucket {
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -70,7 +70,7 @@
     this.prefillSharing = new prefillSharing.PrefillSharing(clock, this.fleet, this.prefills, this.load, this.sendHints.bind(this));
     const sending = this.prefillSharing.recordSend.bind(this.prefillSharing);
     const selector = new sessionSelector.SessionSelector(clock, { name: startup.node_name, region: startup.region });
-    this.dial = new dialer.Dialer(clock, "", this.handlers, this.nodeInfo.bind(this), link.SILENT_MS, selector);
+    this.dial = new dialer.Dialer(clock, "", this.handlers, this.nodeInfo.bind(this), link.LINK_TIMEOUT_MS, selector);
     this.gate = new serveGate.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, this.onServing.bind(this));
     this.dial.on("heartbeat", this.updateServeGate.bind(this));
     this.batches = new routerBatches.RouterBatches(this.incarnation, this.prefills, this.picker.admission);
@@ -124,7 +124,7 @@
     const { frontend, readiness: checked } = startup.bind_addresses;
     if (checked) root.add(readinessServer.readinessChild(checked, this.isReady.bind(this), this.status.bind(this)));
     if (frontend) root.add({ name: "frontend", start: server.listen.bind(server, frontend), stop: server.close.bind(server) });
-    root.add(root.turns("beats", link.BEAT_MS, this.sendHeartbeat.bind(this)));
+    root.add(root.turns("beats", link.HEARTBEAT_INTERVAL_MS, this.sendHeartbeat.bind(this)));
     root.add(root.turns("watch", WATCH_INTERVAL_MS, this.runPeriodically.bind(this)));
   }
 
@@ -140,7 +140,8 @@
     this.follower.updateSubscriptions();
     this.load.refresh(this.follower.replica);
     const dealer = this.follower.primary;
-    if (dealer?.heartbeat && this.clock.now() - dealer.heartbeatAt < link.BEAT_MS * 3) this.limits.setRouterCount(dealer.heartbeat.members);
+    if (dealer?.heartbeat && this.clock.now() - dealer.heartbeatAt < link.HEARTBEAT_INTERVAL_MS * 3)
+      this.limits.setRouterCount(dealer.heartbeat.members);
     this.borrower.runPeriodically();
     this.tenantGate.runPeriodically();
     this.fleet.peerGroups.routers = this.limits.routers;
@@ -151,7 +152,7 @@
   }
 
   private sendHints(told: schema.Signs): void {
-    this.follower.primary?.link.tell(calls.signs, told);
+    this.follower.primary?.link.send(calls.signs, told);
   }
 
   /** The runners of a region that is cut off from here are doubted. */
--- a/src/tallies/tally-calls.ts
+++ b/src/tallies/tally-calls.ts
@@ -26,7 +26,7 @@
   constructor(private readonly tallies: Pick<replicatedCounters.ReplicatedCounters, "add" | "total" | "totals">) {}
 
   /** Replies to any path that begins with PREFIX. */
-  async reply(asked: serve.Asked): Promise<serve.Told> {
+  async reply(asked: serve.HttpRequest): Promise<serve.HttpResponse> {
     const { method, path } = asked;
     if (method === "POST" && path.startsWith(UPDATE)) return this.update(path.slice(UPDATE.length), asked.body);
     if (method === "GET" && path.startsWith(DESCRIBE)) return this.describe(path.slice(DESCRIBE.length));
@@ -34,7 +34,7 @@
     return rejected(404, new errors.NotFoundError(`no call ${method} ${path}`, "see docs/tallies.md for the calls"));
   }
 
-  private async update(encoded: string, body: Buffer): Promise<serve.Told> {
+  private async update(encoded: string, body: Buffer): Promise<serve.HttpResponse> {
     const name = tallyRequest.parseName(encoded);
     if (name.isErr) return rejected(400, name.error);
     const add = tallyRequest.parseAdd(body);
@@ -43,14 +43,14 @@
     return RESPONSES[added]();
   }
 
-  private async describe(encoded: string): Promise<serve.Told> {
+  private async describe(encoded: string): Promise<serve.HttpResponse> {
     const name = tallyRequest.parseName(encoded);
     if (name.isErr) return rejected(400, name.error);
     const total = await this.tallies.total(name.value);
     return total === null ? notReady() : { status: 200, json: { total } };
   }
 
-  private async list(): Promise<serve.Told> {
+  private async list(): Promise<serve.HttpResponse> {
     const totals = await this.tallies.totals();
     if (!totals) return notReady();
     const sorted = [...totals].sort(([left], [right]) => (left < right ? -1 : 1));
@@ -58,7 +58,7 @@
   }
 }
 
-const RESPONSES: { readonly [Outcome in replicatedCounters.AddOutcome]: () => serve.Told } = {
+const RESPONSES: { readonly [Outcome in replicatedCounters.AddOutcome]: () => serve.HttpResponse } = {
   added: () => ({ status: 200, json: {} }),
   conflict: () => rejected(409, new errors.InvalidRequestError("this instance_id was added with another amount", "send a new instance_id")),
   busy: () => retryLater(503, RETRY_AFTER_S, "too few other control nodes are in reach to keep an add; nothing was done"),
@@ -66,17 +66,17 @@
   unknown: () => rejected(504, new errors.TimeoutError("not enough disks hold the add yet", "send it again with the same instance_id")),
 };
 
-function notReady(): serve.Told {
+function notReady(): serve.HttpResponse {
   return retryLater(503, RETRY_AFTER_S, "this control node has just started and does not know all tallies yet");
 }
 
-function retryLater(status: number, seconds: string, message: string): serve.Told {
+function retryLater(status: number, seconds: string, message: string): serve.HttpResponse {
   log.count(`tallies.refused_${status}`);
   const headers = { "Retry-After": seconds };
   return { status, headers, json: { message: `${message}; send the call again, to any control node` } };
 }
 
-function rejected(status: number, error: errors.CranewindError): serve.Told {
+function rejected(status: number, error: errors.CranewindError): serve.HttpResponse {
   log.count(`tallies.denied_${status}`);
   return { status, json: { message: error.message } };
 }
--- a/src/wire/calls.ts
+++ b/src/wire/calls.ts
@@ -7,19 +7,19 @@
 import * as tenantSchema from "./tenant-schema.js";
 
 /** A call: its code on the wire, and the codecs of both directions. */
-export interface Pair<Ask, Reply> {
+export interface Call<Ask, Reply> {
   readonly code: number;
   readonly name: string;
-  readonly ask: schema.Schema<Ask>;
+  readonly request: schema.Schema<Ask>;
   readonly reply: schema.Schema<Reply>;
 }
 
-const known = new Map<number, Pair<unknown, unknown>>();
+const known = new Map<number, Call<unknown, unknown>>();
 
-function pair<Ask, Reply>(code: number, name: string, ask: schema.Schema<Ask>, reply: schema.Schema<Reply>): Pair<Ask, Reply> {
-  const made = { code, name, ask, reply };
-  known.set(code, made);
-  return made;
+function defineCall<Ask, Reply>(code: number, name: string, request: schema.Schema<Ask>, reply: schema.Schema<Reply>): Call<Ask, Reply> {
+  const call = { code, name, request, reply };
+  known.set(code, call);
+  return call;
 }
 
 const optionalCodes = new Set<number>();
@@ -28,9 +28,14 @@
  * A call that only nodes with its feature turned on send to each other: it belongs to no release, so that builds with and
  * without it run side by side while the feature is off.
  */
-function optionalPair<Ask, Reply>(code: number, name: string, ask: schema.Schema<Ask>, reply: schema.Schema<Reply>): Pair<Ask, Reply> {
+function defineOptionalCall<Ask, Reply>(
+  code: number,
+  name: string,
+  request: schema.Schema<Ask>,
+  reply: schema.Schema<Reply>,
+): Call<Ask, Reply> {
   optionalCodes.add(code);
-  return pair(code, name, ask, reply);
+  return defineCall(code, name, request, reply);
 }
 
 /** Whether the code belongs to a feature and to no release. */
@@ -39,79 +44,79 @@
 }
 
 /** The call with this code, if there is one. */
-export function byCode(code: number): Pair<unknown, unknown> | undefined {
+export function byCode(code: number): Call<unknown, unknown> | undefined {
   return known.get(code);
 }
 
 /** A node introduces itself on a new link. */
-export const hello = pair(1, "hello", schema.hello, schema.known);
+export const hello = defineCall(1, "hello", schema.hello, schema.known);
 /** Sent with each heartbeat. */
-export const beat = pair(2, "beat", schema.beat, schema.empty);
+export const beat = defineCall(2, "beat", schema.beat, schema.empty);
 /** A control node's roster, to its siblings. */
-export const sessions = pair(3, "sessions", schema.sessions, schema.empty);
+export const sessions = defineCall(3, "sessions", schema.sessions, schema.empty);
 /** First phase of a round. */
-export const prepare = pair(4, "prepare", schema.prepare, schema.vote);
+export const prepare = defineCall(4, "prepare", schema.prepare, schema.vote);
 /** Second phase of a round. */
-export const accept = pair(5, "accept", schema.accept, schema.vote);
+export const accept = defineCall(5, "accept", schema.accept, schema.vote);
 /** A value is known to be chosen. */
-export const chosen = pair(6, "chosen", schema.chosen, schema.empty);
+export const chosen = defineCall(6, "chosen", schema.chosen, schema.empty);
 /** Asks for a newer chosen value. */
-export const ask = pair(7, "ask", schema.ask, schema.chosen);
+export const ask = defineCall(7, "ask", schema.ask, schema.chosen);
 /** Which topics to send. */
-export const follow = pair(8, "follow", schema.follow, schema.empty);
+export const follow = defineCall(8, "follow", schema.follow, schema.empty);
 /** Items of a topic that changed. */
-export const change = pair(9, "change", schema.change, schema.empty);
+export const change = defineCall(9, "change", schema.change, schema.empty);
 /** Changes of the platform's list, between control nodes. */
-export const instances = pair(10, "instances", schema.change, schema.heldList);
+export const instances = defineCall(10, "instances", schema.change, schema.heldList);
 /** Reports of a region, between control nodes. */
-export const report = pair(11, "report", schema.cellReport, schema.empty);
+export const report = defineCall(11, "report", schema.cellReport, schema.empty);
 /** What routers saw of runners. */
-export const signs = pair(12, "signs", schema.signs, schema.empty);
+export const signs = defineCall(12, "signs", schema.signs, schema.empty);
 /** A topic has moved on. */
-export const notice = pair(13, "notice", schema.notice, schema.empty);
+export const notice = defineCall(13, "notice", schema.notice, schema.empty);
 /** A router asks for leases. */
-export const lease = pair(40, "lease", leaseSchema.leaseAsk, leaseSchema.leaseReply);
+export const lease = defineCall(40, "lease", leaseSchema.leaseAsk, leaseSchema.leaseReply);
 /** Asks what a voter knows. */
-export const fence = pair(41, "fence", leaseSchema.fenceAsk, leaseSchema.fenceReply);
+export const fence = defineCall(41, "fence", leaseSchema.fenceAsk, leaseSchema.fenceReply);
 /** Control nodes that were met. */
-export const controls = pair(20, "controls", schema.controls, schema.empty);
+export const controls = defineCall(20, "controls", schema.controls, schema.empty);
 /** Asks for a whole roster. */
-export const whole = pair(21, "whole", schema.empty, schema.empty);
+export const whole = defineCall(21, "whole", schema.empty, schema.empty);
 
 // Of batches (design/batch 11).
 /** First phase of a round of the batch register. */
-export const batchPrepare = optionalPair(44, "batch_prepare", schema.prepare, schema.vote);
+export const batchPrepare = defineOptionalCall(44, "batch_prepare", schema.prepare, schema.vote);
 /** Second phase of a round of the batch register. */
-export const batchAccept = optionalPair(45, "batch_accept", schema.accept, schema.vote);
+export const batchAccept = defineOptionalCall(45, "batch_accept", schema.accept, schema.vote);
 /** A value of the batch register is known to be chosen. */
-export const batchChosen = optionalPair(46, "batch_chosen", schema.chosen, schema.empty);
+export const batchChosen = defineOptionalCall(46, "batch_chosen", schema.chosen, schema.empty);
 /** Asks for a newer chosen value of the batch register. */
-export const batchAsk = optionalPair(47, "batch_ask", schema.ask, schema.chosen);
+export const batchAsk = defineOptionalCall(47, "batch_ask", schema.ask, schema.chosen);
 /** Which disk a control node has in the batch register. */
-export const batchNode = optionalPair(48, "batch_node", batchSchema.batchNode, schema.empty);
+export const batchNode = defineOptionalCall(48, "batch_node", batchSchema.batchNode, schema.empty);
 /** A record is to be kept. */
-export const recordPut = optionalPair(49, "record_put", batchSchema.recordPut, batchSchema.recordKept);
+export const recordPut = defineOptionalCall(49, "record_put", batchSchema.recordPut, batchSchema.recordKept);
 /** Asks for a record. */
-export const recordGet = optionalPair(50, "record_get", batchSchema.recordKey, batchSchema.recordFound);
+export const recordGet = defineOptionalCall(50, "record_get", batchSchema.recordKey, batchSchema.recordFound);
 /** A control node's pass, told to a router. */
-export const batchPass = optionalPair(51, "batch_pass", batchSchema.batchPass, schema.empty);
+export const batchPass = defineOptionalCall(51, "batch_pass", batchSchema.batchPass, schema.empty);
 /** Asks a router for its counts. */
-export const routerLoads = optionalPair(52, "router_loads", schema.empty, batchSchema.routerLoads);
+export const routerLoads = defineOptionalCall(52, "router_loads", schema.empty, batchSchema.routerLoads);
 /** Loads that a control node gathered, to its siblings. */
-export const loadReport = optionalPair(53, "load_report", batchSchema.loadReport, schema.empty);
+export const loadReport = defineOptionalCall(53, "load_report", batchSchema.loadReport, schema.empty);
 
 // Of tenants: used only while a configuration with tenants is in force (design/tenants 6).
 /** A router asks for units of quotas, and for a control node's word on the configuration. */
-export const quota = optionalPair(54, "quota", tenantSchema.quotaAsk, tenantSchema.quotaReply);
+export const quota = defineOptionalCall(54, "quota", tenantSchema.quotaAsk, tenantSchema.quotaReply);
 
 // Of orders: sent only to nodes that name the feature in their beats (features.ts).
 /** An operator's order, passed on to the control node that proposes for all. */
-export const order = optionalPair(55, "order", orderSchema.forwardedOrder, orderSchema.orderAnswer);
+export const order = defineOptionalCall(55, "order", orderSchema.forwardedOrder, orderSchema.orderAnswer);
 
 // Of tallies: sent only to nodes that name the feature in their beats (design/tallies 4).
 /** What a control node holds of all tallies. */
-export const tallyBeat = optionalPair(56, "tally_beat", tallySchema.tallyBeat, tallySchema.tallyHeard);
+export const tallyBeat = defineOptionalCall(56, "tally_beat", tallySchema.tallyBeat, tallySchema.tallyHeard);
 /** Adds that a control node lacks; replied to once they are durable there. */
-export const tallyPush = optionalPair(57, "tally_push", tallySchema.tallyPush, tallySchema.tallyKept);
+export const tallyPush = defineOptionalCall(57, "tally_push", tallySchema.tallyPush, tallySchema.tallyKept);
 /** Asks for a part of a snapshot of all tallies. */
-export const tallySnapshot = optionalPair(58, "tally_snapshot", tallySchema.tallySnapshotAsk, tallySchema.tallySnapshotPart);
+export const tallySnapshot = defineOptionalCall(58, "tally_snapshot", tallySchema.tallySnapshotAsk, tallySchema.tallySnapshotPart);
--- a/src/wire/counts.ts
+++ b/src/wire/counts.ts
@@ -17,13 +17,13 @@
 }
 
 /** A frame was sent. */
-export function told(code: number, bodyBytes: number): void {
+export function recordSent(code: number, bodyBytes: number): void {
   framesTold[code] += 1;
   bytesTold[code] += bodyBytes + HEAD_BYTES;
 }
 
 /** A frame came. */
-export function heard(code: number, bodyBytes: number): void {
+export function recordReceived(code: number, bodyBytes: number): void {
   framesHeard[code] += 1;
   bytesHeard[code] += bodyBytes + HEAD_BYTES;
 }
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -8,15 +8,15 @@
 import * as errors from "../runtime/errors.js";
 import * as log from "../runtime/log.js";
 
-const HEAD_BYTES = 10; // length u32, kind u8, code u8, call id u32
+const HEADER_BYTES = 10; // length u32, kind u8, code u8, call id u32
 /** The bound on a frame's body. */
-export const MAX_BYTES = 24 * 1024 * 1024;
+export const MAX_FRAME_BYTES = 24 * 1024 * 1024;
 /** Each side beats so often, and ends a link that was silent for so long. */
-export const BEAT_MS = 300;
+export const HEARTBEAT_INTERVAL_MS = 300;
 /** A link that was silent for so long is ended. */
-export const SILENT_MS = 1800;
+export const LINK_TIMEOUT_MS = 1800;
 
-const TELL = 0;
+const ONE_WAY = 0;
 const CALL = 1;
 const REPLY = 2;
 
@@ -25,7 +25,7 @@
 /** The one table of what a process replies to (design 3.3). */
 export class Handlers {
   private readonly table = new Map<number, Handler>();
-  on<Ask, Reply>(pair: calls.Pair<Ask, Reply>, run: (link: Link, ask: Ask) => Promise<Reply | null> | Reply | null): void {
+  on<Ask, Reply>(pair: calls.Call<Ask, Reply>, run: (link: Link, ask: Ask) => Promise<Reply | null> | Reply | null): void {
     this.table.set(pair.code, run);
   }
   get(code: number): Handler | undefined {
@@ -33,10 +33,10 @@
   }
 }
 
-interface Waiting {
-  pair: calls.Pair<unknown, unknown>;
+interface PendingCall {
+  pair: calls.Call<unknown, unknown>;
   resolve(reply: unknown): void;
-  tick: types.Timer;
+  timer: types.Timer;
 }
 
 /** `end`: it is over, for this cause. */
@@ -46,13 +46,13 @@
 
 /** One connection between two own processes. */
 export class Link extends events.EventEmitter<LinkEvents> {
-  private readonly waiting = new Map<number, Waiting>();
-  private parts: Buffer[] = [];
-  private held = 0;
-  private wanted = HEAD_BYTES;
+  private readonly pendingCalls = new Map<number, PendingCall>();
+  private buffered: Buffer[] = [];
+  private bufferedBytes = 0;
+  private neededBytes = HEADER_BYTES;
   private lastCallId: number;
-  private readonly opening: release.Opening;
-  heardAt: types.SteadyMs;
+  private readonly opening: release.ReleaseHandshake;
+  lastReceivedAt: types.SteadyMs;
   isOpen = true;
 
   /** `firstCallId`: of the calls from this side; any will do, since the ids of the two sides are apart. */
@@ -64,9 +64,9 @@
   ) {
     super();
     this.lastCallId = (firstCallId - 1) >>> 0;
-    this.heardAt = clock.now();
+    this.lastReceivedAt = clock.now();
     socket.setNoDelay(true);
-    this.opening = new release.Opening(clock, socket, SILENT_MS, this.over.bind(this));
+    this.opening = new release.ReleaseHandshake(clock, socket, LINK_TIMEOUT_MS, this.close.bind(this));
     socket.on("data", this.read.bind(this));
     socket.on("error", (cause) => this.end(cause.message));
     socket.on("close", () => this.end("closed"));
@@ -74,59 +74,59 @@
 
   end(cause: string): void {
     if (this.isOpen) this.socket.destroy();
-    this.over(cause);
+    this.close(cause);
   }
 
-  private over(cause: string): void {
+  private close(cause: string): void {
     if (!this.isOpen) return;
     this.isOpen = false;
     this.opening.stop();
-    for (const item of this.waiting.values()) {
-      item.tick.stop();
+    for (const item of this.pendingCalls.values()) {
+      item.timer.stop();
       item.resolve(null);
     }
-    this.waiting.clear();
+    this.pendingCalls.clear();
     this.emit("end", cause);
   }
 
-  silentMs(): number {
-    return this.clock.now() - this.heardAt;
+  idleMs(): number {
+    return this.clock.now() - this.lastReceivedAt;
   }
 
-  private write(kind: number, code: number, id: number, body: Buffer): void {
+  private writeFrame(kind: number, code: number, id: number, body: Buffer): void {
     if (!this.isOpen) return;
-    const head = Buffer.allocUnsafe(HEAD_BYTES);
+    const head = Buffer.allocUnsafe(HEADER_BYTES);
     head.writeUInt32BE(body.length, 0);
     head.writeUInt8(kind, 4);
     head.writeUInt8(code, 5);
     head.writeUInt32BE(id, 6);
-    if (this.socket.writableLength > MAX_BYTES) {
+    if (this.socket.writableLength > MAX_FRAME_BYTES) {
       this.end("the other side does not read");
       return;
     }
-    counts.told(code, body.length);
+    counts.recordSent(code, body.length);
     this.socket.write(Buffer.concat([head, body]));
   }
 
-  tell<Ask, Reply>(pair: calls.Pair<Ask, Reply>, ask: Ask): void {
-    this.write(TELL, pair.code, 0, pair.ask.toBuffer(ask));
+  send<Ask, Reply>(pair: calls.Call<Ask, Reply>, ask: Ask): void {
+    this.writeFrame(ONE_WAY, pair.code, 0, pair.request.toBuffer(ask));
   }
 
   /** Null when no reply came in time or the link ended: nothing is known then. */
-  call<Ask, Reply>(pair: calls.Pair<Ask, Reply>, ask: Ask, withinMs: number): Promise<Reply | null> {
+  call<Ask, Reply>(pair: calls.Call<Ask, Reply>, ask: Ask, withinMs: number): Promise<Reply | null> {
     if (!this.isOpen) return Promise.resolve(null);
-    const { waiting, clock: world } = this;
+    const { pendingCalls: waiting, clock: world } = this;
     const nextCallId = this.nextCallId.bind(this);
-    const write = this.write.bind(this);
+    const write = this.writeFrame.bind(this);
     return new Promise(function start(resolve) {
-      const body = pair.ask.toBuffer(ask);
+      const body = pair.request.toBuffer(ask);
       const id = nextCallId();
       function late(): void {
         waiting.delete(id);
         resolve(null);
       }
       const tick = world.schedule(withinMs, late);
-      waiting.set(id, { pair, resolve, tick });
+      waiting.set(id, { pair, resolve, timer: tick });
       write(CALL, pair.code, id, body);
     });
   }
@@ -135,38 +135,38 @@
   private nextCallId(): number {
     do {
       this.lastCallId = (this.lastCallId + 1) >>> 0;
-    } while (this.waiting.has(this.lastCallId));
+    } while (this.pendingCalls.has(this.lastCallId));
     return this.lastCallId;
   }
 
   private read(bytes: Buffer): void {
     if (!this.isOpen) return;
-    this.heardAt = this.clock.now();
-    const chunk = this.opening.isOver ? bytes : this.opening.take(bytes);
-    if (chunk) this.frames(chunk);
+    this.lastReceivedAt = this.clock.now();
+    const chunk = this.opening.isOver ? bytes : this.opening.receiveFrame(bytes);
+    if (chunk) this.readFrames(chunk);
   }
 
-  private frames(chunk: Buffer): void {
-    this.parts.push(chunk);
-    this.held += chunk.length;
-    if (this.held < this.wanted) return;
-    let bytes = this.parts.length === 1 ? this.parts[0] : Buffer.concat(this.parts);
-    while (this.isOpen && bytes.length >= HEAD_BYTES) {
+  private readFrames(chunk: Buffer): void {
+    this.buffered.push(chunk);
+    this.bufferedBytes += chunk.length;
+    if (this.bufferedBytes < this.neededBytes) return;
+    let bytes = this.buffered.length === 1 ? this.buffered[0] : Buffer.concat(this.buffered);
+    while (this.isOpen && bytes.length >= HEADER_BYTES) {
       const length = bytes.readUInt32BE(0);
-      if (length > MAX_BYTES) {
-        this.garbled("a frame too long");
+      if (length > MAX_FRAME_BYTES) {
+        this.rejectFrame("a frame too long");
         return;
       }
-      if (bytes.length < HEAD_BYTES + length) break;
-      this.take(bytes.readUInt8(4), bytes.readUInt8(5), bytes.readUInt32BE(6), bytes.subarray(HEAD_BYTES, HEAD_BYTES + length));
-      bytes = bytes.subarray(HEAD_BYTES + length);
+      if (bytes.length < HEADER_BYTES + length) break;
+      this.take(bytes.readUInt8(4), bytes.readUInt8(5), bytes.readUInt32BE(6), bytes.subarray(HEADER_BYTES, HEADER_BYTES + length));
+      bytes = bytes.subarray(HEADER_BYTES + length);
     }
-    this.parts = bytes.length > 0 ? [bytes] : [];
-    this.held = bytes.length;
-    this.wanted = bytes.length >= HEAD_BYTES ? HEAD_BYTES + bytes.readUInt32BE(0) : HEAD_BYTES;
+    this.buffered = bytes.length > 0 ? [bytes] : [];
+    this.bufferedBytes = bytes.length;
+    this.neededBytes = bytes.length >= HEADER_BYTES ? HEADER_BYTES + bytes.readUInt32BE(0) : HEADER_BYTES;
   }
 
-  private garbled(what: string): void {
+  private rejectFrame(what: string): void {
     log.count("link.garbled");
     this.end(new errors.ConnectionError(what, "run the same release on both ends").message);
   }
@@ -174,15 +174,15 @@
   private take(kind: number, code: number, id: number, body: Buffer): void {
     const pair = calls.byCode(code);
     if (!pair || kind > REPLY) {
-      this.garbled(`unknown frame ${kind}/${code}`);
+      this.rejectFrame(`unknown frame ${kind}/${code}`);
       return;
     }
-    counts.heard(code, body.length);
+    counts.recordReceived(code, body.length);
     try {
-      if (kind === REPLY) this.settle(pair, id, body);
-      else void this.handle(pair, kind, id, pair.ask.fromBuffer(body));
+      if (kind === REPLY) this.resolveCall(pair, id, body);
+      else void this.runHandler(pair, kind, id, pair.request.fromBuffer(body));
     } catch {
-      this.garbled(`unreadable ${pair.name}`);
+      this.rejectFrame(`unreadable ${pair.name}`);
     }
   }
 
@@ -190,28 +190,28 @@
    * A reply whose call was given up, or that was there already, is dropped. A reply of another kind than its call, or
    * one that can't be read, ends the link, and with it the call, which still waits.
    */
-  private settle(pair: calls.Pair<unknown, unknown>, id: number, body: Buffer): void {
-    const item = this.waiting.get(id);
+  private resolveCall(pair: calls.Call<unknown, unknown>, id: number, body: Buffer): void {
+    const item = this.pendingCalls.get(id);
     if (!item) {
       log.count("link.late_reply");
       return;
     }
     if (item.pair.code !== pair.code) {
-      this.garbled(`a reply of ${pair.name} to a call of ${item.pair.name}`);
+      this.rejectFrame(`a reply of ${pair.name} to a call of ${item.pair.name}`);
       return;
     }
     const reply = pair.reply.fromBuffer(body);
-    this.waiting.delete(id);
-    item.tick.stop();
+    this.pendingCalls.delete(id);
+    item.timer.stop();
     item.resolve(reply);
   }
 
-  private async handle(pair: calls.Pair<unknown, unknown>, kind: number, id: number, ask: unknown): Promise<void> {
+  private async runHandler(pair: calls.Call<unknown, unknown>, kind: number, id: number, ask: unknown): Promise<void> {
     const run = this.handlers.get(pair.code);
     if (!run) return;
     try {
       const reply = await run(this, ask as never);
-      if (kind === CALL && reply !== null) this.write(REPLY, pair.code, id, pair.reply.toBuffer(reply));
+      if (kind === CALL && reply !== null) this.writeFrame(REPLY, pair.code, id, pair.reply.toBuffer(reply));
     } catch (cause) {
       log.count("link.handler_failed");
       log.state(`${pair.name} failed: ${errors.messageOf(cause)}`);
--- a/src/wire/release.ts
+++ b/src/wire/release.ts
@@ -14,10 +14,10 @@
 const LAST_KIND = 2;
 /** How long a denied link stays half open, so that the other side can read why. */
 const LINGER_MS = 1000;
-const MAX_TOLD = 256;
+const MAX_REMEMBERED_HOSTS = 256;
 
 /** What was last logged of each host: its line is repeated only when it changes. */
-const told = new Map<string, string>();
+const lastLogged = new Map<string, string>();
 
 /** The bytes that tell this release. */
 export function preamble(release: number): Buffer {
@@ -33,10 +33,10 @@
 }
 
 /** The start of one link, as this side hears it. */
-export class Opening {
+export class ReleaseHandshake {
   isOver = false;
-  private held: Buffer = Buffer.alloc(0);
-  private readonly tick: types.Timer;
+  private buffered: Buffer = Buffer.alloc(0);
+  private readonly timer: types.Timer;
   private readonly host: string;
 
   /** deny ends the link for the reason told. */
@@ -47,31 +47,31 @@
     private readonly deny: (cause: string) => void,
   ) {
     this.host = socket.remoteAddress ?? "an unknown host";
-    this.tick = clock.schedule(withinMs, this.late.bind(this));
+    this.timer = clock.schedule(withinMs, this.onTimeout.bind(this));
     socket.write(preamble(schema.RELEASE));
   }
 
   /** What follows the preamble; null while it is not whole, or when the link was denied. */
-  take(chunk: Buffer): Buffer | null {
-    this.held = this.held.length === 0 ? chunk : Buffer.concat([this.held, chunk]);
-    const least = Math.min(this.held.length, MAGIC.length);
-    if (!this.held.subarray(0, least).equals(MAGIC.subarray(0, least))) {
-      if (this.held.length > KIND_AT || this.held[0] > 1) this.denyStranger();
+  receiveFrame(chunk: Buffer): Buffer | null {
+    this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
+    const least = Math.min(this.buffered.length, MAGIC.length);
+    if (!this.buffered.subarray(0, least).equals(MAGIC.subarray(0, least))) {
+      if (this.buffered.length > KIND_AT || this.buffered[0] > 1) this.rejectUnknownPeer();
       return null;
     }
-    if (this.held.length < PREAMBLE_BYTES) return null;
-    const release = this.held.readUInt32BE(MAGIC.length);
+    if (this.buffered.length < PREAMBLE_BYTES) return null;
+    const release = this.buffered.readUInt32BE(MAGIC.length);
     if (release !== schema.RELEASE) {
       this.denyRelease(`release ${release}`);
       return null;
     }
     this.stop();
-    told.delete(this.host);
-    return this.held.subarray(PREAMBLE_BYTES);
+    lastLogged.delete(this.host);
+    return this.buffered.subarray(PREAMBLE_BYTES);
   }
 
-  private denyStranger(): void {
-    if (isOldFrame(this.held)) this.denyRelease("a build from before releases were told");
+  private rejectUnknownPeer(): void {
+    if (isOldFrame(this.buffered)) this.denyRelease("a build from before releases were told");
     else this.end("link.garbled", "the first bytes are no link's", "let nothing but cranewind nodes call this port");
   }
 
@@ -83,7 +83,7 @@
     );
   }
 
-  private late(): void {
+  private onTimeout(): void {
     if (!this.isOver)
       this.end("link.no_preamble", `${this.host} told no release in time`, "see that it is a cranewind node and reachable both ways");
   }
@@ -92,9 +92,9 @@
     this.stop();
     const { message } = new errors.ConnectionError(what, remedy);
     log.count(counter);
-    if (told.get(this.host) !== message) log.state(`link: denied: ${message}`);
-    if (told.size >= MAX_TOLD) told.clear();
-    told.set(this.host, message);
+    if (lastLogged.get(this.host) !== message) log.state(`link: denied: ${message}`);
+    if (lastLogged.size >= MAX_REMEMBERED_HOSTS) lastLogged.clear();
+    lastLogged.set(this.host, message);
     linger(this.clock, this.socket);
     this.deny(message);
   }
@@ -102,7 +102,7 @@
   /** The link ended, or its start is behind it. */
   stop(): void {
     this.isOver = true;
-    this.tick.stop();
+    this.timer.stop();
   }
 }
 
--- a/src/wire/serve.ts
+++ b/src/wire/serve.ts
@@ -8,7 +8,7 @@
 const MAX_BODY = 16 * 1024 * 1024;
 
 /** A request, its body read whole. */
-export interface Asked {
+export interface HttpRequest {
   method: string;
   path: string;
   query: URLSearchParams;
@@ -17,7 +17,7 @@
 }
 
 /** A response; json is its body. */
-export interface Told {
+export interface HttpResponse {
   status: number;
   headers?: Record<string, string>;
   json: unknown;
@@ -37,14 +37,14 @@
 ]);
 
 /** The response that an error becomes: a 4xx for what a majority refused, 503 while nothing is decided. */
-export function errorReply(error: errors.CranewindError): Told {
+export function errorReply(error: errors.CranewindError): HttpResponse {
   const status = STATUS.get(error.code) ?? 500;
   const headers = status === 503 ? { "Retry-After": "0.3" } : undefined;
   return { status, headers, json: { message: error.message } };
 }
 
 /** Replies to one call; what it throws ends the connection. */
-export type Reply = (asked: Asked) => Promise<Told> | Told;
+export type RequestHandler = (asked: HttpRequest) => Promise<HttpResponse> | HttpResponse;
 
 /** A listening server. */
 export interface Server {
@@ -52,7 +52,7 @@
 }
 
 /** Listens at the address; a body of over mostBodyBytes gets 413. */
-export async function serve(address: string, mostBodyBytes: number, reply: Reply): Promise<Server> {
+export async function serve(address: string, mostBodyBytes: number, reply: RequestHandler): Promise<Server> {
   function take(request: http.IncomingMessage, response: http.ServerResponse): void {
     function lost(cause: Error): void {
       log.count("serve.failed");
@@ -78,7 +78,12 @@
   return { close };
 }
 
-async function handle(request: http.IncomingMessage, response: http.ServerResponse, mostBytes: number, reply: Reply): Promise<void> {
+async function handle(
+  request: http.IncomingMessage,
+  response: http.ServerResponse,
+  mostBytes: number,
+  reply: RequestHandler,
+): Promise<void> {
   const parts: Buffer[] = [];
   let held = 0;
   for await (const chunk of request) {
@@ -100,7 +105,7 @@
   send(response, told, false);
 }
 
-function send(response: http.ServerResponse, told: Told, isLast: boolean): void {
+function send(response: http.ServerResponse, told: HttpResponse, isLast: boolean): void {
   const body = Buffer.from(JSON.stringify(told.json));
   const headers: Record<string, string | number> = { "Content-Type": "application/json", "Content-Length": body.length, ...told.headers };
   if (isLast) headers["Connection"] = "close";
@@ -109,7 +114,7 @@
 }
 
 /** A server as a child of the supervisor. */
-export function child(name: string, address: string | undefined, reply: Reply): tree.Child {
+export function child(name: string, address: string | undefined, reply: RequestHandler): tree.Child {
   let open: Server | null = null;
   return {
     name,
--- a/tests/contact.test.ts
+++ b/tests/contact.test.ts
@@ -206,7 +206,7 @@
   const { clock, network } = system;
   const a = systems.get(system, "a");
   const order = a.evacuate("z0");
-  let reply: serve.Told | null = null;
+  let reply: serve.HttpResponse | null = null;
   void order.then((told) => (reply = told));
   await clock.play(7); // its prepares are on their way
   network.frozen.add("a");
--- a/tests/counts.test.ts
+++ b/tests/counts.test.ts
@@ -18,7 +18,7 @@
   const ofAsk = () => counts.linkCounts().get("ask") ?? { framesTold: 0, bytesTold: 0, framesHeard: 0, bytesHeard: 0 };
   const before = ofAsk();
   await made.call(calls.ask, { epoch: types.small(1) }, 1000);
-  const bytes = calls.ask.ask.toBuffer({ epoch: types.small(1) }).length + calls.ask.reply.toBuffer({ value: null }).length + 20;
+  const bytes = calls.ask.request.toBuffer({ epoch: types.small(1) }).length + calls.ask.reply.toBuffer({ value: null }).length + 20;
   // Both ends are in this process: the call and its reply, told and heard.
   expect(ofAsk()).toEqual({
     framesTold: before.framesTold + 2,
--- a/tests/endpoint-list.test.ts
+++ b/tests/endpoint-list.test.ts
@@ -40,7 +40,7 @@
 test("each region has a topic with its instances, also a region without any; an instance moves with its zone", () => {
   const feed = new feedPublisher.FeedPublisher("p");
   const published: schema.Change[] = [];
-  const fake = { tell: (_pair: unknown, change: schema.Change) => published.push(change), once: () => undefined } as unknown as link.Link;
+  const fake = { send: (_pair: unknown, change: schema.Change) => published.push(change), once: () => undefined } as unknown as link.Link;
   const regions = new Map([
     ["z", "r"],
     ["y", "q"],
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -25,7 +25,7 @@
     this.endListeners.push(listener);
   }
 
-  tell(_pair: unknown, message: unknown): void {
+  send(_pair: unknown, message: unknown): void {
     this.sent.push(message);
   }
 
--- a/tests/model/network.ts
+++ b/tests/model/network.ts
@@ -88,19 +88,19 @@
     return this.network.clock.now() - this.heardMs;
   }
 
-  tell<Ask, Reply>(pair: calls.Pair<Ask, Reply>, ask: Ask): void {
+  send<Ask, Reply>(pair: calls.Call<Ask, Reply>, ask: Ask): void {
     if (!this.isOpen) return;
     this.network.send(
       this.from.address,
       this.to,
-      this.handle.bind(this, pair as calls.Pair<unknown, unknown>, pair.ask.toBuffer(ask), null),
+      this.handle.bind(this, pair as calls.Call<unknown, unknown>, pair.request.toBuffer(ask), null),
     );
   }
 
-  call<Ask, Reply>(pair: calls.Pair<Ask, Reply>, ask: Ask, withinMs: number): Promise<Reply | null> {
+  call<Ask, Reply>(pair: calls.Call<Ask, Reply>, ask: Ask, withinMs: number): Promise<Reply | null> {
     if (!this.isOpen) return Promise.resolve(null);
     const { network, from, to } = this;
-    const handle = this.handle.bind(this, pair as calls.Pair<unknown, unknown>, pair.ask.toBuffer(ask));
+    const handle = this.handle.bind(this, pair as calls.Call<unknown, unknown>, pair.request.toBuffer(ask));
     const silent = from.mutations.replyOfSilence(pair, ask) as Reply | null;
     return new Promise(function start(resolve) {
       const timer = from.clock.schedule(silent ? Math.min(withinMs, LIE_MS) : withinMs, giveUp);
@@ -118,11 +118,11 @@
     });
   }
 
-  private handle(pair: calls.Pair<unknown, unknown>, bytes: Buffer, answer: ((reply: Buffer) => void) | null): void {
+  private handle(pair: calls.Call<unknown, unknown>, bytes: Buffer, answer: ((reply: Buffer) => void) | null): void {
     const run = this.to.handlers.get(pair.code);
     if (!run) return;
     const back = this.to.links.get(this.from.address) ?? new ModelLink(this.network, this.to, this.from);
-    void Promise.resolve(run(back.asLink(), pair.ask.fromBuffer(bytes) as never)).then(reply);
+    void Promise.resolve(run(back.asLink(), pair.request.fromBuffer(bytes) as never)).then(reply);
     function reply(made: unknown): void {
       if (answer && made !== null && made !== undefined) answer(pair.reply.toBuffer(made));
     }
--- a/tests/model/node.ts
+++ b/tests/model/node.ts
@@ -98,7 +98,7 @@
     const { generation } = this;
     this.handlers = new link.Handlers();
     const life = `${this.address}/${generation}`;
-    this.dial = new dialer.Dialer(this.clock, this.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
+    this.dial = new dialer.Dialer(this.clock, this.address, this.handlers, this.describe.bind(this), link.LINK_TIMEOUT_MS);
     this.dial.addAddresses(this.seeds);
     const first = registerValue.initialValue(isBootstrap ? this.seeds : []);
     this.core = this.mutations.makeCore(this.clock, { incarnation: life, address: this.address, initialValue: first }, this.dial);
@@ -185,7 +185,7 @@
     const dial = this.dial as dialer.Dialer;
     let held = this.links.get(peer.address);
     const isReached = this.network.isConnected(this.address, peer.address) && !peer.isFrozen;
-    if (held && (held.silentMs() > link.SILENT_MS || held.generation !== peer.generation || !held.isOpen)) {
+    if (held && (held.silentMs() > link.LINK_TIMEOUT_MS || held.generation !== peer.generation || !held.isOpen)) {
       held.isOpen = false;
       this.links.delete(peer.address);
       dial.controls.delete(peer.address);
--- a/tests/parts.test.ts
+++ b/tests/parts.test.ts
@@ -16,7 +16,7 @@
   const told: schema.Change[] = [];
   const notices: schema.Notice[] = [];
   const fake = {
-    tell: (pair: { name: string }, ask: unknown) =>
+    send: (pair: { name: string }, ask: unknown) =>
       pair.name === "change" ? told.push(ask as schema.Change) : notices.push(ask as schema.Notice),
     once: () => undefined,
   } as unknown as link.Link;
--- a/tests/pictures.test.ts
+++ b/tests/pictures.test.ts
@@ -108,7 +108,7 @@
   const clock = new sims.SimWorld(1);
   const told: schema.CellReport[] = [];
   const dial = {
-    controls: new Map([["s", { link: { tell: (_pair: unknown, ask: schema.CellReport) => told.push(ask) } }]]),
+    controls: new Map([["s", { link: { send: (_pair: unknown, ask: schema.CellReport) => told.push(ask) } }]]),
   } as unknown as dialer.Dialer;
   const news = [usage.report("x")];
   const view = { reportingRunners: () => [], rankIn: (region: string) => (region === "r" ? 0 : 1), selectChanges: () => news };
--- a/tests/register-core.test.ts
+++ b/tests/register-core.test.ts
@@ -26,7 +26,7 @@
 function make(accepted: schema.Value): Made {
   const clock = new sim.SimWorld();
   const describe = (): schema.NodeInfo => nodeAt("a:1", "");
-  const dial = new dialer.Dialer(clock, "a:1", new link.Handlers(), describe, link.SILENT_MS);
+  const dial = new dialer.Dialer(clock, "a:1", new link.Handlers(), describe, link.LINK_TIMEOUT_MS);
   const core = new registerReplica.RegisterReplica(clock, { incarnation: "life", address: "a:1", initialValue: first }, dial);
   const disk = {
     disk: registerValue.initialDisk("a:1"),
--- a/tests/release.test.ts
+++ b/tests/release.test.ts
@@ -40,7 +40,7 @@
   const layout: unknown[] = [];
   for (let code = first; code <= last; code += 1) {
     const pair = calls.byCode(code);
-    if (pair && calls.isOptional(code) === isOptional) layout.push([code, schemaOf(pair.ask), schemaOf(pair.reply)]);
+    if (pair && calls.isOptional(code) === isOptional) layout.push([code, schemaOf(pair.request), schemaOf(pair.reply)]);
   }
   return layout;
 }
@@ -168,7 +168,7 @@
     await new Promise(setImmediate);
   }
   await until(() => epochs.length > 0);
-  await clock.play(link.SILENT_MS * 2);
+  await clock.play(link.LINK_TIMEOUT_MS * 2);
   expect([epochs, heard.made.isOpen]).toEqual([[3], true]);
   heard.made.end("test over");
 });
@@ -184,7 +184,7 @@
     heard.peer.write(Buffer.from(text, "latin1"));
     await until(() => heard.made.socket.bytesRead === text.length);
   }
-  await clock.play(link.SILENT_MS - 1);
+  await clock.play(link.LINK_TIMEOUT_MS - 1);
   expect(heard.made.isOpen).toBe(true);
   await clock.play(1);
   expect(heard.made.isOpen).toBe(false);
--- a/tests/sim/change-day.ts
+++ b/tests/sim/change-day.ts
@@ -29,7 +29,7 @@
 
   constructor(network: networks.SimNetwork, name: string, controls: readonly string[]) {
     const world = new networks.NodeWorld(network, name);
-    this.dial = new durableNode.NetworkDialer(world, "", this.handlers, () => fleet.nodeOf(name, "router", "r", ""), link.SILENT_MS);
+    this.dial = new durableNode.NetworkDialer(world, "", this.handlers, () => fleet.nodeOf(name, "router", "r", ""), link.LINK_TIMEOUT_MS);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     const follower = new feedSubscriber.FeedSubscriber(world, "r", this.dial, this.handlers, () => [], this);
     this.dial.addAddresses(controls.map(durableNode.addressOf));
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -72,7 +72,7 @@
     first: schema.Value,
   ) {
     const { world, network, name } = node;
-    this.dial = new NetworkDialer(world, addressOf(name), this.handlers, () => this.describe(), link.SILENT_MS);
+    this.dial = new NetworkDialer(world, addressOf(name), this.handlers, () => this.describe(), link.LINK_TIMEOUT_MS);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.dial.addAddresses(node.seeds.map(addressOf));
     this.feed = new feedPublisher.FeedPublisher(life);
@@ -81,7 +81,7 @@
     this.voterManager = new voterManager.VoterManager(world, this.core, () => [this.describe(), ...this.peers()]);
     this.handle();
     this.every(TURN_MS, () => this.turn());
-    this.every(link.BEAT_MS, () => this.beat());
+    this.every(link.HEARTBEAT_INTERVAL_MS, () => this.beat());
   }
 
   describe(): schema.NodeInfo {
@@ -140,7 +140,7 @@
     this.dial.sendHeartbeats({ isReady: true, epoch: this.epoch, isSettled, index: 0, members: 1, silentRegions: [] });
   }
 
-  call(method: string, path: string, base = 0, body: Buffer = Buffer.alloc(0)): Promise<serve.Told> {
+  call(method: string, path: string, base = 0, body: Buffer = Buffer.alloc(0)): Promise<serve.HttpResponse> {
     const headers = { "x-cranewind-base-version": String(base) };
     return Promise.resolve(this.operator.handle({ method, path, query: new URLSearchParams(), headers, body }));
   }
--- a/tests/sim/fleet.ts
+++ b/tests/sim/fleet.ts
@@ -51,8 +51,8 @@
     fleet: SimFleet,
     readonly info: schema.ControlInfo,
   ) {
-    this.members = new membership.Membership(fleet.clock, link.SILENT_MS, `${info.name}/1`);
-    this.dial = new SimDialer(fleet.clock, info.address, this.handlers, this.describe.bind(this), link.SILENT_MS);
+    this.members = new membership.Membership(fleet.clock, link.LINK_TIMEOUT_MS, `${info.name}/1`);
+    this.dial = new SimDialer(fleet.clock, info.address, this.handlers, this.describe.bind(this), link.LINK_TIMEOUT_MS);
     this.dial.reach = (address) => fleet.connect(address, this.handlers);
     this.handlers.on(calls.hello, (from, ask) => {
       this.members.openSession(ask.node, from);
@@ -119,7 +119,7 @@
       "",
       this.handlers,
       () => ({ ...nodeOf(name, "router", region, ""), isReady: this.isReady }),
-      link.SILENT_MS,
+      link.LINK_TIMEOUT_MS,
       selector,
     );
     this.dial.reach = (address) => {
@@ -176,7 +176,7 @@
     this.controls.set(made.info.address, made);
     made.dial.addAddresses(seeds);
     this.every(100, () => made.turn());
-    this.every(link.BEAT_MS, () => made.beat());
+    this.every(link.HEARTBEAT_INTERVAL_MS, () => made.beat());
     return made;
   }
 
@@ -184,7 +184,7 @@
     const made = new SimRouter(this, name, region, seeds);
     this.routers.push(made);
     this.every(100, () => made.isUp && made.dial.maintainLinks());
-    this.every(link.BEAT_MS, () => made.beat());
+    this.every(link.HEARTBEAT_INTERVAL_MS, () => made.beat());
     return made;
   }
 
--- a/tests/sim/links.ts
+++ b/tests/sim/links.ts
@@ -43,11 +43,11 @@
     super();
   }
 
-  tell<Ask>(pair: calls.Pair<Ask, unknown>, ask: Ask): void {
+  send<Ask>(pair: calls.Call<Ask, unknown>, ask: Ask): void {
     if (!this.isOpen) return;
-    const bytes = pair.ask.toBuffer(ask);
+    const bytes = pair.request.toBuffer(ask);
     if (this.isLosing) return;
-    let read = pair.ask.fromBuffer(bytes);
+    let read = pair.request.fromBuffer(bytes);
     if (this.garble && pair.name === "change") read = { ...read, digest: "0123456789abcdef" };
     this.frames.push({ name: pair.name, ask: read, bytes: bytes.length });
     this.clock.schedule(this.delayMs, () => this.isOpen && this.deliver(pair.name, read));
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -88,7 +88,7 @@
   readonly core: registerReplica.RegisterReplica;
   readonly leaseServer: leaseServer.LeaseServer;
   readonly contact: quorumContact.QuorumContact;
-  private readonly reply: serve.Reply;
+  private readonly reply: serve.RequestHandler;
   readonly said: Said[] = [];
   private readonly region: string;
   syncMs = 3;
@@ -102,10 +102,10 @@
     const world = (this.world = new networks.NodeWorld(network, name));
     this.region = options.region;
     const seeds = options.seeds.map(addressOf);
-    this.dial = new MemberDialer(world, addressOf(name), this.handlers, this.describe.bind(this), link.SILENT_MS);
+    this.dial = new MemberDialer(world, addressOf(name), this.handlers, this.describe.bind(this), link.LINK_TIMEOUT_MS);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.dial.addAddresses(seeds);
-    this.members = new membership.Membership(world, link.SILENT_MS, `${name}/1`);
+    this.members = new membership.Membership(world, link.LINK_TIMEOUT_MS, `${name}/1`);
     this.feed = new feedPublisher.FeedPublisher(`${name}/1`);
     const first = registerValue.initialValue(seeds);
     this.core = new registerReplica.RegisterReplica(
@@ -165,7 +165,7 @@
   }
 
   private run(): void {
-    every(this.world, link.BEAT_MS, () => this.beat());
+    every(this.world, link.HEARTBEAT_INTERVAL_MS, () => this.beat());
     every(this.world, 100, () => this.turn());
   }
 
@@ -216,11 +216,11 @@
   }
 
   /** An operator's call to this very node; no redirect is followed. */
-  async call(method: string, path: string): Promise<serve.Told> {
+  async call(method: string, path: string): Promise<serve.HttpResponse> {
     return this.reply({ method, path, query: new URLSearchParams(), headers: {}, body: Buffer.alloc(0) });
   }
 
-  evacuate(zone: string): Promise<serve.Told> {
+  evacuate(zone: string): Promise<serve.HttpResponse> {
     return this.call("POST", `/-/Evacuations.Start/${zone}`);
   }
 
--- a/tests/sim/order-load.ts
+++ b/tests/sim/order-load.ts
@@ -87,7 +87,7 @@
   async function order(caller: number, isStart: boolean): Promise<void> {
     const node = nodes.get(reached[caller % reached.length])!;
     const startedAt = clock.now();
-    const call: Promise<serve.Told> = node.call("POST", `/-/Evacuations.${isStart ? "Start" : "Stop"}/z${caller}`);
+    const call: Promise<serve.HttpResponse> = node.call("POST", `/-/Evacuations.${isStart ? "Start" : "Stop"}/z${caller}`);
     const told = await call;
     const ms = clock.now() - startedAt;
     if (told.status !== 200 || ms > ANSWER_MS) late += 1;
--- a/tests/sim/router-node.ts
+++ b/tests/sim/router-node.ts
@@ -29,7 +29,7 @@
     const world = new networks.NodeWorld(network, name);
     const selector = new sessionSelector.SessionSelector(world, { name, region });
     const describe = (): schema.NodeInfo => ({ ...fleet.nodeOf(name, "router", region, ""), isReady: this.gate.allows() });
-    this.dial = new members.MemberDialer(world, "", this.handlers, describe, link.SILENT_MS, selector);
+    this.dial = new members.MemberDialer(world, "", this.handlers, describe, link.LINK_TIMEOUT_MS, selector);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.gate = new serveGate.ServeGate(world, this.dial.controls, unconfirmedMs, () => (this.openedAt = network.clock.now()));
     this.dial.on("heartbeat", () => this.judge());
@@ -39,7 +39,7 @@
       return null;
     });
     this.dial.addAddresses(seeds.map(members.addressOf));
-    members.every(world, link.BEAT_MS, () => this.beat());
+    members.every(world, link.HEARTBEAT_INTERVAL_MS, () => this.beat());
     members.every(world, 100, () => this.turn());
   }
 
--- a/tests/sim/signs.ts
+++ b/tests/sim/signs.ts
@@ -9,7 +9,7 @@
 export class FakeLink {
   readonly told: schema.Signs[] = [];
   readonly ends: (() => void)[] = [];
-  tell(_pair: unknown, ask: unknown): void {
+  send(_pair: unknown, ask: unknown): void {
     this.told.push(ask as schema.Signs);
   }
   once(_event: string, run: () => void): this {
--- a/tests/sim/system.ts
+++ b/tests/sim/system.ts
@@ -37,9 +37,9 @@
 }
 
 /** Plays until the call is answered; how long that took. */
-export async function answered(system: System, call: Promise<serve.Told>): Promise<{ told: serve.Told; ms: number }> {
+export async function answered(system: System, call: Promise<serve.HttpResponse>): Promise<{ told: serve.HttpResponse; ms: number }> {
   const from = system.clock.now();
-  let told: serve.Told | null = null;
+  let told: serve.HttpResponse | null = null;
   void call.then((reply) => (told = reply));
   while (!told && system.clock.now() - from < 10_000) await system.clock.play(10);
   return { told: told!, ms: system.clock.now() - from };
--- a/tests/sim/watch.ts
+++ b/tests/sim/watch.ts
@@ -18,7 +18,7 @@
     tell(pair, ask);
     return reply(ask);
   };
-  return { controls: new Map([["sibling", { link: { tell, call } }]]) } as unknown as dialer.Dialer;
+  return { controls: new Map([["sibling", { link: { send: tell, call } }]]) } as unknown as dialer.Dialer;
 }
 
 export function keysOf(change: schema.Change): string[] {
--- a/tests/support/tally-cluster.ts
+++ b/tests/support/tally-cluster.ts
@@ -114,15 +114,15 @@
   }
 
   /** Calls may come late, and get lost in cuts; what arrives does so in order. */
-  call<Ask, Reply>(pair: calls.Pair<Ask, Reply>, ask: Ask, withinMs: number): Promise<Reply | null> {
+  call<Ask, Reply>(pair: calls.Call<Ask, Reply>, ask: Ask, withinMs: number): Promise<Reply | null> {
     const { cluster, from, to, lives } = this;
-    const bytes = pair.ask.toBuffer(ask);
+    const bytes = pair.request.toBuffer(ask);
     return new Promise((resolve) => {
       cluster.clock.schedule(withinMs, () => !lives[0].isDead && resolve(null));
       this.deliver(from, to, () => {
         const run = lives[1].handlers.get(pair.code);
         if (!run || lives[1].isDead) return;
-        void Promise.resolve(run(this as unknown as link.Link, pair.ask.fromBuffer(bytes) as never)).then((reply) => {
+        void Promise.resolve(run(this as unknown as link.Link, pair.request.fromBuffer(bytes) as never)).then((reply) => {
           if (reply === null || lives[1].isDead) return;
           const told = pair.reply.toBuffer(reply as Reply);
           this.deliver(to, from, () => {
--- a/tests/value-size.test.ts
+++ b/tests/value-size.test.ts
@@ -100,6 +100,6 @@
   const taken = (order.isOk ? order.value(valueOf(0, 0)) : order).unwrapOr(null) as schema.Value;
   expect(JSON.stringify(registerValue.unpack(taken.config)).length).toBeGreaterThan(0.9 * change.MAX_DOCUMENT_BYTES);
   const sizes = sizesOf(taken);
-  process.stderr.write(`the largest: ${JSON.stringify(sizes)}, bound ${link.MAX_BYTES}\n`);
-  expect(Math.max(sizes.accept, sizes.record, sizes.view)).toBeLessThan(link.MAX_BYTES);
+  process.stderr.write(`the largest: ${JSON.stringify(sizes)}, bound ${link.MAX_FRAME_BYTES}\n`);
+  expect(Math.max(sizes.accept, sizes.record, sizes.view)).toBeLessThan(link.MAX_FRAME_BYTES);
 });
