--- a/src/tallies/acknowledgements.ts
+++ b/src/tallies/acknowledgements.ts
@@ -7,7 +7,7 @@
 import * as peerTable from "./peer-table.js";
 import type * as counterStore from "./counter-store.js";
 
-/** A node that has just started, as after a loss of power of all, takes nobody for cut off before this. */
+/** A node that has just started, as after a loss of power everywhere, takes nobody for partitioned before this. */
 const STARTUP_GRACE_MS = 5000;
 
 /** What decides on acknowledgements. */
@@ -21,7 +21,7 @@
   required(): number;
   /** Addresses of the other nodes that should keep tallies. */
   expected(): Iterable<string>;
-  /** Whether any router of the zone was heard lately. */
+  /** Whether any router of the zone has sent a heartbeat lately. */
   isZoneHeard(zone: string): boolean;
 }
 
@@ -49,10 +49,10 @@
     return this.pending.size;
   }
 
-  /** Resolves once the stream is held up to the position by enough disks, or after the time. */
-  wait(stream: string, position: number, withinMs: number): Promise<Outcome> {
+  /** Resolves once enough disks hold the stream up to the position, or after the time-out. */
+  wait(stream: string, position: number, timeoutMs: number): Promise<Outcome> {
     return new Promise((resolve) => {
-      const timer = this.parts.clock.schedule(withinMs, () => this.end(item, "unknown"));
+      const timer = this.parts.clock.schedule(timeoutMs, () => this.end(item, "unknown"));
       const item: PendingAdd = { stream, position, resolve, timer };
       this.pending.add(item);
       this.resolveIfDurable(item, this.isPartitioned());
@@ -62,8 +62,8 @@
   /** Called whenever a disk holds more, and each 100 ms: a cut shows by time alone. */
   check(): void {
     if (this.pending.size === 0) return;
-    const isApart = this.isPartitioned();
-    for (const item of [...this.pending]) this.resolveIfDurable(item, isApart);
+    const isPartitioned = this.isPartitioned();
+    for (const item of [...this.pending]) this.resolveIfDurable(item, isPartitioned);
   }
 
   /** Whether enough disks are in reach for an add, or a cut excuses that they are not. */
@@ -71,12 +71,12 @@
     return this.reachableDisks() >= this.parts.required() || this.isPartitioned();
   }
 
-  private resolveIfDurable(item: PendingAdd, isApart: boolean): void {
+  private resolveIfDurable(item: PendingAdd, isPartitioned: boolean): void {
     const { store, peers: all, isCounted } = this.parts;
     const isOwn = store.durableOffset(item.stream) >= item.position;
     const holders = all.countReplicas(item.stream, item.position) + (isOwn && isCounted ? 1 : 0);
     if (holders >= this.parts.required()) this.end(item, "durable");
-    else if (isApart && isOwn && this.allInTouchHold(item)) {
+    else if (isPartitioned && isOwn && this.allInTouchHold(item)) {
       log.count("tallies.acknowledged_apart");
       this.end(item, "durable");
     }
@@ -92,13 +92,13 @@
   }
 
   /**
-   * Whether this node is cut off from so many others that an add can't be on enough disks. Others without power are no
-   * cut: the disks left might be lost before they are back. A node that beats here but answers nothing is behind a cut of one
-   * way; one that is silent together with all routers of its zone is taken for cut off.
+   * Whether this node is partitioned from so many peers that an add can't reach enough disks. Peers without power are no
+   * partition: the remaining disks might be lost before they are back. A peer whose heartbeats arrive but which answers nothing is
+   * behind a one-way partition; one that is silent together with all routers of its zone is taken for partitioned.
    */
   isPartitioned(): boolean {
-    const { clock: world } = this.parts;
-    if (world.now() - this.startedAt < STARTUP_GRACE_MS || this.reachableDisks() >= this.parts.required()) return false;
+    const { clock } = this.parts;
+    if (clock.now() - this.startedAt < STARTUP_GRACE_MS || this.reachableDisks() >= this.parts.required()) return false;
     for (const address of this.parts.expected()) if (this.isCutOff(address)) return true;
     return false;
   }
--- a/src/tallies/counter-state.ts
+++ b/src/tallies/counter-state.ts
@@ -1,9 +1,9 @@
 /**
- * All tallies as one node knows them, as a state machine without I/O (design/tallies 3). Each life of a node has one
- * stream of the adds that it accepted; a node holds a stream up to a position, without gaps. A total is the sum over all
+ * All tallies as one node knows them, as a state machine without I/O (design/tallies 3). Each incarnation of a node
+ * has one stream of the adds that it accepted; a node holds a stream up to an offset, without gaps. A total is the sum over all
  * distinct ids, so it does not depend on the order in which adds came, nor on how often one was accepted.
  *
- * Adds that every member holds are folded: their sums stay, the adds go, and their ids are remembered for some eras.
+ * Adds that every member holds are compacted: their sums stay, the adds are dropped, and their ids are remembered for some eras.
  * Ids are the same only if their eras are near each other; an era ends only when all members hold what came before it, so
  * that an id is forgotten everywhere before it can be taken for a new one anywhere (design/tallies 6).
  */
@@ -12,16 +12,16 @@
 /** Two adds with one id count once if their eras are at most so far apart. */
 export const MAX_ERA_DISTANCE = 2;
 
-/** An id as it counts. `folded`: the part of `amount` that stands in the folded sums; null while none does. */
+/** An id as it counts. `compacted`: the part of `amount` that is in the compacted sums; null while none is. */
 interface CountedId {
   amount: number;
   compacted: number | null;
-  /** Where it was first seen; empty and 0 where it came in a snapshot's folded sums. */
+  /** Where it was first seen; empty and 0 where it came with a snapshot's compacted sums. */
   stream: string;
   position: number;
 }
 
-/** Adds 1 to `folded` are folded; `adds` follow them. */
+/** Adds 1 to `compacted` are compacted; `adds` follow them. */
 interface Stream {
   compacted: number;
   adds: TallyAdd[];
@@ -37,7 +37,7 @@
 
 /** Reads and changes of all tallies; nothing in here waits. */
 export class CounterState {
-  /** Of this node; grows only (eras.ts). */
+  /** Of this node; grows only (era-advancer.ts). */
   era = 0;
   private readonly streams = new Map<string, Stream>();
   private readonly totals = new Map<string, number>();
@@ -55,13 +55,13 @@
     return [...this.totals.keys()];
   }
 
-  /** How much of the stream is held. */
+  /** The offset of the last add that is held of the stream. */
   offsetOf(stream: string): number {
     const found = this.streams.get(stream);
     return found ? found.compacted + found.adds.length : 0;
   }
 
-  /** How much of the stream is folded, and can be told only by a snapshot. */
+  /** The offset up to which the stream is compacted; peers that lack it need a snapshot. */
   compactedOffset(stream: string): number {
     return this.streams.get(stream)?.compacted ?? 0;
   }
@@ -86,14 +86,14 @@
     return null;
   }
 
-  /** The adds after position `after` that are not folded, `most` of them; empty where `after` lies in the folded part. */
-  addsAfter(stream: string, after: number, most: number): TallyAdd[] {
+  /** At most `limit` adds after the offset `after`; empty where `after` lies in the compacted part. */
+  addsAfter(stream: string, after: number, limit: number): TallyAdd[] {
     const found = this.streams.get(stream);
     if (!found || after < found.compacted) return [];
-    return found.adds.slice(after - found.compacted, after - found.compacted + most);
+    return found.adds.slice(after - found.compacted, after - found.compacted + limit);
   }
 
-  /** Takes the stream's next add and counts it. */
+  /** Appends the stream's next add and counts it. */
   append(stream: string, add: TallyAdd): AppendResult {
     const { compacted: folded, adds } = this.streamOf(stream);
     const position = folded + adds.push(add);
@@ -113,7 +113,7 @@
     return "conflicting";
   }
 
-  /** Folds the stream up to a position that every member holds. */
+  /** Compacts the stream up to an offset that every member holds; returns how many adds were dropped. */
   compact(stream: string, position: number): number {
     const found = this.streamOf(stream);
     const count = Math.min(position - found.compacted, found.adds.length);
@@ -131,7 +131,7 @@
     counted.compacted = add.amount;
   }
 
-  /** Forgets ids that no add to come can repeat; an era with adds that are not folded stays. */
+  /** Forgets ids that no add to come can repeat; an era with adds that are not compacted stays. */
   forgetOldIds(): void {
     let oldest = this.era - MAX_ERA_DISTANCE;
     for (const { adds } of this.streams.values()) if (adds.length > 0) oldest = Math.min(oldest, adds[0].era - MAX_ERA_DISTANCE);
@@ -142,31 +142,31 @@
     }
   }
 
-  /** The folded sums. */
+  /** The compacted sums. */
   sums(): Iterable<[tally: string, sum: number]> {
     return this.compactedSums;
   }
 
-  /** Ids that stand in the folded sums, with the amount there. */
+  /** Ids that are in the compacted sums, with the amount there. */
   *compactedIds(): Generator<{ key: string; era: number; amount: number }> {
     for (const [era, ids] of this.eras) {
       for (const [key, { compacted: folded }] of ids) if (folded !== null) yield { key, era, amount: folded };
     }
   }
 
-  /** Only for restoring a snapshot: a folded sum. */
+  /** Only for restoring a snapshot: a compacted sum. */
   restoreSum(tally: string, sum: number): void {
     this.compactedSums.set(tally, sum);
     this.increase(this.totals, tally, sum);
   }
 
-  /** Only for restoring a snapshot: an id that stands in the folded sums. */
+  /** Only for restoring a snapshot: an id that is in the compacted sums. */
   restoreId(key: string, era: number, amount: number): void {
     this.idsOf(era).set(key, { amount, compacted: amount, stream: "", position: 0 });
     this.idCount += 1;
   }
 
-  /** Only for restoring a snapshot: how much of a stream is folded. */
+  /** Only for restoring a snapshot: the offset up to which a stream is compacted. */
   restoreStream(stream: string, folded: number): void {
     this.streams.set(stream, { compacted: folded, adds: [] });
   }
--- a/src/tallies/counter-store.ts
+++ b/src/tallies/counter-store.ts
@@ -1,5 +1,5 @@
 /**
- * One node's tallies with their disk: the ledger in memory, the log behind it, and how much of each stream is durable
+ * One node's tallies with their disk: the state in memory, the log behind it, and how much of each stream is durable
  * (design/tallies 5). Changes count at once; whoever promises anything waits until they are durable.
  */
 import * as log from "../runtime/log.js";
@@ -16,16 +16,16 @@
   state = new counterState.CounterState();
   /** Empty until the disk is read. */
   diskId = "";
-  /** Whether this disk holds what the system held before it was made (readiness.ts). */
+  /** Whether this disk holds what the system held before it was made (totals-readiness.ts). */
   isComplete = false;
-  /** Whether the disk was made whole in an earlier life. */
+  /** Whether the disk was complete before this incarnation opened it. */
   wasComplete = false;
   /** The era as the disk holds it: all adds of earlier eras are durable, too. */
   durableEra = 0;
   private readonly durableOffsets = new Map<string, number>();
   private log: counterLog.CounterLog | null = null;
   private isClosed = false;
-  /** Snapshots under way: folding rests meanwhile. */
+  /** Snapshots being read: compaction pauses meanwhile. */
   private openSnapshots = 0;
 
   constructor(
@@ -48,7 +48,7 @@
       this.log = opened.log;
       this.recordDurable(this.positions());
       this.durableEra = this.state.era;
-      log.state(`tallies: disk ${this.diskId} is open, ${this.wasComplete ? "whole" : "new"}`);
+      log.state(`tallies: disk ${this.diskId} is open, ${this.wasComplete ? "complete" : "new"}`);
     } catch (cause) {
       log.count("tallies.disk_refused");
       log.state(`tallies: the disk can't be opened: ${storageRemedies.describeFailure(cause)}`);
@@ -72,14 +72,14 @@
     return [...this.durableOffsets].map(([stream, position]) => ({ stream, position }));
   }
 
-  /** Counts adds that follow what is held of the stream; what is held already is passed over, and nothing is taken after a gap. */
+  /** Appends adds that follow the offset of the stream. Adds below it are skipped, and nothing is appended after a gap. */
   appendAdds(stream: string, from: number, adds: readonly TallyAdd[]): Promise<void> {
     const taken: TallyRecord[] = [];
     for (const [index, add] of adds.entries()) {
       const position = from + index;
-      const held = this.state.offsetOf(stream);
-      if (position > held + 1) break;
-      if (position <= held) continue;
+      const offset = this.state.offsetOf(stream);
+      if (position > offset + 1) break;
+      if (position <= offset) continue;
       const counted = this.state.append(stream, add);
       if (counted !== "new") log.count(`tallies.${counted}`);
       taken.push(logRecords.addRecord(stream, position, add));
@@ -96,21 +96,21 @@
     this.durableEra = Math.max(this.durableEra, era);
   }
 
-  /** The disk holds all that it should from now on. */
+  /** Marks the disk as complete: it holds all that it should from now on. */
   markComplete(): void {
     this.isComplete = true;
     void this.append([logRecords.completeRecord()], []);
   }
 
-  /** Takes another node's snapshot in the place of what is held, but for what only this node holds. False: it is not ahead. */
+  /** Replaces the state by a peer's snapshot together with the adds that only this node holds. False, and no change: the peer is not ahead. */
   async mergeSnapshot(snapshot: Iterable<TallyRecord>): Promise<boolean> {
-    const ledger = logRecords.mergeSnapshot(snapshot, this.state);
-    if (!ledger || !this.log) return false;
-    this.state = ledger;
+    const state = logRecords.mergeSnapshot(snapshot, this.state);
+    if (!state || !this.log) return false;
+    this.state = state;
     const positions = this.positions();
     await this.log.writeSnapshot();
     this.recordDurable(positions);
-    this.durableEra = Math.max(this.durableEra, ledger.era);
+    this.durableEra = Math.max(this.durableEra, state.era);
     return true;
   }
 
@@ -125,13 +125,13 @@
     this.openSnapshots -= 1;
   }
 
-  /** Folds what every member holds, unless a snapshot is under way. */
+  /** Compacts what every member holds, unless a snapshot is being read. */
   compact(positions: Iterable<StreamPosition>): void {
     if (this.openSnapshots > 0) return;
-    let folded = 0;
-    for (const { stream, position } of positions) folded += this.state.compact(stream, Math.min(position, this.durableOffset(stream)));
+    let compacted = 0;
+    for (const { stream, position } of positions) compacted += this.state.compact(stream, Math.min(position, this.durableOffset(stream)));
     this.state.forgetOldIds();
-    if (folded > 0) log.count("tallies.folded", folded);
+    if (compacted > 0) log.count("tallies.folded", compacted);
   }
 
   status(): unknown {
--- a/src/tallies/era-advancer.ts
+++ b/src/tallies/era-advancer.ts
@@ -1,20 +1,20 @@
 /**
- * When an era ends (design/tallies 6). A node goes on to the next one only when every member has told that it is in this
- * one, and all that they told is held here: so eras of members are at most one apart, and an id that is forgotten is
- * forgotten by all before any of them could take it for a new one that others take for a known one.
+ * Advances the era in which ids are remembered (design/tallies 6). A node enters the next era only when every member has
+ * reported the current one and this disk holds all that they reported. Members' eras are therefore at most one apart, and an id
+ * is forgotten everywhere before any node could take a repeat for a new add.
  */
 import type * as types from "../wire/types.js";
 import type * as peerTable from "./peer-table.js";
 import type * as counterStore from "./counter-store.js";
 
-/** An era lasts at least so long, unless it has many ids. */
+/** The minimum duration of an era, unless it has many ids. */
 export const ERA_DURATION_MS = 10 * 60_000;
-/** With so many ids remembered an era ends sooner. */
+/** With this many remembered ids an era ends sooner. */
 export const MANY_IDS = 60_000;
 /** The shortest era, however many ids there are. */
 const MIN_ERA_DURATION_MS = 10_000;
 
-/** Moves the own era on. */
+/** Advances the era of this node. */
 export class EraAdvancer {
   private enteredAt: types.SteadyMs;
 
@@ -25,7 +25,7 @@
     this.enteredAt = clock.now();
   }
 
-  /** Called each second with all members; null where one of them was never met. */
+  /** Called each second with all members; null while one of them was never met. */
   advanceIfDue(members: readonly peerTable.Peer[] | null): void {
     const { store } = this;
     if (!members || !store.isComplete || !this.isDue()) return;
--- a/src/tallies/log-records.ts
+++ b/src/tallies/log-records.ts
@@ -1,6 +1,6 @@
 /**
- * The ledger as records, for the log on disk and for snapshots that another node takes (design/tallies 5). A snapshot is
- * made piece by piece while adds go on coming: folding must rest meanwhile, and adds that came after it began follow it.
+ * The counter state as records, for the log on disk and for snapshots that a peer fetches (design/tallies 5). A snapshot is
+ * read in steps while adds go on coming: compaction must pause meanwhile, and adds that came after its begin follow it.
  */
 import type { TallyAdd, TallyRecord } from "../wire/tally-schema.js";
 import * as counterState from "./counter-state.js";
@@ -13,11 +13,11 @@
   era: 1,
   /** The node holds what the system held before its disk was made. */
   whole: 2,
-  /** `tally`, `amount`: a folded sum. */
+  /** `tally`, `amount`: a compacted sum. */
   sum: 3,
-  /** `tally`, `id`, `era`, `amount`: an id in the folded sums. */
+  /** `tally`, `id`, `era`, `amount`: an id in the compacted sums. */
   id: 4,
-  /** `stream`, `position`: so much of it is folded. */
+  /** `stream`, `position`: the stream is compacted up to the position. */
   stream: 5,
   /** `stream`, `position`, and the fields of an add. */
   add: 6,
@@ -35,7 +35,7 @@
   return { ...BLANK, kind: KIND.era, era };
 }
 
-/** That the node is whole. */
+/** Says that the disk is complete. */
 export function completeRecord(): TallyRecord {
   return { ...BLANK, kind: KIND.whole };
 }
@@ -45,28 +45,28 @@
   return { kind: KIND.add, stream, position, tally, id, amount, era };
 }
 
-/** All records of a ledger as it is when this is called; the ledger may take adds, but not fold, until the last one is read. */
-export function snapshotRecords(ledger: counterState.CounterState): Generator<TallyRecord> {
+/** All records of the state as of this call. Until the last one is read, the state may take adds but may not be compacted. */
+export function snapshotRecords(state: counterState.CounterState): Generator<TallyRecord> {
   const ends = new Map<string, number>();
-  for (const stream of ledger.streamNames()) ends.set(stream, ledger.offsetOf(stream));
-  return recordsOf(ledger, ends);
+  for (const stream of state.streamNames()) ends.set(stream, state.offsetOf(stream));
+  return recordsOf(state, ends);
 }
 
 /** Adds are read so many at a time. */
 const ADDS_PER_STEP = 256;
 
-function* recordsOf(ledger: counterState.CounterState, ends: ReadonlyMap<string, number>): Generator<TallyRecord> {
-  yield eraRecord(ledger.era);
-  for (const [tally, amount] of ledger.sums()) yield { ...BLANK, kind: KIND.sum, tally, amount };
-  for (const { key, era, amount } of ledger.compactedIds()) {
+function* recordsOf(state: counterState.CounterState, ends: ReadonlyMap<string, number>): Generator<TallyRecord> {
+  yield eraRecord(state.era);
+  for (const [tally, amount] of state.sums()) yield { ...BLANK, kind: KIND.sum, tally, amount };
+  for (const { key, era, amount } of state.compactedIds()) {
     const [tally, id] = key.split("\n");
     yield { ...BLANK, kind: KIND.id, tally, id, era, amount };
   }
   for (const [stream, end] of ends) {
-    let position = ledger.compactedOffset(stream);
+    let position = state.compactedOffset(stream);
     yield { ...BLANK, kind: KIND.stream, stream, position };
     while (position < end) {
-      for (const add of ledger.addsAfter(stream, position, Math.min(ADDS_PER_STEP, end - position))) {
+      for (const add of state.addsAfter(stream, position, Math.min(ADDS_PER_STEP, end - position))) {
         position += 1;
         yield addRecord(stream, position, add);
       }
@@ -75,31 +75,31 @@
 }
 
 /** Takes one record of a snapshot or a log. An add that is held already is passed over; one after a gap is left out (false). */
-export function applyRecord(ledger: counterState.CounterState, record: TallyRecord): boolean {
+export function applyRecord(state: counterState.CounterState, record: TallyRecord): boolean {
   const { kind, stream, position, tally, id, amount, era } = record;
-  if (kind === KIND.era) ledger.era = Math.max(ledger.era, era);
-  if (kind === KIND.sum) ledger.restoreSum(tally, amount);
-  if (kind === KIND.id) ledger.restoreId(counterState.keyOf(tally, id), era, amount);
-  if (kind === KIND.stream) ledger.restoreStream(stream, position);
+  if (kind === KIND.era) state.era = Math.max(state.era, era);
+  if (kind === KIND.sum) state.restoreSum(tally, amount);
+  if (kind === KIND.id) state.restoreId(counterState.keyOf(tally, id), era, amount);
+  if (kind === KIND.stream) state.restoreStream(stream, position);
   if (kind !== KIND.add) return true;
-  const held = ledger.offsetOf(stream);
+  const held = state.offsetOf(stream);
   if (position > held + 1) return false;
-  if (position === held + 1) ledger.append(stream, { tally, id, amount, era });
+  if (position === held + 1) state.append(stream, { tally, id, amount, era });
   return true;
 }
 
 /**
- * A ledger made of another node's snapshot and of what this node alone holds. Null where the other one lacks adds that are
- * folded here: then it is not ahead, and nothing may be given up for it.
+ * The state made of a peer's snapshot and of the adds that this node alone holds. Null where the peer lacks adds that are
+ * compacted here: then it is not ahead and must not replace anything.
  */
 export function mergeSnapshot(snapshot: Iterable<TallyRecord>, own: counterState.CounterState): counterState.CounterState | null {
-  const ledger = new counterState.CounterState();
-  for (const record of snapshot) if (!applyRecord(ledger, record)) return null;
+  const state = new counterState.CounterState();
+  for (const record of snapshot) if (!applyRecord(state, record)) return null;
   for (const stream of own.streamNames()) {
-    const held = ledger.offsetOf(stream);
+    const held = state.offsetOf(stream);
     if (held < own.compactedOffset(stream)) return null;
-    for (const add of own.addsAfter(stream, held, Infinity)) ledger.append(stream, add);
+    for (const add of own.addsAfter(stream, held, Infinity)) state.append(stream, add);
   }
-  ledger.era = Math.max(ledger.era, own.era);
-  return ledger;
+  state.era = Math.max(state.era, own.era);
+  return state;
 }
--- a/src/tallies/peer-session.ts
+++ b/src/tallies/peer-session.ts
@@ -1,4 +1,4 @@
-/** What was told and sent to one other node over one link (design/tallies 4). A new link begins anew. */
+/** Replication to one peer over one link: heartbeats and pushes (design/tallies 4). A new link starts from scratch. */
 import type * as controlNode from "../feed/control-node.js";
 import * as calls from "../wire/calls.js";
 import type { StreamPosition } from "../wire/tally-schema.js";
@@ -6,31 +6,31 @@
 import * as peerTable from "./peer-table.js";
 import type * as counterStore from "./counter-store.js";
 
-/** Adds of one push, and pushes of one stream under way: what a long cut left goes over in bounded pieces. */
+/** Adds of one push, and pushes of one stream in flight: the backlog of a long partition is sent in bounded messages. */
 const MAX_PUSH_ADDS = 1024;
 const MAX_PUSHES_IN_FLIGHT = 4;
 const PUSH_TIMEOUT_MS = 1500;
-/** A push that failed is tried again after so long. */
+/** A failed push is retried after this time. */
 const RETRY_INTERVAL_MS = 500;
 const HEARTBEAT_TIMEOUT_MS = 1500;
 
-/** Pushes of one stream: `sent` adds of it, some of which may be under way. */
+/** Pushes of one stream: `sent` is the offset up to which it was sent, acknowledged or in flight. */
 interface PushState {
   sent: number;
   inFlight: number;
   notBefore: number;
 }
 
-/** Who this node is, for its beats. */
+/** Identifies this node in its heartbeats. */
 export interface Self {
   /** Internal address. */
   address: string;
   isCounted: boolean;
 }
 
-/** The tallies' part of one link that this node dialled. */
+/** Replicates to the peer at the other end of a link that this node dialled. */
 export class PeerSession {
-  /** Positions as told on this link; null: all must be told. */
+  /** Offsets that the peer has acknowledged on this link; null: the next heartbeat carries all offsets. */
   private acknowledgedOffsets: Map<string, number> | null = null;
   private readonly pushes = new Map<string, PushState>();
   private isHeartbeatInFlight = false;
@@ -45,16 +45,16 @@
     readonly peer: peerTable.Peer,
   ) {}
 
-  /** Tells what this node holds, if that is due; `isBehind`: the other node has folded adds that this one lacks. */
+  /** Sends the changed durable offsets, if a heartbeat is due; `isBehind`: the peer has compacted adds that this node lacks. */
   async sendHeartbeat(everyMs: number): Promise<{ isBehind: boolean }> {
     const sentAt = this.clock.now();
     if (this.isHeartbeatInFlight || sentAt - this.heartbeatAt < everyMs) return { isBehind: false };
     this.isHeartbeatInFlight = true;
     this.heartbeatAt = sentAt;
-    const told = this.acknowledgedOffsets ?? new Map<string, number>();
-    const held = this.changes(told);
+    const acknowledged = this.acknowledgedOffsets ?? new Map<string, number>();
+    const held = this.changedOffsets(acknowledged);
     const { diskId: store, isComplete: isWhole, durableEra: era } = this.store;
-    const ask = {
+    const heartbeat = {
       address: this.self.address,
       isCounted: this.self.isCounted,
       store,
@@ -63,44 +63,44 @@
       isFull: this.acknowledgedOffsets === null,
       held,
     };
-    const heard = await this.control.link.call(calls.tallyBeat, ask, HEARTBEAT_TIMEOUT_MS);
+    const reply = await this.control.link.call(calls.tallyBeat, heartbeat, HEARTBEAT_TIMEOUT_MS);
     this.isHeartbeatInFlight = false;
-    if (!heard) return { isBehind: false };
+    if (!reply) return { isBehind: false };
     this.peers.recordAnswer(this.peer, sentAt);
-    if (heard.isKnown) for (const { stream, position } of held) told.set(stream, position);
-    this.acknowledgedOffsets = heard.isKnown ? told : null;
-    return { isBehind: heard.isBehind };
+    if (reply.isKnown) for (const { stream, position } of held) acknowledged.set(stream, position);
+    this.acknowledgedOffsets = reply.isKnown ? acknowledged : null;
+    return { isBehind: reply.isBehind };
   }
 
-  private changes(told: ReadonlyMap<string, number>): StreamPosition[] {
-    return this.store.durablePositions().filter(({ stream, position }) => told.get(stream) !== position);
+  private changedOffsets(acknowledged: ReadonlyMap<string, number>): StreamPosition[] {
+    return this.store.durablePositions().filter(({ stream, position }) => acknowledged.get(stream) !== position);
   }
 
-  /** Sends what the other node lacks of the stream; nothing where it was not told what that node holds. */
+  /** Sends the adds of the stream that the peer lacks; nothing before the peer has reported its offsets. */
   push(stream: string): void {
-    const { peer, store, clock: world } = this;
+    const { peer, store, clock } = this;
     if (peer.diskId === "" || !store.isOpen) return;
-    const held = peer.durableOffsets.get(stream) ?? 0;
+    const durable = peer.durableOffsets.get(stream) ?? 0;
     const sending = this.pushStateOf(stream);
-    if (sending.notBefore > world.now()) return;
-    sending.sent = Math.max(sending.sent, held);
+    if (sending.notBefore > clock.now()) return;
+    sending.sent = Math.max(sending.sent, durable);
     while (sending.inFlight < MAX_PUSHES_IN_FLIGHT) {
       const adds = store.state.addsAfter(stream, sending.sent, MAX_PUSH_ADDS);
       if (adds.length === 0) return;
       const from = sending.sent + 1;
       sending.sent += adds.length;
       sending.inFlight += 1;
-      const sentAt = world.now();
-      void this.control.link.call(calls.tallyPush, { stream, from, adds }, PUSH_TIMEOUT_MS).then((kept) => {
+      const sentAt = clock.now();
+      void this.control.link.call(calls.tallyPush, { stream, from, adds }, PUSH_TIMEOUT_MS).then((reply) => {
         sending.inFlight -= 1;
-        if (kept) {
+        if (reply) {
           this.peers.recordAnswer(peer, sentAt);
-          this.peers.recordDurable(peer, kept.store, stream, kept.position);
-        } else sending.notBefore = world.now() + RETRY_INTERVAL_MS;
-        // What was not kept, as behind a gap, is sent again once nothing of the stream is under way.
+          this.peers.recordDurable(peer, reply.store, stream, reply.position);
+        } else sending.notBefore = clock.now() + RETRY_INTERVAL_MS;
+        // What the peer did not store, as behind a gap, is sent again once no push of the stream is in flight.
         if (sending.inFlight === 0) sending.sent = peer.durableOffsets.get(stream) ?? 0;
         this.onAnswer();
-        if (kept && this.control.link.isOpen) this.push(stream);
+        if (reply && this.control.link.isOpen) this.push(stream);
       });
     }
   }
--- a/src/tallies/peer-table.ts
+++ b/src/tallies/peer-table.ts
@@ -1,11 +1,11 @@
 /**
- * What this node knows of the others that keep tallies: what their disks hold, and since when they have not answered
- * (design/tallies 4). Heard is not in touch: where packets pass one way only, beats come in and calls get no answer.
+ * What this node knows of its peers: the durable offsets of their disks, and when they last answered a call (design/tallies 4).
+ * Receiving heartbeats is not being in touch: behind a one-way partition heartbeats come in, and calls get no answer.
  */
 import type { TallyBeat } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
 
-/** A peer is in touch while it answered a call that was sent no longer ago: two beats and a long way. */
+/** A peer is in touch while it has answered a call sent within this time: two heartbeats and a long round trip. */
 export const IN_TOUCH_MS = 800;
 
 /** One other node, by its internal address. */
@@ -14,19 +14,19 @@
   /** Empty while not known. */
   zone: string;
   isCounted: boolean;
-  /** Identity of its disk; another one holds nothing of what this one held. Empty: nothing was told yet. */
+  /** Identity of its disk; a new disk holds nothing of what the old one held. Empty: not reported yet. */
   diskId: string;
   isComplete: boolean;
   era: number;
-  /** How much of each stream its disk holds, as far as it was told. */
+  /** The offset up to which its disk holds each stream, as reported. */
   readonly durableOffsets: Map<string, number>;
   /** When the newest call that it answered was sent, on the own clock. */
   answeredAt: number;
-  /** When it last told what it holds. */
+  /** When its last heartbeat came. */
   heartbeatAt: number;
 }
 
-/** All peers that were ever met in this life. */
+/** All peers that this incarnation has met. */
 export class PeerTable {
   private readonly peers = new Map<string, Peer>();
 
@@ -59,7 +59,7 @@
     return peer;
   }
 
-  /** Takes a peer's word on itself. */
+  /** Applies a heartbeat of a peer. */
   applyHeartbeat(beat: TallyBeat): Peer {
     const peer = this.getOrAdd(beat.address);
     if (peer.diskId !== beat.store) {
@@ -74,12 +74,12 @@
     return peer;
   }
 
-  /** The peer's disk holds so much of the stream; a word of another disk than the known one is passed over. */
+  /** Records how much of the stream the peer's disk holds; ignored when it is not the disk that is known. */
   recordDurable(peer: Peer, store: string, stream: string, position: number): void {
     if (peer.diskId === store && position > (peer.durableOffsets.get(stream) ?? 0)) peer.durableOffsets.set(stream, position);
   }
 
-  /** It answered a call that was sent at that time. */
+  /** Records that the peer answered a call sent at that time. */
   recordAnswer(peer: Peer, sentAt: types.SteadyMs): void {
     peer.answeredAt = Math.max(peer.answeredAt, sentAt);
   }
@@ -95,7 +95,7 @@
     return count;
   }
 
-  /** Counted peers in touch that have told what they hold. */
+  /** Counted peers in touch that have reported their offsets. */
   countedInTouch(): Peer[] {
     return [...this.peers.values()].filter((peer) => peer.isCounted && peer.diskId !== "" && this.isInTouch(peer));
   }
--- a/src/tallies/replicated-counters.ts
+++ b/src/tallies/replicated-counters.ts
@@ -1,6 +1,6 @@
 /**
- * Tallies at one control node, put together (design/tallies): counts that are kept on both sides of any cut and agree
- * afterwards. Nothing in here needs a majority or the register; the register only tells who the members are.
+ * The replicated counters of one control node, "tallies" on the wire and in commands (design/tallies): sums that go on at both
+ * sides of any network partition and agree afterwards. Nothing in here needs a majority; the register only says who the members are.
  */
 import * as log from "../runtime/log.js";
 import type * as files from "../store/files.js";
@@ -19,9 +19,9 @@
 export const ACKNOWLEDGE_TIMEOUT_MS = 2500;
 /** A caller waits so long for a total at a node that has just started. */
 const READY_TIMEOUT_MS = 800;
-/** Ids in memory at most: beyond it adds are refused until a cut is over and folding goes on. */
+/** Ids in memory at most: beyond it adds are rejected until a partition is over and compaction goes on. */
 export const MAX_IDS = 250_000;
-/** Pause between two looks at what may be folded, and whether an era ends. */
+/** Interval between checks of what may be compacted, and of whether an era ends. */
 const COMPACT_INTERVAL_MS = 1000;
 
 /** The control node around it. */
@@ -43,7 +43,7 @@
 /** What became of an add: `busy`: nothing was done; `full`: nothing was done; `unknown`: it may count. */
 export type AddOutcome = "added" | "conflict" | "busy" | "full" | "unknown";
 
-/** The tallies of one control node. */
+/** The replicated counters of one control node. */
 export class ReplicatedCounters {
   private readonly store: counterStore.CounterStore;
   private readonly peers: peerTable.PeerTable;
@@ -118,22 +118,22 @@
   }
 
   private async waitUntilDurable(stream: string, position: number): Promise<AddOutcome> {
-    const isFolded = position <= this.store.state.compactedOffset(stream) || stream === "";
-    const outcome = isFolded ? "durable" : await this.acknowledgements.wait(stream, position, ACKNOWLEDGE_TIMEOUT_MS);
+    const isCompacted = position <= this.store.state.compactedOffset(stream) || stream === "";
+    const outcome = isCompacted ? "durable" : await this.acknowledgements.wait(stream, position, ACKNOWLEDGE_TIMEOUT_MS);
     log.count(outcome === "durable" ? "tallies.acknowledged" : "tallies.unknown");
     return outcome === "durable" ? "added" : "unknown";
   }
 
-  /** The total of a tally; null while this node can't tell one. */
+  /** The total of a tally; null while this node may not serve totals yet. */
   async total(tally: string): Promise<number | null> {
     return (await this.readiness.waitUntilReady(READY_TIMEOUT_MS)) ? this.store.state.total(tally) : null;
   }
 
-  /** All totals by name; null while this node can't tell them. */
+  /** All totals by name; null while this node may not serve totals yet. */
   async totals(): Promise<Map<string, number> | null> {
     if (!(await this.readiness.waitUntilReady(READY_TIMEOUT_MS))) return null;
-    const { state: ledger } = this.store;
-    return new Map(ledger.names().map((tally) => [tally, ledger.total(tally)]));
+    const { state } = this.store;
+    return new Map(state.names().map((tally) => [tally, state.total(tally)]));
   }
 
   /** For `status`: names are read by `cranewind status`. */
@@ -155,9 +155,9 @@
   }
 
   private peerStatus(peer: peerTable.Peer): unknown {
-    const { state: ledger } = this.store;
+    const { state } = this.store;
     let lag = 0;
-    for (const stream of ledger.streamNames()) lag += Math.max(0, ledger.offsetOf(stream) - (peer.durableOffsets.get(stream) ?? 0));
+    for (const stream of state.streamNames()) lag += Math.max(0, state.offsetOf(stream) - (peer.durableOffsets.get(stream) ?? 0));
     return { address: peer.address, disk: peer.diskId, isInTouch: this.peers.isInTouch(peer), isWhole: peer.isComplete, lag };
   }
 
@@ -178,11 +178,11 @@
   }
 
   private reportPartition(): void {
-    const isApart = this.acknowledgements.isPartitioned();
-    if (isApart === this.wasPartitioned) return;
-    this.wasPartitioned = isApart;
-    log.count(isApart ? "tallies.apart" : "tallies.joined");
-    log.state(isApart ? "tallies: cut off; adds are acknowledged by the disks in reach" : "tallies: enough disks are in reach again");
+    const isPartitioned = this.acknowledgements.isPartitioned();
+    if (isPartitioned === this.wasPartitioned) return;
+    this.wasPartitioned = isPartitioned;
+    log.count(isPartitioned ? "tallies.apart" : "tallies.joined");
+    log.state(isPartitioned ? "tallies: cut off; adds are acknowledged by the disks in reach" : "tallies: enough disks are in reach again");
   }
 
   /** So many disks outlive the loss of all that may be lost at once. */
@@ -194,7 +194,7 @@
     return this.host.members().filter((address) => address !== this.host.address);
   }
 
-  /** All members, where each of them has told what it holds; else null. */
+  /** All members, if each of them has reported its offsets; else null. */
   private members(): peerTable.Peer[] | null {
     const members: peerTable.Peer[] = [];
     for (const address of this.expected()) {
--- a/src/tallies/replication.ts
+++ b/src/tallies/replication.ts
@@ -1,7 +1,7 @@
 /**
- * Joins the tallies of all control nodes by difference (design/tallies 4): each node tells the others what its disk
- * holds, sends its own stream at once, and other nodes' streams to whoever has not got them for a while, so that they go
- * around a cut between two nodes. Nothing in here needs a majority.
+ * Replicates the counters between all control nodes by deltas (design/tallies 4): each node reports the durable offsets of
+ * its disk, pushes its own stream at once, and relays the streams of other nodes to peers that have lacked them for a while,
+ * so that adds travel around a partition between two nodes. Nothing in here needs a majority.
  */
 import * as events from "node:events";
 import type * as controlNode from "../feed/control-node.js";
@@ -16,9 +16,9 @@
 import * as snapshotTransfer from "./snapshot-transfer.js";
 import type * as counterStore from "./counter-store.js";
 
-/** Pause between two beats on a link. */
+/** Interval between heartbeats on a link. */
 export const HEARTBEAT_INTERVAL_MS = 300;
-/** A stream of another node is passed on to a node that lacks it for so long; each further node waits a step longer. */
+/** A stream of another node is relayed to a peer that has lacked it for this long; each further relaying node waits a step longer. */
 const RELAY_DELAY_MS = 250;
 const RELAY_DELAY_STEP_MS = 150;
 
@@ -31,24 +31,24 @@
 export interface ReplicationParts {
   clock: types.Clock;
   self: peerSession.Self;
-  /** Name of the own stream. */
+  /** Name of the own stream: the incarnation of this process. */
   ownStream: string;
   store: counterStore.CounterStore;
   peers: peerTable.PeerTable;
   dial: ControlLinks;
 }
 
-/** `progress`: some disk holds more than before, or a peer told something new. */
+/** `progress`: some disk holds more than before, or a peer has reported a change. */
 export interface ReplicationEvents {
   progress: [];
 }
 
-/** Sends, takes and passes on adds. */
+/** Pushes, receives and relays adds. */
 export class Replication extends events.EventEmitter<ReplicationEvents> {
   private readonly sessions = new Map<controlNode.ControlNode, peerSession.PeerSession>();
-  /** Links on which a peer told all that it holds. */
+  /** Links on which a peer has reported all of its offsets. */
   private readonly linksWithFullState = new WeakSet<link.Link>();
-  /** Since when a peer lacks adds of a stream: by peer and stream. */
+  /** Since when a peer lacks adds of a stream, keyed by peer and stream. */
   private readonly laggingSince = new Map<string, number>();
   private readonly snapshots: snapshotTransfer.SnapshotTransfer;
 
@@ -59,7 +59,7 @@
     parts.dial.on("down", (control) => this.sessions.delete(control));
   }
 
-  /** Answers the other control nodes. */
+  /** Registers the handlers of the peers' calls. */
   registerHandlers(handlers: link.Handlers): void {
     handlers.on(calls.tallyBeat, (from, beat) => this.receiveHeartbeat(from, beat));
     handlers.on(calls.tallyPush, (_from, push) => this.receivePush(push));
@@ -81,16 +81,16 @@
   }
 
   private openSession(control: controlNode.ControlNode): void {
-    const { clock: world, self, store, peers } = this.parts;
+    const { clock, self, store, peers } = this.parts;
     if (this.sessions.has(control) || !control.heartbeat || !features.hasFeature(control.heartbeat, features.TALLIES)) return;
     const peer = peers.getOrAdd(control.address);
     peer.zone = control.node.zone;
-    const session = new peerSession.PeerSession(world, self, store, peers, control, peer);
+    const session = new peerSession.PeerSession(clock, self, store, peers, control, peer);
     session.onAnswer = () => this.emit("progress");
     this.sessions.set(control, session);
     if (!store.isOpen) return;
     this.sendHeartbeat(session);
-    // What it held before the cut is known, if it was met before.
+    // A peer that was met before has its offsets known already.
     session.push(this.parts.ownStream);
   }
 
@@ -109,10 +109,10 @@
     return { isKnown: true, isBehind: this.isBehind(peer) };
   }
 
-  /** Whether this node has folded adds that the peer lacks. A peer that was not told the answer asks with its next beat. */
+  /** Whether this node has compacted adds that the peer lacks. A peer that misses the reply learns it with its next heartbeat. */
   private isBehind(peer: peerTable.Peer): boolean {
-    const { state: ledger } = this.parts.store;
-    for (const stream of ledger.streamNames()) if (ledger.compactedOffset(stream) > (peer.durableOffsets.get(stream) ?? 0)) return true;
+    const { state } = this.parts.store;
+    for (const stream of state.streamNames()) if (state.compactedOffset(stream) > (peer.durableOffsets.get(stream) ?? 0)) return true;
     return false;
   }
 
@@ -124,13 +124,13 @@
     return { store: store.diskId, position: store.durableOffset(stream) };
   }
 
-  /** Passes on streams of others that the peer lacks. */
+  /** Relays streams of other nodes that the peer lacks. */
   private relay(session: peerSession.PeerSession): void {
-    const { store, ownStream: life, clock: world, peers } = this.parts;
+    const { store, ownStream, clock, peers } = this.parts;
     const { peer } = session;
     if (peer.diskId === "" || !peers.isInTouch(peer)) return;
     for (const stream of store.state.streamNames()) {
-      if (stream === life) {
+      if (stream === ownStream) {
         session.push(stream);
         continue;
       }
@@ -139,13 +139,13 @@
         this.laggingSince.delete(key);
         continue;
       }
-      const since = this.laggingSince.get(key) ?? world.now();
+      const since = this.laggingSince.get(key) ?? clock.now();
       this.laggingSince.set(key, since);
-      if (world.now() - since >= RELAY_DELAY_MS + this.rank(peer) * RELAY_DELAY_STEP_MS) session.push(stream);
+      if (clock.now() - since >= RELAY_DELAY_MS + this.rank(peer) * RELAY_DELAY_STEP_MS) session.push(stream);
     }
   }
 
-  /** Nodes pass a stream on one after the other, by address: mostly one of them is enough. */
+  /** Nodes relay a stream one after the other, in the order of their addresses: mostly one of them is enough. */
   private rank(to: peerTable.Peer): number {
     const { peers, self } = this.parts;
     let rank = 0;
--- a/src/tallies/snapshot-transfer.ts
+++ b/src/tallies/snapshot-transfer.ts
@@ -1,6 +1,6 @@
 /**
- * Hands all tallies to a node whose disk lacks what the others have folded, part by part (design/tallies 4.3): one part is
- * under way at a time, so that other messages of the link don't wait behind it.
+ * Transfers a snapshot of all counters to a node that lacks adds which its peers have compacted, part by part (design/tallies
+ * 4.3). One part is in flight at a time, so that other messages of the link don't queue behind it.
  */
 import * as calls from "../wire/calls.js";
 import type * as link from "../wire/link.js";
@@ -11,7 +11,7 @@
 
 const PART_RECORDS = 512;
 const PART_TIMEOUT_MS = 2000;
-/** A snapshot that nobody asks for is given up after so long, so that folding goes on. */
+/** A transfer without requests is dropped after this time, so that compaction can go on. */
 const SNAPSHOT_EXPIRY_MS = 5000;
 const MAX_SNAPSHOTS = 2;
 
@@ -23,7 +23,7 @@
 
 const EXPIRED: TallySnapshotPart = { token: "", isLast: true, records: [] };
 
-/** Tells snapshots to others and takes theirs. */
+/** Serves snapshots to peers and fetches theirs. */
 export class SnapshotTransfer {
   private readonly open = new Map<string, Snapshot>();
   private lastToken = 0;
@@ -34,7 +34,7 @@
     private readonly store: counterStore.CounterStore,
   ) {}
 
-  /** Answers a node that takes a snapshot. */
+  /** Returns the requested part; an empty token in the reply says that the snapshot has expired. */
   readPart(ask: TallySnapshotAsk): TallySnapshotPart {
     const token = ask.token === "" ? this.begin() : ask.token;
     const snapshot = this.open.get(token);
@@ -42,15 +42,15 @@
     snapshot.expiry.stop();
     snapshot.expiry = this.clock.schedule(SNAPSHOT_EXPIRY_MS, this.end.bind(this, token));
     snapshot.next += 1;
-    const told: TallyRecord[] = [];
+    const records: TallyRecord[] = [];
     let isLast = false;
-    while (told.length < PART_RECORDS && !isLast) {
+    while (records.length < PART_RECORDS && !isLast) {
       const { value, done } = snapshot.records.next() as IteratorResult<TallyRecord, undefined>;
       if (done) isLast = true;
-      else told.push(value);
+      else records.push(value);
     }
     if (isLast) this.end(token);
-    return { token, isLast, records: told };
+    return { token, isLast, records };
   }
 
   private begin(): string {
@@ -70,7 +70,7 @@
     this.store.endSnapshot();
   }
 
-  /** Takes a snapshot of the node at the other end of the link, one at a time. */
+  /** Fetches a snapshot from the peer at the other end of the link and merges it; one at a time. */
   async fetchFrom(from: link.Link): Promise<void> {
     if (this.isFetching) return;
     this.isFetching = true;
@@ -78,7 +78,7 @@
       const records = await this.fetchRecords(from);
       if (!records || !(await this.store.mergeSnapshot(records))) return;
       log.count("tallies.snapshots_taken");
-      log.state(`tallies: ${records.length} records taken from another node`);
+      log.state(`tallies: ${records.length} records fetched from a peer`);
     } finally {
       this.isFetching = false;
     }
@@ -89,11 +89,11 @@
     const records: TallyRecord[] = [];
     let token = "";
     for (let part = 0; ; part += 1) {
-      const told = await from.call(calls.tallySnapshot, { token, part }, PART_TIMEOUT_MS);
-      if (!told || told.token === "") return null;
-      for (const record of told.records) records.push(record);
-      if (told.isLast) return records;
-      token = told.token;
+      const reply = await from.call(calls.tallySnapshot, { token, part }, PART_TIMEOUT_MS);
+      if (!reply || reply.token === "") return null;
+      for (const record of reply.records) records.push(record);
+      if (reply.isLast) return records;
+      token = reply.token;
     }
   }
 }
