--- a/src/router/client/event-splitter.ts
+++ b/src/router/client/event-splitter.ts
@@ -1,14 +1,16 @@
-// Cuts a stream of events into whole ones, so that a run can be taken up elsewhere after the last (design 7.9).
+/** Splits a stream of server-sent events into complete ones, so that another runner can resume it after the last (design 7.9). */
 const NEWLINE = 10;
 const CARRIAGE_RETURN = 13;
 
-/** Cuts one stream; fed with its bytes in order. */
+/** Splits one stream; its bytes are pushed in order. */
 export class EventSplitter {
   private buffered: Buffer = Buffer.alloc(0);
+  /** The id of the last complete event that had one. */
   lastId: string | null = null;
+  /** Complete events so far. */
   count = 0;
 
-  /** The whole events that the chunk completes; the rest is held back. */
+  /** The events that the chunk completes; the remainder is buffered. */
   push(chunk: Buffer): Buffer {
     const bytes = this.buffered.length > 0 ? Buffer.concat([this.buffered, chunk]) : chunk;
     let done = 0;
@@ -31,14 +33,15 @@
     return bytes.subarray(0, done);
   }
 
-  /** Bytes that belong to no whole event: a run that is given up leaves them behind. */
+  /** Discards the bytes of an incomplete event, at the end of a response that is given up. */
   discardPartial(): void {
     this.buffered = Buffer.alloc(0);
   }
 
+  /** The bytes after the last complete event, at the end of a complete response. */
   takeRemainder(): Buffer {
-    const rest = this.buffered;
+    const remainder = this.buffered;
     this.buffered = Buffer.alloc(0);
-    return rest;
+    return remainder;
   }
 }
--- a/src/router/client/local-response.ts
+++ b/src/router/client/local-response.ts
@@ -1,7 +1,7 @@
-// The router's own replies; each is final and told at once (design 7.10).
+/** The router's own responses; each is final and sent at once (design 7.10). */
 import type * as nodeHttp from "node:http";
 
-/** Sends one reply; where another has begun, the connection ends instead. */
+/** Sends one response; where another has begun, the connection is destroyed instead. `retryAfterS` in seconds; null: without that field. */
 export function sendLocalResponse(
   outgoing: nodeHttp.ServerResponse,
   status: number,
--- a/src/router/client/pending-requests.ts
+++ b/src/router/client/pending-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that came before this router may serve: just after a start the first configuration is a moment away
- * (design 7.1). Each waits for a bounded time, and never past its deadline.
+ * Requests that arrive before the router serves: after its start the first configuration is a moment away (design 7.1).
+ * Each waits for a limited time, and never past its deadline.
  */
 import type * as nodeHttp from "node:http";
 import type * as types from "../../wire/types.js";
@@ -8,17 +8,17 @@
 /** The longest wait, in milliseconds. */
 const MAX_WAIT_MS = 800;
 
-/** What becomes of one that waits: exactly one of the two is called, none when its client leaves first. */
+/** Is notified of the end of the wait: exactly one of the two is called, or none if the client goes away before. */
 export interface PendingHandler {
   onReady(): void;
   onTimeout(): void;
 }
 
-/** All of one router. */
+/** All waiting requests of one router. */
 export class PendingRequests {
   private readonly waiting = new Set<() => void>();
 
-  /** `most`: how many may wait at once. */
+  /** `maxPending`: how many may wait at once. */
   constructor(
     private readonly clock: types.Clock,
     private readonly maxPending: number,
@@ -28,33 +28,31 @@
     return this.waiting.size;
   }
 
-  /** arrivedAt and mostHeldMs: of the request, in milliseconds; where there is no room or time it is late at once. */
-  add(outgoing: nodeHttp.ServerResponse, arrivedAt: number, mostHeldMs: number, outcomes: PendingHandler): void {
+  /** `arrivedAt` and `timeBudgetMs`: of the request, in milliseconds; without capacity or time it times out at once. */
+  add(outgoing: nodeHttp.ServerResponse, arrivedAt: number, timeBudgetMs: number, handler: PendingHandler): void {
     const { waiting } = this;
-    const leftMs = arrivedAt + Math.min(MAX_WAIT_MS, mostHeldMs) - this.clock.now();
-    if (waiting.size >= this.maxPending || leftMs <= 0) {
-      outcomes.onTimeout();
+    const remainingMs = arrivedAt + Math.min(MAX_WAIT_MS, timeBudgetMs) - this.clock.now();
+    if (waiting.size >= this.maxPending || remainingMs <= 0) {
+      handler.onTimeout();
       return;
     }
-    const tick = this.clock.schedule(leftMs, late);
-    waiting.add(go);
-    outgoing.once("close", gone);
-    function late(): void {
-      if (waiting.delete(go)) outcomes.onTimeout();
-    }
-    function gone(): void {
-      if (waiting.delete(go)) tick.stop();
-    }
-    function go(): void {
-      tick.stop();
-      outcomes.onReady();
-    }
+    const release = (): void => {
+      timer.stop();
+      handler.onReady();
+    };
+    const timer = this.clock.schedule(remainingMs, () => {
+      if (waiting.delete(release)) handler.onTimeout();
+    });
+    waiting.add(release);
+    outgoing.once("close", () => {
+      if (waiting.delete(release)) timer.stop();
+    });
   }
 
-  /** This router may serve now. */
+  /** The router serves from now on. */
   releaseAll(): void {
-    const ready = [...this.waiting];
+    const released = [...this.waiting];
     this.waiting.clear();
-    for (const go of ready) go();
+    for (const release of released) release();
   }
 }
--- a/src/router/client/request-validation.ts
+++ b/src/router/client/request-validation.ts
@@ -1,10 +1,10 @@
-// What is no proper request, beyond what the parser denies, is told before its body is read (design/edge 7.12).
+/** Validates requests beyond what the parser does, before their bodies are read (design/edge 7.12). */
 import type * as nodeHttp from "node:http";
 import type * as net from "node:net";
 import * as log from "../../runtime/log.js";
 import * as names from "../../wire/names.js";
 
-/** Why a request is no proper HTTP. */
+/** Why a request is invalid. */
 export interface InvalidRequest {
   status: 400 | 501 | 505;
   message: string;
@@ -16,54 +16,54 @@
 /** Characters of an authority (RFC 3986), without user information. */
 const AUTHORITY = /^[\w.~!$&'()*+;=%:[\]-]*$/;
 const ABSOLUTE = /^http:\/\/([^/?#]+)([^#]*)$/i;
-/** Visible ASCII: an id is told back and compared byte by byte. */
+/** A request id is echoed and compared byte by byte. */
 const VISIBLE_ASCII = /^[\x21-\x7e]*$/;
-/** Fields that are for the runner, and so can't be for one connection only. */
+/** Fields that are for the runner: Connection must not name them. */
 const END_TO_END: ReadonlySet<string> = new Set([HOST, names.HEADER.requestId]);
 
-/** Connections that end with the reply to a fault: whatever follows on them in one go is no request. */
+/** Connections that end with the response to an invalid request: bytes that follow on them are no request. */
 const closingSockets = new WeakSet<net.Socket>();
 
-/** Whether the connection was to end with an earlier reply. */
+/** Whether the connection ends with an earlier response. */
 export function isClosing(socket: net.Socket): boolean {
   return closingSockets.has(socket);
 }
 
 interface SocketWithResponse {
-  /** What the server writes there now; Node keeps it under this name. */
+  /** The response that the server writes there now; Node's internal name. */
   _httpMessage?: nodeHttp.ServerResponse | null;
 }
 
 /**
- * Bytes that are no request came after one that was read whole or has its reply under way: that reply stays the last,
- * and no other is put in its place.
+ * Called when bytes that are no request arrive on a connection. Returns true where an earlier request is complete or its
+ * response is under way: that response becomes the last, and no other takes its place.
  */
 export function keepPendingResponse(socket: net.Socket): boolean {
-  const reply = (socket as net.Socket & SocketWithResponse)._httpMessage;
-  if (!reply || !(reply.headersSent || reply.req.complete)) return closingSockets.has(socket);
+  const response = (socket as net.Socket & SocketWithResponse)._httpMessage;
+  if (!response || !(response.headersSent || response.req.complete)) return closingSockets.has(socket);
   closingSockets.add(socket);
-  reply.shouldKeepAlive = false;
-  reply.once("close", socket.destroySoon.bind(socket));
+  response.shouldKeepAlive = false;
+  response.once("close", () => socket.destroySoon());
   return true;
 }
 
-/** One pass over the fields as they came. A target in absolute form is made one in origin form, with its authority as the host. */
+/** Checks the fields in one pass; null: valid. A target in absolute form is converted to origin form, with its authority as the host. */
 export function validate(incoming: nodeHttp.IncomingMessage): InvalidRequest | null {
-  const fault = find(incoming);
-  if (fault) {
+  const invalid = findFault(incoming);
+  if (invalid) {
     closingSockets.add(incoming.socket);
     log.count("router.malformed");
   }
-  return fault;
+  return invalid;
 }
 
-function find(incoming: nodeHttp.IncomingMessage): InvalidRequest | null {
+function findFault(incoming: nodeHttp.IncomingMessage): InvalidRequest | null {
   const { rawHeaders: raw } = incoming;
   let hostAt = -1;
   let hasId = false;
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index];
-    // Lengths first: few fields are looked at any closer.
+    // Lengths are compared first: few fields need more.
     if (name.length === HOST.length && name.toLowerCase() === HOST) {
       if (hostAt >= 0) return badRequest("two Host fields; send one");
       hostAt = index + 1;
@@ -111,15 +111,12 @@
   return null;
 }
 
-/** No tunnels: CONNECT is told so, and its connection ends. */
+/** CONNECT is not implemented; its connection ends with the response. */
 export function rejectConnect(_incoming: nodeHttp.IncomingMessage, socket: net.Socket): void {
   log.count("router.requests");
   log.count("router.malformed");
   log.count("router.reply_501");
-  socket.on("error", ignore);
+  // An error means that the client is gone already.
+  socket.on("error", () => undefined);
   socket.end("HTTP/1.1 501 Not Implemented\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
 }
-
-function ignore(): void {
-  // The client is gone already.
-}
--- a/src/router/client/router-server.ts
+++ b/src/router/client/router-server.ts
@@ -1,7 +1,8 @@
-// Where clients arrive (design 7.1): reads whole requests within the limits and starts their transactions.
+/** The router's HTTP server for clients (design 7.1): receives complete requests within the limits and starts their transactions. */
 import * as nodeHttp from "node:http";
 import type * as net from "node:net";
 import type * as check from "../../config/check.js";
+import type * as routes from "../../config/routes.js";
 import * as log from "../../runtime/log.js";
 import * as listen from "../../wire/listen.js";
 import * as types from "../../wire/types.js";
@@ -22,36 +23,50 @@
   header_timeout_ms: 5000,
   idle_timeout_ms: 15000,
 };
-/** What of the machine's limits goes where (design 2.3). */
+/** How the machine's limits are divided (design 2.3). */
 const BODY_MEMORY_FRACTION = 0.15;
 const PENDING_PER_MB = 1.5;
 const CLIENT_CONNECTION_FRACTION = 0.5;
 const CONNECTION_CHECK_INTERVAL_MS = 1000;
 
-/** The machine's limits. */
+/** The machine's limits, by the names of the settings. */
 export interface MachineLimits {
   memory_mb: number;
   max_open_files: number;
 }
 
-/** The frontend of one router. */
+/** A request of a client with the response that it waits for. */
+interface Exchange {
+  incoming: nodeHttp.IncomingMessage;
+  outgoing: nodeHttp.ServerResponse;
+  /** Milliseconds of the steady clock. */
+  arrivedAt: number;
+}
+
+/** What the server needs of the router around it. */
+export interface RouterServerOptions {
+  clock: types.Clock;
+  picker: transactionContext.TransactionContext["picker"];
+  /** Whether requests may be routed; those that come earlier wait for a moment. */
+  isReady: () => boolean;
+  recordSend: transactionContext.TransactionContext["recordSend"];
+  machine: MachineLimits;
+  batches: routerBatches.RouterBatches;
+  tenantGate: tenantGate.TenantGate;
+}
+
+/** One for each router. */
 export class RouterServer {
   private readonly server: nodeHttp.Server;
   private readonly active = new Set<requestTransaction.Transaction>();
   private readonly pending: pendingRequests.PendingRequests;
   private limits = DEFAULT_LIMITS;
   private readonly buffered: requestBody.BufferedBytes;
+  /** Set at the start of a graceful shutdown: each response is then the last on its connection. */
   isDraining = false;
 
-  constructor(
-    private readonly clock: types.Clock,
-    private readonly picker: transactionContext.TransactionContext["picker"],
-    private readonly isReady: () => boolean,
-    private readonly recordSend: transactionContext.TransactionContext["recordSend"],
-    machine: MachineLimits,
-    private readonly batches: routerBatches.RouterBatches,
-    private readonly tenantGate: tenantGate.TenantGate,
-  ) {
+  constructor(private readonly options: RouterServerOptions) {
+    const { clock, machine } = options;
     this.buffered = new requestBody.BufferedBytes(machine.memory_mb * 1024 * 1024 * BODY_MEMORY_FRACTION);
     this.pending = new pendingRequests.PendingRequests(clock, Math.floor(machine.memory_mb * PENDING_PER_MB));
     this.server = nodeHttp.createServer(
@@ -60,18 +75,20 @@
         maxHeaderSize: DEFAULT_LIMITS.max_header_bytes,
         requireHostHeader: false,
       },
-      this.onRequest.bind(this),
+      (incoming, outgoing) => this.onRequest(incoming, outgoing),
     );
-    this.server.on("clientError", clientError);
+    this.server.on("clientError", onClientError);
     this.server.on("connect", requestValidation.rejectConnect);
     this.server.maxConnections = Math.floor(machine.max_open_files * CLIENT_CONNECTION_FRACTION);
     this.applyLimits(undefined);
   }
 
+  /** Requests that are received, wait, or are under way. */
   get activeCount(): number {
     return this.active.size + this.buffered.pendingBodies + this.pending.size;
   }
 
+  /** The limits of the configuration; undefined: the defaults. */
   applyLimits(limits: check.Limits | undefined): void {
     this.limits = { ...DEFAULT_LIMITS, ...limits };
     const server = this.server as nodeHttp.Server & { maxHeaderSize?: number };
@@ -85,22 +102,28 @@
     return listen.listen(this.server, address);
   }
 
-  /** The port in use, also when 0 was asked for. */
+  /** The port in use, also when 0 was configured. */
   get port(): number {
     return types.portOf(listen.bound(this.server));
   }
 
+  /** Accepts no more connections; those with a request stay open until its response is complete. */
   close(): void {
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Requests whose runner fell silent are looked at a few times a second. */
+  /** Lets requests leave runners that fell silent. Called a few times a second. */
   checkSilence(): void {
-    const now = this.clock.now();
+    const now = this.options.clock.now();
     for (const transaction of [...this.active]) transaction.checkSilence(now);
   }
 
+  /** The router serves from now on: the requests that wait are routed. */
+  servePending(): void {
+    this.pending.releaseAll();
+  }
+
   private reject(outgoing: nodeHttp.ServerResponse, status: number, message: string, retryAfterS: number | null, isLast: boolean): void {
     log.count(`router.reply_${status}`);
     localResponse.sendLocalResponse(outgoing, status, message, retryAfterS, isLast || this.isDraining);
@@ -109,26 +132,37 @@
   private onRequest(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
     if (requestValidation.isClosing(incoming.socket)) return;
     log.count("router.requests");
-    const fault = requestValidation.validate(incoming);
-    if (fault) return this.reject(outgoing, fault.status, fault.message, null, true);
-    const arrivedAt = this.clock.now();
+    const invalid = requestValidation.validate(incoming);
+    if (invalid) {
+      this.reject(outgoing, invalid.status, invalid.message, null, true);
+      return;
+    }
+    const arrivedAt = this.options.clock.now();
     const length = Number(incoming.headers["content-length"] ?? 0);
-    if (length > this.limits.max_body_bytes) return this.rejectTooLarge(outgoing);
+    if (length > this.limits.max_body_bytes) {
+      this.rejectTooLarge(outgoing);
+      return;
+    }
     if (!this.buffered.hasCapacity(length)) {
       this.reject(outgoing, 503, "too many bodies are held; come back shortly", 0.5, true);
       return;
     }
-    this.receiveBody(incoming, outgoing, arrivedAt);
+    this.receiveBody({ incoming, outgoing, arrivedAt });
+  }
+
+  private findRoute(incoming: nodeHttp.IncomingMessage): routes.RouteEntry | null {
+    return this.options.picker.routeTable?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
   }
 
-  private receiveBody(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, arrivedAt: number): void {
-    const entry = this.picker.routeTable?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    const timer = this.clock.schedule(routeRequest.timeBudgetMs(incoming, entry), this.rejectLateBody.bind(this, incoming, outgoing));
+  private receiveBody(exchange: Exchange): void {
+    const { incoming, outgoing } = exchange;
+    const budgetMs = routeRequest.timeBudgetMs(incoming, this.findRoute(incoming));
+    const timer = this.options.clock.schedule(budgetMs, () => this.rejectLateBody(exchange));
     outgoing.once("close", () => timer.stop());
     requestBody.readBody(incoming, this.limits.max_body_bytes, this.buffered, {
       onComplete: (body) => {
         timer.stop();
-        if (!outgoing.headersSent) this.routeRequest(incoming, outgoing, arrivedAt, body);
+        if (!outgoing.headersSent) this.routeRequest(exchange, body);
       },
       onTooLarge: () => {
         timer.stop();
@@ -137,8 +171,8 @@
     });
   }
 
-  /** The body is not whole when the request's time is over: nothing was sent on, and its connection ends. */
-  private rejectLateBody(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
+  /** The body is not complete at the request's deadline: nothing was forwarded, and the connection ends. */
+  private rejectLateBody({ incoming, outgoing }: Exchange): void {
     log.count("router.body_late");
     this.reject(outgoing, 408, "the deadline has passed before the body was whole; send it faster", null, true);
     outgoing.once("finish", () => incoming.destroy());
@@ -148,18 +182,15 @@
     this.reject(outgoing, 413, `the body is over max_body_bytes ${this.limits.max_body_bytes}; send a smaller one`, null, true);
   }
 
-  private routeRequest(
-    incoming: nodeHttp.IncomingMessage,
-    outgoing: nodeHttp.ServerResponse,
-    arrivedAt: number,
-    body: Buffer | null,
-  ): void {
-    const { routeTable: table } = this.picker;
-    if (!table || !this.isReady()) {
-      this.deferUntilReady(incoming, outgoing, arrivedAt, body);
+  /** Finds the route and the tenant of a complete request. */
+  private routeRequest(exchange: Exchange, body: Buffer | null): void {
+    const { incoming, outgoing, arrivedAt } = exchange;
+    const { picker, isReady, tenantGate, batches } = this.options;
+    if (!picker.routeTable || !isReady()) {
+      this.deferUntilReady(exchange, body);
       return;
     }
-    const entry = table.find(incoming.headers.host ?? "", incoming.url ?? "/");
+    const entry = this.findRoute(incoming);
     if (!entry) {
       this.reject(outgoing, 404, "no route has this host and path; see Config.Describe for the routes", null, false);
       return;
@@ -169,75 +200,53 @@
       this.reject(outgoing, 400, "X-Cranewind-Request-Id is missing; send one id a try", null, false);
       return;
     }
-    const tenant = this.tenantGate.authenticate(incoming.headers[names.HEADER.key], entry.route);
+    const tenant = tenantGate.authenticate(incoming.headers[names.HEADER.key], entry.route);
     if (tenant && "status" in tenant) {
       this.reject(outgoing, tenant.status, tenant.cause, tenant.retryAfterS, false);
       return;
     }
-    const isBatch = this.batches.isItem(incoming.headers[names.HEADER.batchPass]);
-    if (!isBatch) this.batches.countArrival(entry.route.name);
-    this.acquireQuota(routeRequest.buildRouteRequest(incoming, { requestId, entry, tenant, body, arrivedAt, isBatch }), incoming, outgoing);
+    const isBatch = batches.isItem(incoming.headers[names.HEADER.batchPass]);
+    if (!isBatch) batches.countArrival(entry.route.name);
+    this.acquireQuota(routeRequest.buildRouteRequest(incoming, { requestId, entry, tenant, body, arrivedAt, isBatch }), exchange);
   }
 
-  private deferUntilReady(
-    incoming: nodeHttp.IncomingMessage,
-    outgoing: nodeHttp.ServerResponse,
-    arrivedAt: number,
-    body: Buffer | null,
-  ): void {
-    const entry = this.picker.routeTable?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
-    this.pending.add(outgoing, arrivedAt, routeRequest.timeBudgetMs(incoming, entry), {
-      onReady: () => this.routeRequest(incoming, outgoing, arrivedAt, body),
+  private deferUntilReady(exchange: Exchange, body: Buffer | null): void {
+    const { incoming, outgoing, arrivedAt } = exchange;
+    this.pending.add(outgoing, arrivedAt, routeRequest.timeBudgetMs(incoming, this.findRoute(incoming)), {
+      onReady: () => this.routeRequest(exchange, body),
       onTimeout: () => this.reject(outgoing, 503, "this node has no configuration yet; come back shortly", 0.3, true),
     });
   }
 
-  /** The first configuration and list are here. */
-  servePending(): void {
-    this.pending.releaseAll();
-  }
-
-  /** Waits for a unit of the tenant's quota where there is a limit; a client that leaves meanwhile takes none. */
-  private acquireQuota(request: routeRequest.RouteRequest, incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
-    const { tenantGate: tenancy } = this;
-    const claim = tenancy.acquireQuota(
+  /** Waits for a unit of the tenant's quota where there is a limit; a client that leaves meanwhile uses none. */
+  private acquireQuota(request: routeRequest.RouteRequest, exchange: Exchange): void {
+    const { tenantGate } = this.options;
+    const { outgoing } = exchange;
+    const claim = tenantGate.acquireQuota(
       request.tenant,
-      (admitted) => {
-        if (outgoing.destroyed) tenancy.returnQuota(request.tenant, admitted);
-        else this.startTransaction(request, incoming, outgoing, admitted);
+      (unit) => {
+        if (outgoing.destroyed) tenantGate.returnQuota(request.tenant, unit);
+        else this.startTransaction(request, exchange, unit);
       },
-      (refusal) => this.reject(outgoing, refusal.status, refusal.cause, refusal.retryAfterS, false),
+      (rejection) => this.reject(outgoing, rejection.status, rejection.cause, rejection.retryAfterS, false),
     );
-    if (claim?.isWaiting) outgoing.once("close", claim.cancel.bind(claim));
+    if (claim?.isWaiting) outgoing.once("close", () => claim.cancel());
   }
 
-  private startTransaction(
-    request: routeRequest.RouteRequest,
-    incoming: nodeHttp.IncomingMessage,
-    outgoing: nodeHttp.ServerResponse,
-    admitted: tenantGate.QuotaUnit,
-  ): void {
-    const { clock: world, picker: chooser, active, buffered, recordSend: sending, tenantGate: tenancy } = this;
-    const isLeaving = this.isGoing.bind(this);
+  private startTransaction(request: routeRequest.RouteRequest, { incoming, outgoing }: Exchange, unit: tenantGate.QuotaUnit): void {
+    const { active, buffered } = this;
+    const { clock, picker, recordSend, tenantGate } = this.options;
     const bytes = request.body?.length ?? 0;
-    const transaction = new requestTransaction.Transaction(
-      { clock: world, picker: chooser, onFinished: finished, recordSend: sending, isDraining: isLeaving },
-      request,
-      incoming,
-      outgoing,
-    );
+    const onFinished = (): void => {
+      if (!active.delete(transaction)) return;
+      buffered.bytes -= bytes;
+      if (transaction.wasNeverSent) tenantGate.returnQuota(request.tenant, unit);
+    };
+    const context = { clock, picker, onFinished, recordSend, isDraining: () => this.isDraining };
+    const transaction = new requestTransaction.Transaction(context, request, incoming, outgoing);
     buffered.bytes += bytes;
     active.add(transaction);
     transaction.start();
-    function finished(): void {
-      if (!active.delete(transaction)) return;
-      buffered.bytes -= bytes;
-      if (transaction.wasNeverSent) tenancy.returnQuota(request.tenant, admitted);
-    }
-  }
-
-  private isGoing(): boolean {
-    return this.isDraining;
   }
 }
 
@@ -246,8 +255,8 @@
   ["ERR_HTTP_REQUEST_TIMEOUT", "408 Request Timeout"],
 ]);
 
-/** What is no proper request reaches no runner; the connection ends with the reply. */
-function clientError(cause: NodeJS.ErrnoException, socket: net.Socket): void {
+/** Responds to bytes that the parser rejects; the connection ends with the response. */
+function onClientError(cause: NodeJS.ErrnoException, socket: net.Socket): void {
   if (cause.code === "ECONNRESET" || !socket.writable) {
     socket.destroy();
     return;
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -1,4 +1,4 @@
-// The router role put together: the only way to the runners, with no persistent state (design 7).
+/** The router process: its parts wired together, and what it does with each update from the control nodes (design 7). It keeps no persistent state. */
 import * as crypto from "node:crypto";
 import * as calls from "../wire/calls.js";
 import * as link from "../wire/link.js";
@@ -36,7 +36,7 @@
 
 export type { RouterPosition as Standing } from "./router-status.js";
 
-/** One router; started and stopped by its root. */
+/** One router. Its `root` starts it and `stop` ends it. */
 export class RouterProgram implements feedSubscriber.FeedListener {
   private readonly incarnation = crypto.randomBytes(6).toString("hex");
   private readonly handlers = new link.Handlers();
@@ -62,23 +62,30 @@
     private readonly clock: types.Clock,
     private startup: settings.Settings,
   ) {
+    const { region, node_name: name, bounds } = startup;
     this.fleet = new runnerFleet.RunnerFleet(clock, new Map(Object.entries(startup.zones)));
     this.rotation = new zoneRotation.ZoneRotation(clock);
-    this.limits = new leasedLimits.LeasedLimits(clock, startup.bounds);
-    this.picker = new runnerPicker.RunnerPicker(clock, this.fleet, this.rotation, this.limits, startup.region, this.prefills);
-    this.load = new loadReader.LoadReader(clock, this.fleet, startup.region, this.onRegionReports.bind(this));
-    this.prefillSharing = new prefillSharing.PrefillSharing(clock, this.fleet, this.prefills, this.load, this.sendHints.bind(this));
-    const sending = this.prefillSharing.recordSend.bind(this.prefillSharing);
-    const selector = new sessionSelector.SessionSelector(clock, { name: startup.node_name, region: startup.region });
-    this.dial = new dialer.Dialer(clock, "", this.handlers, this.nodeInfo.bind(this), link.LINK_TIMEOUT_MS, selector);
-    this.gate = new serveGate.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, this.onServing.bind(this));
-    this.dial.on("heartbeat", this.updateServeGate.bind(this));
+    this.limits = new leasedLimits.LeasedLimits(clock, bounds);
+    this.picker = new runnerPicker.RunnerPicker(clock, this.fleet, this.rotation, this.limits, region, this.prefills);
+    this.load = new loadReader.LoadReader(clock, this.fleet, region, (reported) => this.onRegionReports(reported));
+    this.prefillSharing = new prefillSharing.PrefillSharing(clock, this.fleet, this.prefills, this.load, (hints) => this.sendHints(hints));
+    const selector = new sessionSelector.SessionSelector(clock, { name, region });
+    this.dial = new dialer.Dialer(clock, "", this.handlers, () => this.nodeInfo(), link.LINK_TIMEOUT_MS, selector);
+    this.gate = new serveGate.ServeGate(clock, this.dial.controls, startup.unconfirmed_serve_s * 1000, () => this.onServing());
+    this.dial.on("heartbeat", () => this.updateServeGate());
     this.batches = new routerBatches.RouterBatches(this.incarnation, this.prefills, this.picker.admission);
     this.batches.register(this.handlers);
-    this.tenantGate = new tenantGate.TenantGate(clock, startup.region, this.dial.controls, startup.bounds);
-    const { picker: chooser, gate, tenantGate: tenancy } = this;
-    this.server = new routerServer.RouterServer(clock, chooser, gate.allows.bind(gate), sending, startup.limits, this.batches, tenancy);
-    this.follower = new feedSubscriber.FeedSubscriber(clock, startup.region, this.dial, this.handlers, this.topics.bind(this), this);
+    this.tenantGate = new tenantGate.TenantGate(clock, region, this.dial.controls, bounds);
+    this.server = new routerServer.RouterServer({
+      clock,
+      picker: this.picker,
+      isReady: () => this.gate.allows(),
+      recordSend: (request, runner) => this.prefillSharing.recordSend(request, runner),
+      machine: startup.limits,
+      batches: this.batches,
+      tenantGate: this.tenantGate,
+    });
+    this.follower = new feedSubscriber.FeedSubscriber(clock, region, this.dial, this.handlers, () => this.topics(), this);
     this.borrower = new limitBorrower.LimitBorrower(clock, this.incarnation, this.dial, this.limits);
     this.dial.addAddresses(settings.innerSeeds(startup));
     this.dial.registerHandlers(this.handlers);
@@ -92,7 +99,7 @@
     return this.gate.allows() && !this.server.isDraining;
   }
 
-  /** The first lists of all regions count together; later a region may come in while this router serves. */
+  /** The router begins to serve once it has the membership of all regions; a region that is added later does not stop it. */
   private updateServeGate(): void {
     const hasAll = this.picker.routeTable !== null && this.follower.hasAllTopics(feedTopics.isListTopic) && this.tenantGate.isReady;
     this.gate.update(this.epoch, hasAll);
@@ -122,10 +129,17 @@
   private addSupervisedParts(): void {
     const { root, startup, server } = this;
     const { frontend, readiness: checked } = startup.bind_addresses;
-    if (checked) root.add(readinessServer.readinessChild(checked, this.isReady.bind(this), this.status.bind(this)));
-    if (frontend) root.add({ name: "frontend", start: server.listen.bind(server, frontend), stop: server.close.bind(server) });
-    root.add(root.turns("beats", link.HEARTBEAT_INTERVAL_MS, this.sendHeartbeat.bind(this)));
-    root.add(root.turns("watch", WATCH_INTERVAL_MS, this.runPeriodically.bind(this)));
+    if (checked)
+      root.add(
+        readinessServer.readinessChild(
+          checked,
+          () => this.isReady(),
+          () => this.status(),
+        ),
+      );
+    if (frontend) root.add({ name: "frontend", start: () => server.listen(frontend), stop: () => server.close() });
+    root.add(root.turns("beats", link.HEARTBEAT_INTERVAL_MS, () => this.sendHeartbeat()));
+    root.add(root.turns("watch", WATCH_INTERVAL_MS, () => this.runPeriodically()));
   }
 
   private sendHeartbeat(): void {
@@ -155,7 +169,7 @@
     this.follower.primary?.link.send(calls.signs, told);
   }
 
-  /** The runners of a region that is cut off from here are doubted. */
+  /** The runners of a region that can't be reached from here are suspected. */
   private suspectUnreachableRegions(): void {
     for (const region of networkPartitions.partitionedRegions(this.dial, this.startup.region, this.clock.now()))
       this.fleet.recordUnreachableRegion(region);
@@ -175,7 +189,7 @@
     if (feedTopics.isListTopic(topic)) this.fleet.unfollow(keys);
   }
 
-  /** An epoch is taken whole, between two requests (design/parts 4). */
+  /** A configuration takes effect as one, between two requests (design/parts 4). */
   private applyConfiguration(applied: feedReplica.AppliedChange): void {
     const { config } = this;
     const isFirst = this.epoch < 0;
@@ -201,12 +215,12 @@
     this.updateServeGate();
   }
 
-  /** A period of a region's reports is whole. */
+  /** The reports of a region are complete for one period. */
   private onRegionReports(region: string): void {
     this.picker.admission.applyReport({ region, reports: this.fleet.reportsOf(region) });
   }
 
-  /** Settings read again: seeds and bounds take effect; addresses of its own do not. */
+  /** The settings were read again: seeds and limits take effect, the router's own addresses do not. */
   applySettings(startup: settings.Settings): void {
     this.startup = startup;
     this.dial.addAddresses(settings.innerSeeds(startup));
@@ -228,12 +242,12 @@
     });
   }
 
-  /** What it goes by now, for watchers in the same process (docs/experiment.md). */
+  /** What it follows now, for observers in the same process (docs/experiment.md). */
   position(): routerStatus.RouterPosition {
     return { epoch: this.epoch, revision: this.config.revision, following: this.follower.primary?.node.name ?? null };
   }
 
-  /** Finishes what is at work, then ends. */
+  /** Graceful shutdown: finishes the requests under way, then stops all parts. */
   async stop(): Promise<void> {
     this.server.isDraining = true;
     this.sendHeartbeat();
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -63,7 +63,7 @@
   });
   share.setRouterCount(1);
   share.grant({ life: "o", isGranting: true, grants: [{ id: 1, kind: 0, key: "s", amount: 25, lifeMs: 60_000 }] }, clock.now());
-  const chooser = new runnerPicker.RunnerPicker(
+  const picker = new runnerPicker.RunnerPicker(
     clock,
     fleet,
     new zoneRotation.ZoneRotation(clock),
@@ -85,16 +85,16 @@
       leavesMs: -1,
     })),
   );
-  chooser.routeTable = new routes.RouteTable(CONFIG);
-  server = new routerServer.RouterServer(
+  picker.routeTable = new routes.RouteTable(CONFIG);
+  server = new routerServer.RouterServer({
     clock,
-    chooser,
-    () => true,
-    () => 0,
-    { memory_mb: 256, max_open_files: 1024 },
-    new routerBatches.RouterBatches("life", chooser.prefills, chooser.admission),
-    new tenantGate.TenantGate(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
-  );
+    picker,
+    isReady: () => true,
+    recordSend: () => 0,
+    machine: { memory_mb: 256, max_open_files: 1024 },
+    batches: new routerBatches.RouterBatches("life", picker.prefills, picker.admission),
+    tenantGate: new tenantGate.TenantGate(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
+  });
   server.applyLimits(CONFIG.limits);
   await server.listen("127.0.0.1:0");
   port = server.port;
--- a/tests/sim/edge.ts
+++ b/tests/sim/edge.ts
@@ -58,7 +58,7 @@
   private constructor(
     readonly clock: types.Clock,
     readonly runners: Runner[],
-    tenancy = new tenantGate.TenantGate(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
+    gate = new tenantGate.TenantGate(clock, "r", new Map(), { revocation_strict: false, revoke_delay_ms: 5000 }),
   ) {
     this.fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
     const share = new leasedLimits.LeasedLimits(clock, {
@@ -70,7 +70,7 @@
     });
     share.setRouterCount(1);
     share.grant({ life: "o", isGranting: true, grants: [{ id: 1, kind: 0, key: "s", amount: 25, lifeMs: 60_000 }] }, clock.now());
-    const chooser = new runnerPicker.RunnerPicker(
+    const picker = new runnerPicker.RunnerPicker(
       clock,
       this.fleet,
       new zoneRotation.ZoneRotation(clock),
@@ -90,34 +90,30 @@
         leavesMs: -1,
       })),
     );
-    chooser.routeTable = new routes.RouteTable(CONFIG);
-    this.server = new routerServer.RouterServer(
+    picker.routeTable = new routes.RouteTable(CONFIG);
+    this.server = new routerServer.RouterServer({
       clock,
-      chooser,
-      () => this.isReady,
-      () => 0,
-      { memory_mb: 256, max_open_files: 1024 },
-      new routerBatches.RouterBatches("life", chooser.prefills, chooser.admission),
-      tenancy,
-    );
+      picker,
+      isReady: () => this.isReady,
+      recordSend: () => 0,
+      machine: { memory_mb: 256, max_open_files: 1024 },
+      batches: new routerBatches.RouterBatches("life", picker.prefills, picker.admission),
+      tenantGate: gate,
+    });
     this.server.applyLimits(CONFIG.limits);
   }
 
-  static start(clock: types.Clock, options: Partial<runner.RunnerOptions>[], tenancy?: tenantGate.TenantGate): Promise<Edge> {
+  static start(clock: types.Clock, options: Partial<runner.RunnerOptions>[], gate?: tenantGate.TenantGate): Promise<Edge> {
     return Edge.over(
       clock,
       options.map((item) => new runner.StandInRunner(item)),
-      tenancy,
+      gate,
     );
   }
 
-  static async over<Runner extends EdgeRunner>(
-    clock: types.Clock,
-    runners: Runner[],
-    tenancy?: tenantGate.TenantGate,
-  ): Promise<Edge<Runner>> {
+  static async over<Runner extends EdgeRunner>(clock: types.Clock, runners: Runner[], gate?: tenantGate.TenantGate): Promise<Edge<Runner>> {
     for (const runner of runners) await runner.start();
-    const edge = new Edge(clock, runners, tenancy);
+    const edge = new Edge(clock, runners, gate);
     await edge.server.listen("127.0.0.1:0");
     return edge;
   }
