--- a/src/control/directory/directory.ts
+++ b/src/control/directory/directory.ts
@@ -1,97 +1,90 @@
-// Where clients go: ready routers of the asker's region first, others when it has none (design 4.3).
-import * as schema from "../../wire/schema.js";
+/**
+ * The directory tells clients which routers to connect to: ready ones of their own region first, others when it has none
+ * (design 4.3).
+ */
+import type * as schema from "../../wire/schema.js";
 import type * as shrinkGuard from "../members/shrink-guard.js";
-import * as serve from "../../wire/serve.js";
+import type * as serve from "../../wire/serve.js";
 
 const MAX_ADDRESSES = 64;
 const TTL_S = 1;
+/** A zone or region is relied on with at least so many routers. */
+const MIN_ROUTERS = 2;
 
-/** Where routers stand: a region of each zone, and the members known. */
+/** How long a draining router outlives its entry in the directory, in milliseconds. */
+export const DRAIN_MS = 3 * TTL_S * 1000;
+/** For how long a router may be named after it announced its drain, in milliseconds: it listens for DRAIN_MS (*ours*). */
+export const STILL_SERVES_MS = 2500;
+
+/** What the directory knows of the deployment. */
 export interface DirectoryView {
   routers(): shrinkGuard.ObservedNode[];
-  /** Whether a router that said it leaves still takes connections. */
+  /** Whether a draining router still accepts connections. */
   stillServes(node: schema.NodeInfo): boolean;
   /** Regions that the routes of a host name are bound to; empty: none. */
-  homesOf(hostname: string): ReadonlySet<string>;
-  ttlMostS: number;
+  homeRegionsOf(hostname: string): ReadonlySet<string>;
+  /** Bound of the time to live of a response, in seconds. */
+  maxTtlS: number;
 }
 
-/** Who asks, and for what. */
-export interface Asker {
+/** Where the client is, and where its requests may go. */
+export interface ClientLocation {
   region: string;
   zone: string;
-  /** Regions that its routes are bound to, as far as they are. */
-  homes?: ReadonlySet<string>;
+  /** Regions that its routes are bound to; empty or absent: none. */
+  homeRegions?: ReadonlySet<string>;
 }
 
 /** 200 with up to 64 addresses, or 503 while no router is known. */
 export function resolve(view: DirectoryView, query: URLSearchParams): serve.HttpResponse {
-  const asker = { region: query.get("region") ?? "", zone: query.get("zone") ?? "", homes: view.homesOf(query.get("name") ?? "") };
-  const chosen = nearest(view.routers(), asker, (node) => view.stillServes(node));
-  if (chosen.length === 0) {
+  const client = {
+    region: query.get("region") ?? "",
+    zone: query.get("zone") ?? "",
+    homeRegions: view.homeRegionsOf(query.get("name") ?? ""),
+  };
+  const routers = nearestRouters(view.routers(), client, (node) => view.stillServes(node));
+  if (routers.length === 0) {
     return { status: 503, headers: { "Retry-After": "0.2" }, json: { message: "no router is known yet; ask again shortly" } };
   }
-  const addresses = chosen.slice(0, MAX_ADDRESSES).map(outsideOf);
-  return { status: 200, json: { addresses, ttl_s: Math.min(TTL_S, view.ttlMostS) } };
+  const addresses = routers.slice(0, MAX_ADDRESSES).map((node) => node.outside);
+  return { status: 200, json: { addresses, ttl_s: Math.min(TTL_S, view.maxTtlS) } };
 }
 
-/** Routers that are surely alive go before those that are only believed to be (design/members 5). */
-export function nearest(
+/** The routers to name to a client. Confirmed routers go before those that the shrink guard keeps (design/members 5). */
+export function nearestRouters(
   routers: readonly shrinkGuard.ObservedNode[],
-  { region, zone, homes }: Asker,
-  stillServes: (node: schema.NodeInfo) => boolean = never,
+  client: ClientLocation,
+  stillServes: (node: schema.NodeInfo) => boolean = () => false,
 ): schema.NodeInfo[] {
-  const ready = routers.filter(isReady);
+  const ready = routers.filter(({ node }) => node.isReady);
   // A known router that is not ready beats an empty reply.
   const usable = ready.length > 0 ? ready : routers;
-  const here = usable.filter(isHere);
-  const near = here.filter(isNear);
-  function isHere(seen: shrinkGuard.ObservedNode): boolean {
-    return seen.node.region === region;
-  }
-  function isNear(seen: shrinkGuard.ObservedNode): boolean {
-    return seen.node.zone === zone;
+  const inRegion = usable.filter(({ node }) => node.region === client.region);
+  const inZone = inRegion.filter(({ node }) => node.zone === client.zone);
+  // One router alone is no zone to rely on: then the whole region serves.
+  for (const group of [inZone.filter(isConfirmed), inRegion.filter(isConfirmed), inZone]) {
+    if (group.length >= MIN_ROUTERS) return nodesOf(group);
   }
-  // One router alone is no zone to lean on: then the whole region serves.
-  const sureNear = near.filter(isSure);
-  if (sureNear.length >= 2) return sureNear.map(nodeOf);
-  const sureHere = here.filter(isSure);
-  if (sureHere.length >= 2) return sureHere.map(nodeOf);
-  if (near.length >= 2) return near.map(nodeOf);
-  if (here.length > 0) return here.map(nodeOf);
-  // Routers restarted one after the other may all be leaving for a moment: they serve on meanwhile, and requests that are
-  // bound to a home stay in their region.
-  const leaving = routers.filter((seen) => isHere(seen) && stillServes(seen.node));
-  return (leaving.length > 0 ? leaving : atHome(usable, homes)).map(nodeOf);
+  if (inRegion.length > 0) return nodesOf(inRegion);
+  // Routers restarted one after the other may all be draining for a moment: they still serve meanwhile, and requests that
+  // are bound to a region stay there.
+  const draining = routers.filter(({ node }) => node.region === client.region && stillServes(node));
+  return nodesOf(draining.length > 0 ? draining : inHomeRegions(usable, client.homeRegions));
 }
 
 /** Those in the regions that the routes are bound to; all where there are none. */
-function atHome(usable: readonly shrinkGuard.ObservedNode[], homes: ReadonlySet<string> = new Set()): readonly shrinkGuard.ObservedNode[] {
-  const found = usable.filter((seen) => homes.has(seen.node.region));
+function inHomeRegions(
+  usable: readonly shrinkGuard.ObservedNode[],
+  homeRegions: ReadonlySet<string> = new Set(),
+): readonly shrinkGuard.ObservedNode[] {
+  const found = usable.filter(({ node }) => homeRegions.has(node.region));
   return found.length > 0 ? found : usable;
 }
 
-function never(): boolean {
-  return false;
+function isConfirmed(router: shrinkGuard.ObservedNode): boolean {
+  return router.isConfirmed;
 }
 
-function isSure(seen: shrinkGuard.ObservedNode): boolean {
-  return seen.isConfirmed;
+function nodesOf(routers: readonly shrinkGuard.ObservedNode[]): schema.NodeInfo[] {
+  return routers.map(({ node }) => node);
 }
-
-function nodeOf(seen: shrinkGuard.ObservedNode): schema.NodeInfo {
-  return seen.node;
-}
-
-function isReady(seen: shrinkGuard.ObservedNode): boolean {
-  return seen.node.isReady;
-}
-
-function outsideOf(node: schema.NodeInfo): string {
-  return node.outside;
-}
-
-/** How long a leaving router outlives its place in the directory, in milliseconds. */
-export const LEAVE_MS = 3 * TTL_S * 1000;
-/** So long after it said that it leaves a router may still be named, in milliseconds: it listens for LEAVE_MS (*ours*). */
-export const STILL_SERVES_MS = 2500;
--- a/src/control/endpoints.ts
+++ b/src/control/endpoints.ts
@@ -7,7 +7,7 @@
 import type * as tree from "../supervisor/tree.js";
 import type * as schema from "../wire/schema.js";
 import * as directory from "./directory/directory.js";
-import * as hostHomes from "./directory/host-homes.js";
+import * as homeRegions from "./directory/home-regions.js";
 import * as serve from "../wire/serve.js";
 
 const RESOLVE_PATH = "/-/resolve";
@@ -25,8 +25,8 @@
 
 /** Serves the directory to clients that look for a router. */
 export function directoryServer(startup: settings.Settings, source: DirectorySource): tree.Child {
-  const homes = new hostHomes.HostHomes(() => source.chosen());
-  const view = { ...source, homesOf: (hostname: string) => homes.of(hostname), ttlMostS: startup.bounds.ttl_max_s };
+  const regions = new homeRegions.HomeRegions(() => source.chosen());
+  const view = { ...source, homeRegionsOf: (hostname: string) => regions.ofHost(hostname), maxTtlS: startup.bounds.ttl_max_s };
   return serve.child("directory", startup.bind_addresses.directory, (request) => {
     if (request.path === RESOLVE_PATH) return directory.resolve(view, request.query);
     return { status: 404, json: { message: `no call ${request.path}; ask ${RESOLVE_PATH}` } };
--- a/src/control/leases/quotas.ts
+++ b/src/control/leases/quota-server.ts
@@ -1,6 +1,6 @@
 /**
- * This control node as owner of its slot of all quotas (design/tenants 4): the limits of the chosen configuration, a
- * tenure with terms of its own, and the replies to routers, which carry this node's word on the configuration too.
+ * Tenants' quotas from this control node, which owns one slot of each (design/tenants 4): the limits of the chosen
+ * configuration, a tenure of its own, and the replies to routers, which also carry the epoch that this node knows.
  */
 import type * as check from "../../config/check.js";
 import * as registerValue from "../../register/register-value.js";
@@ -16,32 +16,33 @@
 import * as types from "../../wire/types.js";
 import type * as quorumContact from "../voters/quorum-contact.js";
 import type * as registerReplica from "../register-replica.js";
-import * as slotNote from "./slot-note.js";
+import * as slotRecord from "./slot-record.js";
 
-/** Grants units of quotas. */
-export class Quotas {
+/** Grants units of quotas to routers. */
+export class QuotaServer {
   private readonly tenure: quotaTenure.QuotaTenure;
   private readonly owner: quotaOwner.QuotaOwner;
+  /** The configuration whose limits are in force. */
   private config: Buffer | null = null;
   private hasLimits = false;
-  private note: slotNote.SlotNote | null = null;
-  /** Of a former life; null once it was used, or where there is none. */
-  private formerNote: slotNote.Note | null = null;
+  private recordFile: slotRecord.SlotRecordFile | null = null;
+  /** Of the previous incarnation; null once it was applied, or where there is none. */
+  private previousRecord: slotRecord.SlotRecord | null = null;
 
   constructor(
     clock: types.Clock,
-    life: string,
+    incarnation: string,
     bounds: quotaPart.QuotaBounds,
     private readonly replica: registerReplica.RegisterReplica,
   ) {
     this.tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: quotaTenure.FENCE_MS, maxLeaseMs: quotaClient.UNIT_MS });
-    this.owner = new quotaOwner.QuotaOwner(clock, life, bounds, this.tenure);
+    this.owner = new quotaOwner.QuotaOwner(clock, incarnation, bounds, this.tenure);
   }
 
-  /** Reads what a former life noted on this disk. */
+  /** Reads what the previous incarnation recorded on this disk. */
   async open(folder: files.StoreFolder): Promise<void> {
-    this.note = new slotNote.SlotNote(folder);
-    this.formerNote = await this.note.read();
+    this.recordFile = new slotRecord.SlotRecordFile(folder);
+    this.previousRecord = await this.recordFile.read();
     this.applyChosen();
   }
 
@@ -50,31 +51,31 @@
     this.owner.resettle(bounds);
   }
 
-  /** Answers routers that ask for units. */
+  /** Registers the handler of routers' requests for units. */
   registerHandlers(handlers: link.Handlers, contact: quorumContact.QuorumContact): void {
-    handlers.on(calls.quota, (_from, ask) => this.reply(contact, ask));
+    handlers.on(calls.quota, (_from, request) => this.reply(request, contact));
   }
 
-  private reply(contact: quorumContact.QuorumContact, ask: tenantSchema.QuotaAsk): tenantSchema.QuotaReply {
+  private reply(request: tenantSchema.QuotaAsk, contact: quorumContact.QuorumContact): tenantSchema.QuotaReply {
     this.applyChosen();
-    const { replica: core } = this;
-    const given = this.owner.reply(ask, core.acceptedVoterEpoch);
+    const { replica } = this;
+    const given = this.owner.reply(request, replica.acceptedVoterEpoch);
     return {
       isGranting: given !== null,
       isConfirmed: contact.isConfirmed(),
-      epoch: core.chosen?.epoch ?? types.NO_EPOCH,
+      epoch: replica.chosen?.epoch ?? types.NO_EPOCH,
       given: given ?? [],
     };
   }
 
-  /** Takes what is chosen: voters and limits. */
+  /** Applies the newest chosen value: voters and limits. */
   applyChosen(): void {
     const { chosen, disk } = this.replica;
     if (!chosen) return;
     this.tenure.applyValue(chosen, disk);
-    this.useNotes(disk);
+    this.updateSlotRecord(disk);
     if (this.config === chosen.config) return;
-    // Another epoch may bring equal bytes anew: they are compared once, not at each ask.
+    // Another epoch may bring equal bytes in a new buffer: they are compared once, not with each request.
     const isEqual = this.config?.equals(chosen.config) === true;
     this.config = chosen.config;
     if (isEqual) return;
@@ -83,21 +84,22 @@
     this.owner.setLimits(limits);
   }
 
-  /** Once the own disk is known its former note counts; without limits no note is kept. */
-  private useNotes(disk: string): void {
+  /** Once the own disk is known, its previous record is applied; without limits no record is saved. */
+  private updateSlotRecord(disk: string): void {
     if (disk === "") return;
-    if (this.formerNote) this.tenure.restore(this.formerNote.disk, types.small(this.formerNote.epoch), this.formerNote);
-    this.formerNote = null;
+    const previous = this.previousRecord;
+    if (previous) this.tenure.restore(previous.disk, types.small(previous.epoch), previous);
+    this.previousRecord = null;
     if (!this.hasLimits || !this.tenure.isSettledIn()) return;
-    this.note?.keep({ disk, epoch: this.tenure.epoch, slot: this.tenure.slot, slots: this.tenure.slots });
+    this.recordFile?.save({ disk, epoch: this.tenure.epoch, slot: this.tenure.slot, slots: this.tenure.slots });
   }
 
-  /** A voter's reply to one of the contact's asks. */
-  recordFenceReply(asked: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
-    this.tenure.recordFenceReply(asked, sentAt, reply);
+  /** A voter's reply to a request of the contact. */
+  recordFenceReply(voterEpoch: types.Epoch, sentAt: types.SteadyMs, reply: leaseSchema.FenceReply): void {
+    this.tenure.recordFenceReply(voterEpoch, sentAt, reply);
   }
 
-  /** For `status`: limits, and what was granted and denied by tenant. */
+  /** For `status`: limits, and what was granted and rejected by tenant. */
   status(): unknown {
     return { isGranting: this.tenure.isGranting(this.replica.acceptedVoterEpoch), ...(this.owner.status() as object) };
   }
@@ -105,6 +107,8 @@
 
 function limitsOf(config: check.Configuration | null): Map<string, quotaPart.Limit> {
   const limits = new Map<string, quotaPart.Limit>();
-  for (const { name, rate_per_s: perS, burst } of config?.tenants ?? []) if (perS) limits.set(name, { perS, burst: burst ?? 0 });
+  for (const { name, rate_per_s: perS, burst } of config?.tenants ?? []) {
+    if (perS) limits.set(name, { perS, burst: burst ?? 0 });
+  }
   return limits;
 }
--- a/src/router/graceful-shutdown.ts
+++ b/src/router/graceful-shutdown.ts
@@ -13,7 +13,7 @@
 export async function drainRequests(clock: types.Clock, server: routerServer.RouterServer, graceMs: number): Promise<void> {
   const startedAt = clock.now();
   const until = startedAt + graceMs - EXIT_RESERVE_MS;
-  await timers.sleep(clock, Math.min(directory.LEAVE_MS + link.HEARTBEAT_INTERVAL_MS, until - startedAt));
+  await timers.sleep(clock, Math.min(directory.DRAIN_MS + link.HEARTBEAT_INTERVAL_MS, until - startedAt));
   server.close();
   while (server.activeCount > 0 && clock.now() < until) await timers.sleep(clock, POLL_INTERVAL_MS);
 }
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -67,7 +67,7 @@
   /** The routers that the directory names to a client of their region. */
   resolve(): string[] {
     const stillServes = (info: schema.NodeInfo): boolean => this.members.stillServes(info);
-    return directory.nearest(this.members.routers(), { region: "r", zone: "r" }, stillServes).map((info) => info.name);
+    return directory.nearestRouters(this.members.routers(), { region: "r", zone: "r" }, stillServes).map((info) => info.name);
   }
 
   names(role: string): string[] {
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -265,9 +265,9 @@
 
 test("the directory: near and ready first, others when there are none, and never empty", function nearest() {
   const all = [node("a", "r", true), node("b", "r", false), node("c", "q", true)].map(heard);
-  expect(directory.nearest(all, { region: "r", zone: "r-1" }).map((item) => item.name)).toEqual(["a"]);
-  expect(directory.nearest(all, { region: "p", zone: "p-1" }).map((item) => item.name)).toEqual(["a", "c"]);
-  expect(directory.nearest([heard(node("b", "r", false))], { region: "q", zone: "q-1" }).map((item) => item.name)).toEqual(["b"]);
+  expect(directory.nearestRouters(all, { region: "r", zone: "r-1" }).map((item) => item.name)).toEqual(["a"]);
+  expect(directory.nearestRouters(all, { region: "p", zone: "p-1" }).map((item) => item.name)).toEqual(["a", "c"]);
+  expect(directory.nearestRouters([heard(node("b", "r", false))], { region: "q", zone: "q-1" }).map((item) => item.name)).toEqual(["b"]);
 });
 
 test("who votes: two joiners grow an odd core at once, one alone waits, an even core sheds a silent voter", function voters() {
--- a/tests/shrink-guard.test.ts
+++ b/tests/shrink-guard.test.ts
@@ -63,7 +63,8 @@
       node: router(name, { zone }),
       isConfirmed,
     });
-    const near = (all: shrinkGuard.ObservedNode[]): string[] => directory.nearest(all, { region: "r", zone: "z" }).map((node) => node.name);
+    const near = (all: shrinkGuard.ObservedNode[]): string[] =>
+      directory.nearestRouters(all, { region: "r", zone: "z" }).map((node) => node.name);
     expect(near([seen("a", "z", true), seen("b", "z", true), seen("c", "z", false)])).toEqual(["a", "b"]);
     expect(near([seen("a", "z", true), seen("b", "z", false), seen("c", "y", true)])).toEqual(["a", "c"]);
     expect(near([seen("a", "z", true), seen("b", "z", false), seen("c", "y", false)])).toEqual(["a", "b"]);
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -228,7 +228,7 @@
     const routers = (): ReturnType<membership.Membership["routers"]> =>
       this.contact.isConfirmed() ? this.members.routers() : this.members.ownRouters();
     const told = directory.resolve(
-      { routers, stillServes: (node) => this.members.stillServes(node), homesOf: () => new Set(), ttlMostS: 2 },
+      { routers, stillServes: (node) => this.members.stillServes(node), homeRegionsOf: () => new Set(), maxTtlS: 2 },
       new URLSearchParams({ region, zone: region }),
     );
     return (told.json as { addresses?: string[] }).addresses ?? [];
