--- a/src/hints/hint-batch.ts
+++ b/src/hints/hint-batch.ts
@@ -1,69 +1,69 @@
 /**
- * Signs gathered for one frame (design/usage 2.2): readings of one runner from one side are one entry, and the oldest
- * entries are dropped beyond the bound. Signs are hints.
+ * Hints collected for one frame (design/usage 2.2): the prefills of one runner from one sender are one entry, and the
+ * oldest entries are dropped beyond the bound. Hints may be lost without harm.
  */
 import * as schema from "../wire/schema.js";
 import * as log from "../runtime/log.js";
 
 /** Entries of one frame, and keys of one entry (*ours*). */
 export const MAX_ENTRIES = 64;
-/** Keys of one reading that are told. */
+/** Prefix keys of one prefill. */
 export const MAX_KEYS = 24;
 
-/** One frame: the marks of silent runners, and readings that were sent. */
+/** The hints of one frame; its fields are those of the wire's schema. */
 export interface HintFrame {
-  /** Marks of runners that fell silent while at work. */
+  /** Hashes of runners that became unresponsive with requests in flight. */
   silent: number[];
-  /** Long prompts sent to a runner: its mark, tokens to read, and keys of the parts. */
+  /** Long prompts sent to a runner: its hash, the uncached tokens, and the keys of the parts. */
   readings: schema.ReadingSign[];
 }
 
-/** Signs until the next frame, bounded in entries and keys. */
+function dropOldest(entries: Map<number, unknown> | Set<number>): void {
+  for (const oldest of entries.keys()) {
+    if (entries.size <= MAX_ENTRIES) return;
+    entries.delete(oldest);
+    log.count("signs.dropped");
+  }
+}
+
+/** The hints until the next frame, bounded in entries and keys. */
 export class HintBatch {
-  private readonly silent = new Set<number>();
-  private readonly readings = new Map<number, schema.ReadingSign>();
+  private readonly unresponsive = new Set<number>();
+  private readonly prefills = new Map<number, schema.ReadingSign>();
 
-  /** Nothing to send. */
+  /** Whether there is nothing to send. */
   get isEmpty(): boolean {
-    return this.silent.size === 0 && this.readings.size === 0;
+    return this.unresponsive.size === 0 && this.prefills.size === 0;
   }
 
-  /** A runner is silent. */
-  addUnresponsive(mark: number): void {
-    this.silent.add(mark);
-    dropOldest(this.silent);
+  /** Adds an unresponsive runner by its hash. */
+  addUnresponsive(runner: number): void {
+    this.unresponsive.add(runner);
+    dropOldest(this.unresponsive);
   }
 
-  /** A prompt was sent to a runner; it is added to the runner's earlier ones. */
-  addPrefill(reading: schema.ReadingSign): void {
-    const before = this.readings.get(reading.runner);
-    const keys = new Set([...(before?.keys ?? []), ...reading.keys]);
-    this.readings.set(reading.runner, {
-      runner: reading.runner,
-      unread: (before?.unread ?? 0) + reading.unread,
+  /** Adds a prompt that was sent to a runner to the runner's earlier ones. */
+  addPrefill(prefill: schema.ReadingSign): void {
+    const before = this.prefills.get(prefill.runner);
+    const keys = new Set([...(before?.keys ?? []), ...prefill.keys]);
+    this.prefills.set(prefill.runner, {
+      runner: prefill.runner,
+      unread: (before?.unread ?? 0) + prefill.unread,
       keys: [...keys].slice(-MAX_KEYS),
     });
-    dropOldest(this.readings);
+    dropOldest(this.prefills);
   }
 
-  /** All signs as one frame; the batch is empty afterwards. */
+  /** Returns all hints as one frame; the batch is empty afterwards. */
   drain(): HintFrame {
-    const frame = { silent: [...this.silent], readings: [...this.readings.values()] };
-    this.silent.clear();
-    this.readings.clear();
+    const frame = { silent: [...this.unresponsive], readings: [...this.prefills.values()] };
+    this.unresponsive.clear();
+    this.prefills.clear();
     return frame;
   }
 }
 
-function dropOldest(entries: Map<number, unknown> | Set<number>): void {
-  for (const oldest of entries.keys()) {
-    if (entries.size <= MAX_ENTRIES) return;
-    entries.delete(oldest);
-    log.count("signs.dropped");
-  }
-}
-
-/** Upper side of an entry's bytes in a frame: varints of a mark, tokens and keys, and the ends of its array. */
-export function maxBytesOf(reading: schema.ReadingSign): number {
-  return 10 + 5 * reading.keys.length;
+/** An upper bound of an entry's bytes in a frame: varints of the hash, tokens and keys, and the ends of its array. */
+export function maxBytesOf(prefill: schema.ReadingSign): number {
+  return 10 + 5 * prefill.keys.length;
 }
--- a/src/hints/hint-exchange.ts
+++ b/src/hints/hint-exchange.ts
@@ -1,4 +1,4 @@
-/** The router's side of signs (design/usage 2): what it sends to others, and how it takes what others send. */
+/** The router's side of hints (design/usage 2): publishes its own, and passes received ones to a handler. */
 import * as calls from "../wire/calls.js";
 import type * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
@@ -8,18 +8,18 @@
 import type * as runnerHash from "./runner-hash.js";
 import * as throttle from "./throttle.js";
 
-/** Keys of one reading that are told (*ours*). */
+/** Prefix keys published of one prefill (*ours*). */
 const MAX_KEYS = 8;
 
-/** What takes the signs of other routers; the router's program is it. */
+/** Handles the hints of other routers. */
 export interface HintHandler {
-  /** Others found these runners silent. */
+  /** Other routers found these runners unresponsive. */
   onUnresponsive(ids: types.RunnerId[]): void;
-  /** A prompt with so many unread tokens was sent to the runner by another router. */
-  onPrefill(runner: types.RunnerId, unread: number, keys: readonly number[]): void;
+  /** Another router sent the runner a prompt with this many uncached tokens. */
+  onPrefill(runner: types.RunnerId, uncachedTokens: number, keys: readonly number[]): void;
 }
 
-/** Sends and takes the signs of one router. Runners whose mark is shared are left out. */
+/** Publishes and receives the hints of one router. Runners whose hash is not unique are left out. */
 export class HintExchange {
   private readonly batch = new hintBatch.HintBatch();
   private readonly throttle: throttle.Throttle;
@@ -28,48 +28,48 @@
     clock: types.Clock,
     private readonly runnerHashes: runnerHash.RunnerHashes<types.RunnerId>,
     private readonly handler: HintHandler,
-    private readonly publish: (signs: schema.Signs) => void,
+    private readonly publish: (hints: schema.Signs) => void,
   ) {
-    this.throttle = new throttle.Throttle(clock, this.flush.bind(this));
+    this.throttle = new throttle.Throttle(clock, () => this.flush());
   }
 
-  /** Hears signs from the links. */
+  /** Registers the call by which hints arrive. */
   register(handlers: link.Handlers): void {
-    handlers.on(calls.signs, (_from, told) => {
-      this.receive(told);
+    handlers.on(calls.signs, (_from, hints) => {
+      this.receive(hints);
       return null;
     });
   }
 
-  /** A reading sent from here; `keys` are those of its unread parts: the others were told when they were read. */
-  publishPrefill(runner: types.RunnerId, unread: number, keys: readonly number[]): void {
-    const mark = this.runnerHashes.hashOf(runner);
-    if (mark === null) return;
-    this.batch.addPrefill({ runner: mark, unread, keys: keys.slice(-MAX_KEYS) });
+  /** Publishes a prompt sent from here; `keys` are those of its uncached parts, since the others were published before. */
+  publishPrefill(runner: types.RunnerId, uncachedTokens: number, keys: readonly number[]): void {
+    const hash = this.runnerHashes.hashOf(runner);
+    if (hash === null) return;
+    this.batch.addPrefill({ runner: hash, unread: uncachedTokens, keys: keys.slice(-MAX_KEYS) });
     this.throttle.request();
   }
 
-  /** These runners fell silent while at work for this router. */
+  /** Publishes runners that became unresponsive with requests of this router in flight. */
   publishUnresponsive(runners: readonly types.RunnerId[]): void {
     for (const runner of runners) {
-      const mark = this.runnerHashes.hashOf(runner);
-      if (mark !== null) this.batch.addUnresponsive(mark);
+      const hash = this.runnerHashes.hashOf(runner);
+      if (hash !== null) this.batch.addUnresponsive(hash);
     }
     if (!this.batch.isEmpty) this.throttle.request();
   }
 
-  /** Signs of other routers are here; unknown marks are counted and passed over. */
-  receive(signs: schema.Signs): void {
-    const silent: types.RunnerId[] = [];
-    for (const mark of signs.silent) {
-      const id = this.runnerHashes.idOf(mark);
-      if (id !== null) silent.push(id);
+  /** Hints of other routers have arrived; unknown runners are counted and ignored. */
+  receive(hints: schema.Signs): void {
+    const unresponsive: types.RunnerId[] = [];
+    for (const hash of hints.silent) {
+      const id = this.runnerHashes.idOf(hash);
+      if (id !== null) unresponsive.push(id);
     }
-    if (silent.length > 0) this.handler.onUnresponsive(silent);
-    for (const reading of signs.readings) {
-      const id = this.runnerHashes.idOf(reading.runner);
+    if (unresponsive.length > 0) this.handler.onUnresponsive(unresponsive);
+    for (const prefill of hints.readings) {
+      const id = this.runnerHashes.idOf(prefill.runner);
       if (id === null) log.count("signs.unknown");
-      else this.handler.onPrefill(id, reading.unread, reading.keys);
+      else this.handler.onPrefill(id, prefill.unread, prefill.keys);
     }
   }
 
@@ -79,7 +79,7 @@
     this.publish({ isRelayed: false, ...this.batch.drain() });
   }
 
-  /** Nothing is sent any more. */
+  /** Cancels the timer: nothing is sent any more. */
   stop(): void {
     this.throttle.stop();
   }
--- a/src/hints/hint-relay.ts
+++ b/src/hints/hint-relay.ts
@@ -1,6 +1,6 @@
 /**
- * The control node's side of signs (design/usage 2.3): what its routers send goes to each other control node once,
- * and from each control node to those of its routers that follow the runner's cell; never back where it came from.
+ * The control node's side of hints (design/usage 2.3): those of its routers are forwarded to each other control node
+ * once, and all to those of its routers that follow the runner's region; never back to the sender.
  */
 import type * as link from "../wire/link.js";
 import * as calls from "../wire/calls.js";
@@ -11,49 +11,55 @@
 import * as runnerHash from "./runner-hash.js";
 import * as throttle from "./throttle.js";
 
-/** What all routers of one control node are told of readings, bytes a second, and the bounds of one router's part (*ours*). */
+/** Rate of prefill hints to all routers of one control node together, and the bounds of the rate of one router (*ours*). */
 const TOTAL_BYTES_PER_S = 64_000;
 const MIN_BYTES_PER_S = 600;
 const MAX_BYTES_PER_S = 6000;
-/** So many seconds' part is told at once after a quiet while. */
+/** Size of a router's token bucket, in seconds of its rate. */
 export const BURST_S = 3;
 
-/** The bytes a second that one of so many routers may be sent of readings. */
-export function routerBytesPerS(routers: number): number {
-  return Math.max(MIN_BYTES_PER_S, Math.min(MAX_BYTES_PER_S, TOTAL_BYTES_PER_S / Math.max(1, routers)));
+/** The bytes of prefill hints that each of so many routers may be sent a second. */
+export function routerBytesPerS(routerCount: number): number {
+  return Math.max(MIN_BYTES_PER_S, Math.min(MAX_BYTES_PER_S, TOTAL_BYTES_PER_S / Math.max(1, routerCount)));
 }
 
 type Peer = Pick<link.Link, "send" | "once">;
 
-/** Where signs can go; the control node's `Cells` is it. */
+/** Where hints can be forwarded to; implemented by the control node's `FleetObserver`. */
 export interface RelayTargets {
   /** Links to the other control nodes. */
   peers(): Iterable<Peer>;
-  /** Own routers that follow the region's cell. */
+  /** Own routers that follow the load of the region. */
   followersOf(region: string): Iterable<Peer>;
   /** How many routers follow this control node. */
   routerCount(): number;
 }
 
-interface PendingSigns {
+interface PendingHints {
   from: Peer;
   isRelayed: boolean;
   batch: hintBatch.HintBatch;
 }
 
 interface TokenBucket {
+  /** Bytes that may be sent, as of `at`. */
   bytes: number;
   at: number;
 }
 
+function addFrame(batch: hintBatch.HintBatch, frame: hintBatch.HintFrame): void {
+  for (const runner of frame.silent) batch.addUnresponsive(runner);
+  for (const prefill of frame.readings) batch.addPrefill(prefill);
+}
+
 /**
- * Gathers signs and passes them on at most once a period. Signs of silence always go; readings within a token bucket
- * per router.
+ * Collects hints and forwards them at most once a period. Hints of unresponsive runners are always forwarded, hints of
+ * prefills within a token bucket a router.
  */
 export class HintRelay {
   private readonly runnerHashes = new runnerHash.RunnerHashes<types.RunnerId>();
   private regions: ReadonlyMap<types.RunnerId, string> = new Map();
-  private readonly pending = new Map<Peer, PendingSigns>();
+  private readonly pending = new Map<Peer, PendingHints>();
   private readonly buckets = new Map<Peer, TokenBucket>();
   private readonly throttle: throttle.Throttle;
 
@@ -61,24 +67,24 @@
     private readonly clock: types.Clock,
     private readonly targets: RelayTargets,
   ) {
-    this.throttle = new throttle.Throttle(clock, this.flush.bind(this));
+    this.throttle = new throttle.Throttle(clock, () => this.flush());
   }
 
-  /** The regions of the runners listed. */
+  /** Replaces the listed runners and their regions. */
   setRegions(regions: ReadonlyMap<types.RunnerId, string>): void {
     this.regions = regions;
     this.runnerHashes.replaceAll(regions.keys());
   }
 
-  /** Signs came by this link, from a router or from another control node. */
-  receive(from: Peer, signs: schema.Signs): void {
+  /** Hints have arrived by this link, from a router or from another control node. */
+  receive(from: Peer, hints: schema.Signs): void {
     let pending = this.pending.get(from);
     if (!pending) {
-      pending = { from, isRelayed: signs.isRelayed, batch: new hintBatch.HintBatch() };
+      pending = { from, isRelayed: hints.isRelayed, batch: new hintBatch.HintBatch() };
       this.pending.set(from, pending);
     }
-    for (const mark of signs.silent) pending.batch.addUnresponsive(mark);
-    for (const reading of signs.readings) pending.batch.addPrefill(reading);
+    for (const runner of hints.silent) pending.batch.addUnresponsive(runner);
+    for (const prefill of hints.readings) pending.batch.addPrefill(prefill);
     this.throttle.request();
   }
 
@@ -87,7 +93,7 @@
     const toRouters = new Map<Peer, hintBatch.HintBatch>();
     for (const { from, isRelayed, batch } of this.pending.values()) {
       const frame = batch.drain();
-      if (!isRelayed) fill(toPeers, frame);
+      if (!isRelayed) addFrame(toPeers, frame);
       this.distribute(from, frame, toRouters);
     }
     this.pending.clear();
@@ -99,17 +105,17 @@
     for (const [router, batch] of toRouters) this.send(router, batch.drain(), perS);
   }
 
-  /** Each sign to the followers of its runner's cell, but not to the one it came from. */
+  /** Adds each hint to the batches of the routers that follow its runner's region, except for the sender. */
   private distribute(from: Peer, frame: hintBatch.HintFrame, toRouters: Map<Peer, hintBatch.HintBatch>): void {
-    for (const mark of frame.silent) for (const batch of this.batchesFor(mark, from, toRouters)) batch.addUnresponsive(mark);
-    for (const reading of frame.readings) {
-      for (const batch of this.batchesFor(reading.runner, from, toRouters)) batch.addPrefill(reading);
+    for (const runner of frame.silent) for (const batch of this.batchesFor(runner, from, toRouters)) batch.addUnresponsive(runner);
+    for (const prefill of frame.readings) {
+      for (const batch of this.batchesFor(prefill.runner, from, toRouters)) batch.addPrefill(prefill);
     }
   }
 
-  private batchesFor(mark: number, from: Peer, toRouters: Map<Peer, hintBatch.HintBatch>): hintBatch.HintBatch[] {
+  private batchesFor(runner: number, from: Peer, toRouters: Map<Peer, hintBatch.HintBatch>): hintBatch.HintBatch[] {
     const found: hintBatch.HintBatch[] = [];
-    const region = this.regions.get(this.runnerHashes.idOf(mark) ?? types.small(""));
+    const region = this.regions.get(this.runnerHashes.idOf(runner) ?? types.small(""));
     if (region === undefined) {
       log.count("signs.unknown");
       return found;
@@ -126,47 +132,38 @@
     return found;
   }
 
-  /** Silences always; of the readings the newest that the router's bytes allow. */
+  /** Sends all unresponsive runners, and of the prefills the newest that the router's token bucket allows. */
   private send(router: Peer, frame: hintBatch.HintFrame, perS: number): void {
     const bucket = this.bucketOf(router, perS);
-    const readings: schema.ReadingSign[] = [];
-    for (const reading of [...frame.readings].reverse()) {
-      const bytes = hintBatch.maxBytesOf(reading);
+    const prefills: schema.ReadingSign[] = [];
+    for (const prefill of [...frame.readings].reverse()) {
+      const bytes = hintBatch.maxBytesOf(prefill);
       if (bytes > bucket.bytes) break;
       bucket.bytes -= bytes;
-      readings.push(reading);
+      prefills.push(prefill);
     }
-    if (readings.length < frame.readings.length) log.count("signs.dropped", frame.readings.length - readings.length);
-    if (readings.length === 0 && frame.silent.length === 0) return;
+    if (prefills.length < frame.readings.length) log.count("signs.dropped", frame.readings.length - prefills.length);
+    if (prefills.length === 0 && frame.silent.length === 0) return;
     log.count("signs.relayed");
-    router.send(calls.signs, { isRelayed: true, silent: frame.silent, readings: readings.reverse() });
+    router.send(calls.signs, { isRelayed: true, silent: frame.silent, readings: prefills.reverse() });
   }
 
   private bucketOf(router: Peer, perS: number): TokenBucket {
-    const most = perS * BURST_S;
+    const maxBytes = perS * BURST_S;
     const now = this.clock.now();
     let bucket = this.buckets.get(router);
     if (!bucket) {
-      bucket = { bytes: most, at: now };
+      bucket = { bytes: maxBytes, at: now };
       this.buckets.set(router, bucket);
-      router.once("end", this.forget.bind(this, router));
+      router.once("end", () => this.buckets.delete(router));
     }
-    bucket.bytes = Math.min(most, bucket.bytes + ((now - bucket.at) * perS) / 1000);
+    bucket.bytes = Math.min(maxBytes, bucket.bytes + ((now - bucket.at) * perS) / 1000);
     bucket.at = now;
     return bucket;
   }
 
-  private forget(router: Peer): void {
-    this.buckets.delete(router);
-  }
-
-  /** Nothing is sent any more. */
+  /** Cancels the timer: nothing is sent any more. */
   stop(): void {
     this.throttle.stop();
   }
 }
-
-function fill(batch: hintBatch.HintBatch, frame: hintBatch.HintFrame): void {
-  for (const mark of frame.silent) batch.addUnresponsive(mark);
-  for (const reading of frame.readings) batch.addPrefill(reading);
-}
--- a/src/hints/runner-hash.ts
+++ b/src/hints/runner-hash.ts
@@ -1,40 +1,40 @@
-/** Runners named by 32 bits: a hash of the id. Marks that two runners share name nobody (design/usage 2.1). */
+/** Runners identified by a 32-bit hash of their id. A hash that two runners share identifies neither (design/usage 2.1). */
 import * as log from "../runtime/log.js";
 import * as textHash from "../limits/text-hash.js";
 
-/** The mark of an id, a signed 32-bit number. */
+/** The hash of an id, a signed 32-bit number. */
 export function runnerHash(id: string): number {
   return textHash.hashText(id) | 0;
 }
 
-/** Ids by mark over the runners listed; rebuilt with each list. */
+/** Ids by hash over the listed runners; rebuilt with each list. */
 export class RunnerHashes<Id extends string> {
   private readonly ids = new Map<number, Id>();
-  private readonly shared = new Set<number>();
+  private readonly colliding = new Set<number>();
 
   constructor(private readonly hash: (id: string) => number = runnerHash) {}
 
-  /** The runners that marks may name from now on. */
+  /** Replaces the runners that hashes may identify. */
   replaceAll(ids: Iterable<Id>): void {
     this.ids.clear();
-    this.shared.clear();
+    this.colliding.clear();
     for (const id of ids) {
-      const mark = this.hash(id);
-      const other = this.ids.get(mark);
-      if (other !== undefined && other !== id) this.shared.add(mark);
-      this.ids.set(mark, id);
+      const hash = this.hash(id);
+      const other = this.ids.get(hash);
+      if (other !== undefined && other !== id) this.colliding.add(hash);
+      this.ids.set(hash, id);
     }
-    if (this.shared.size > 0) log.count("marks.shared", this.shared.size);
+    if (this.colliding.size > 0) log.count("marks.shared", this.colliding.size);
   }
 
-  /** Null when no runner of the list has this mark, or more than one. */
-  idOf(mark: number): Id | null {
-    return this.shared.has(mark) ? null : (this.ids.get(mark) ?? null);
+  /** The runner with this hash; null when no listed runner has it, or more than one. */
+  idOf(hash: number): Id | null {
+    return this.colliding.has(hash) ? null : (this.ids.get(hash) ?? null);
   }
 
-  /** Null when the mark would name another runner too. */
+  /** The hash of a runner; null when another listed runner has the same. */
   hashOf(id: string): number | null {
-    const mark = this.hash(id);
-    return this.shared.has(mark) ? null : mark;
+    const hash = this.hash(id);
+    return this.colliding.has(hash) ? null : hash;
   }
 }
--- a/src/hints/throttle.ts
+++ b/src/hints/throttle.ts
@@ -1,10 +1,10 @@
 /**
- * At most one run a period: the first after a quiet while goes at once, what comes meanwhile goes together at the end
- * of the period (design/usage 2.2).
+ * At most one run a period: the first request after an idle period runs at once, further ones are combined into one run
+ * at the end of the period (design/usage 2.2).
  */
 import * as types from "../wire/types.js";
 
-/** The period of signs (*ours*). */
+/** The period of hints (*ours*). */
 export const PERIOD_MS = 60;
 
 /** Runs a function at most once a period, on request. */
@@ -18,12 +18,12 @@
     private readonly periodMs = PERIOD_MS,
   ) {}
 
-  /** Asks for a run: now, or once at the end of the period. */
+  /** Requests a run: now, or once at the end of the period. */
   request(): void {
     if (this.timer) return;
     const waitMs = this.lastRunAt + this.periodMs - this.clock.now();
     if (waitMs <= 0) this.fire();
-    else this.timer = this.clock.schedule(waitMs, this.fire.bind(this));
+    else this.timer = this.clock.schedule(waitMs, () => this.fire());
   }
 
   private fire(): void {
@@ -32,7 +32,7 @@
     this.run();
   }
 
-  /** A run that was put off is dropped. */
+  /** Cancels a deferred run. */
   stop(): void {
     this.timer?.stop();
     this.timer = null;
--- a/src/load/load-publisher.ts
+++ b/src/load/load-publisher.ts
@@ -1,6 +1,6 @@
 /**
- * The control node's side of usage (design/usage 3, 4): the reports of all regions, published as differences in the
- * topics `cell:REGION`, and in short in the topic `summary`.
+ * The control node's side of load (design/usage 3, 4): publishes the changes of all regions' reports in the topics
+ * `cell:REGION`, and their summaries in the topic `summary`.
  */
 import type * as feedPublisher from "../feed/feed-publisher.js";
 import * as feedTopics from "../feed/feed-topics.js";
@@ -11,16 +11,16 @@
 import * as reportResolution from "./report-resolution.js";
 import * as loadSummary from "./load-summary.js";
 
-/** Summaries are told together so often, if anything moved (*ours*). */
-const SUMMARY_MS = 1800;
+/** Interval of all summaries (*ours*). */
+const SUMMARY_INTERVAL_MS = 1800;
 
-/** The key of a runner's item: its mark, or its id where the mark would name another too. */
-export function reportKey(known: runnerHash.RunnerHashes<types.RunnerId>, id: types.RunnerId): string {
-  const mark = known.hashOf(id);
-  return mark === null ? `=${id}` : (mark >>> 0).toString(36);
+/** The key of a runner's item: its hash, or its id where the hash is not unique. */
+export function reportKey(hashes: runnerHash.RunnerHashes<types.RunnerId>, id: types.RunnerId): string {
+  const hash = hashes.hashOf(id);
+  return hash === null ? `=${id}` : (hash >>> 0).toString(36);
 }
 
-/** Owned by the control node's `Cells`; it publishes by the feed and sends nothing itself. */
+/** Owned by the control node's `FleetObserver`; publishes by the feed and sends nothing itself. */
 export class LoadPublisher {
   private readonly regionReports = new Map<string, regionReports.RegionReports>();
   private readonly runnerHashes = new runnerHash.RunnerHashes<types.RunnerId>();
@@ -28,7 +28,7 @@
   private regions: ReadonlyMap<types.RunnerId, string> = new Map();
   private readonly capacities = new Map<types.RunnerId, number>();
   private readonly summaries = new Map<string, schema.Summary>();
-  private summarisedAt = -Infinity;
+  private summarizedAt = -Infinity;
 
   constructor(
     private readonly clock: types.Clock,
@@ -44,7 +44,7 @@
     return reports;
   }
 
-  /** The list, and the regions of its runners. */
+  /** Replaces the listed instances and their regions, and publishes all regions with the new keys. */
   setInstances(instances: readonly schema.Instance[], regions: ReadonlyMap<types.RunnerId, string>): void {
     this.instances = instances;
     this.regions = regions;
@@ -53,7 +53,7 @@
     for (const instance of instances) this.capacities.set(instance.id, instance.capacity);
     for (const known of this.regionReports.values()) {
       known.retainOnly(regions);
-      // The time of reading stands: a new list is no report.
+      // The stamp stays that of the reports: a new list is no report.
       if (Number.isFinite(known.receivedAt))
         this.feed.publishSnapshot(
           feedTopics.cellTopic(known.region),
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Of the reports that this orchestrator has read, what is to be published. */
+  /** Of the reports that this node has polled, those to be published. */
   selectChanges(region: string, reports: readonly schema.Report[]): schema.Report[] {
     return this.reportsOf(region).selectChanges(reports, this.capacities);
   }
@@ -73,7 +73,7 @@
     return [...this.reportsOf(region).reports.values()];
   }
 
-  /** Published by the orchestrator of the region, here or at another control node. */
+  /** Applies and publishes reports of the region's orchestrator, which is this node or another. */
   applyReport(report: schema.CellReport): void {
     const now = this.clock.now();
     this.reportsOf(report.region).apply(report.reports, now);
@@ -86,14 +86,14 @@
     return items;
   }
 
-  /** Called by the control node's timer: publishes the summaries when their period is over. */
+  /** Called by the control node's timer: publishes all summaries when their interval is over. */
   publishSummariesWhenDue(): void {
     const now = this.clock.now();
-    if (now - this.summarisedAt < SUMMARY_MS) return;
-    this.summarisedAt = now;
+    if (now - this.summarizedAt < SUMMARY_INTERVAL_MS) return;
+    this.summarizedAt = now;
     const current = new Map<string, schema.Summary>();
     for (const known of this.regionReports.values()) {
-      const here = this.instances.filter(isHere.bind(null, this.regions, known.region));
+      const here = this.instances.filter((instance) => this.regions.get(instance.id) === known.region);
       for (const [service, summary] of loadSummary.summarizeRegion(known, here, now)) {
         const key = loadSummary.summaryKey(known.region, service);
         current.set(key, loadSummary.withHysteresis(this.summaries.get(key), summary));
@@ -115,7 +115,3 @@
     return reports;
   }
 }
-
-function isHere(regions: ReadonlyMap<types.RunnerId, string>, region: string, instance: schema.Instance): boolean {
-  return regions.get(instance.id) === region;
-}
--- a/src/load/region-interest.ts
+++ b/src/load/region-interest.ts
@@ -1,4 +1,4 @@
-/** Which regions' details a router follows (design/usage 4.1): its own, and those it used lately. */
+/** The regions whose load reports a router follows (design/usage 4.1): its own, and those it used lately. */
 import * as types from "../wire/types.js";
 
 /** A region counts as used for so long after a request (*ours*). */
@@ -13,12 +13,12 @@
     private readonly ownRegion: string,
   ) {}
 
-  /** A request went there, or would have gone there first. */
+  /** A request was sent there, or would have been sent there first. */
   recordUse(region: string): void {
     this.lastUsedAt.set(region, this.clock.now());
   }
 
-  /** The own region first, then those used within the retention time; the others are dropped. */
+  /** The own region, then those used within the retention time; drops the others. */
   regions(): string[] {
     const now = this.clock.now();
     const found = [this.ownRegion];
--- a/src/load/region-reports.ts
+++ b/src/load/region-reports.ts
@@ -1,6 +1,6 @@
 /**
- * The reports of one region as published last (design/usage 3): the same at every control node that receives from the
- * region's orchestrator, and what differences are taken from.
+ * The load reports of one region as published last (design/usage 3): the same at every control node that receives from
+ * the region's orchestrator, and the base that changes are determined from.
  */
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
@@ -8,12 +8,12 @@
 import * as runnerHash from "../hints/runner-hash.js";
 import * as reportResolution from "./report-resolution.js";
 
-/** Each period this part of the runners is told again, moved or not, so that lost knowledge heals (*ours*). */
+/** Each period one of this many parts of the runners is published again unchanged, to repair lost updates (*ours*). */
 export const REFRESH_PARTS = 16;
-/** Runners told in one period for having moved; changes of status are told always (*ours*). */
+/** Maximum of changed reports a period; changes of status are always published (*ours*). */
 export const MAX_CHANGED = 32;
 
-/** Requests that each runner takes at once; undefined for an unknown one. */
+/** The slots of each runner; undefined for an unknown one. */
 export interface Capacities {
   get(id: types.RunnerId): number | undefined;
 }
@@ -27,14 +27,14 @@
 export class RegionReports {
   readonly reports = new Map<types.RunnerId, schema.Report>();
   private refreshSlot = 0;
-  /** When the orchestrator was last heard: grows each period although nothing moves. */
+  /** When reports of the orchestrator were last received: each period, also without a change. */
   receivedAt = -Infinity;
 
   constructor(readonly region: string) {}
 
   /**
-   * Of reports just read, what is to be published: those that changed, the most changed first, and a part of the
-   * others as published, so that lost knowledge heals.
+   * Of reports just polled, those to be published: the changed ones, the largest deviation first, and a part of the
+   * others as published before, to repair lost updates.
    */
   selectChanges(reports: readonly schema.Report[], capacities: Capacities): schema.Report[] {
     this.refreshSlot = (this.refreshSlot + 1) % REFRESH_PARTS;
@@ -46,14 +46,14 @@
       if (deviation >= 1) changed.push({ report, deviation });
       else if (published && (runnerHash.runnerHash(report.id) >>> 0) % REFRESH_PARTS === this.refreshSlot) refreshed.push(published);
     }
-    changed.sort(byDeviation);
-    let limit = changed.findIndex(isMeasured);
+    changed.sort((left, right) => (left.deviation === right.deviation ? 0 : right.deviation - left.deviation));
+    let limit = changed.findIndex((item) => Number.isFinite(item.deviation));
     limit = limit < 0 ? changed.length : Math.max(limit, MAX_CHANGED);
     if (changed.length > limit) log.count("usage.put_off", changed.length - limit);
-    return [...changed.slice(0, limit).map(reportOf), ...refreshed];
+    return [...changed.slice(0, limit).map((item) => reportResolution.quantized(item.report)), ...refreshed];
   }
 
-  /** Published reports are here, from this node or another; `now` in milliseconds of the steady clock. */
+  /** Applies published reports, of this node or another; `now` in milliseconds of the steady clock. */
   apply(reports: readonly schema.Report[], now: number): void {
     this.receivedAt = now;
     for (const report of reports) this.reports.set(report.id, report);
@@ -64,15 +64,3 @@
     for (const id of this.reports.keys()) if (!listed.has(id)) this.reports.delete(id);
   }
 }
-
-function byDeviation(left: ChangedReport, right: ChangedReport): number {
-  return left.deviation === right.deviation ? 0 : right.deviation - left.deviation;
-}
-
-function isMeasured(moved: ChangedReport): boolean {
-  return Number.isFinite(moved.deviation);
-}
-
-function reportOf(moved: ChangedReport): schema.Report {
-  return reportResolution.quantized(moved.report);
-}
--- a/src/load/runner-load.ts
+++ b/src/load/runner-load.ts
@@ -1,32 +1,30 @@
-/**
- * What is known of a runner's load: its report as published last, and what this router has there (design/usage 3.3).
- */
+/** The known load of a runner: its report as published last, and this router's own requests (design/usage 3.3). */
 import type * as schema from "../wire/schema.js";
 
-/** Base of the router's `Runner`: requests and tokens at one runner. */
+/** Base class of `RunnerEndpoint`: requests and tokens at one runner. */
 export class RunnerLoad {
-  /** False: the last reading of it failed. */
+  /** False after a poll of its report has failed. */
   isReporting = true;
-  /** As told last; requests and tokens. They fade while the reports of the region are stale. */
+  /** Requests and tokens of the last report; they decay while the reports of the region are stale. */
   active = 0;
   waiting = 0;
   kvUsed = 0;
   kvCapacity = 0;
-  /** Requests from here, and from all others. */
+  /** Requests of this router in flight, and the estimate for all other routers. */
   inflight = 0;
   others = 0;
 
-  /** Requests there, from all routers. */
+  /** Requests at the runner, from all routers. */
   requestCount(): number {
     return this.inflight + this.others;
   }
 
-  /** Tokens held over the capacity, 0 to 1; 0 where it is unknown. */
+  /** Used fraction of the runner's memory, 0 to 1; 0 where it is unknown. */
   get kvUsedFraction(): number {
     return this.kvCapacity > 0 ? this.kvUsed / this.kvCapacity : 0;
   }
 
-  /** Takes a published report. */
+  /** Applies a published report. */
   applyReport(report: schema.Report): void {
     this.isReporting = report.isSpeaking;
     if (!report.isSpeaking) return;
@@ -37,20 +35,20 @@
     this.updateOthers();
   }
 
-  /** What it has from others is what was told less what it has from here. */
+  /** The requests of other routers are those reported less this router's own. */
   updateOthers(): void {
     if (this.isReporting) this.others = Math.max(0, this.active + this.waiting - this.inflight);
   }
 
-  /** Nothing new was published: what it has from others counts less and less, by this factor. */
-  fade(by: number): void {
-    this.active *= by;
-    this.waiting *= by;
-    this.kvUsed *= by;
-    this.others *= by;
+  /** Decays the reported load by this factor, since its reports are stale. */
+  fade(factor: number): void {
+    this.active *= factor;
+    this.waiting *= factor;
+    this.kvUsed *= factor;
+    this.others *= factor;
   }
 
-  /** The region is no longer followed. */
+  /** Clears the reported load: the region is no longer followed. */
   clearReport(): void {
     this.fade(0);
     this.isReporting = true;
