--- a/tests/disk-conversion.test.ts
+++ b/tests/disk-conversion.test.ts
@@ -111,7 +111,7 @@
   expect(voter.preparedBallot.n).toBeGreaterThanOrEqual(promised);
 }
 
-test("cut at any operation, killed or without power, again and again: nothing of the old record is lost, no promise forgotten", async () => {
+test("repeated interruptions at any operation, by a kill or a loss of power, lose nothing of the old record and no acknowledged prepare", async () => {
   const property = fc.asyncProperty(fc.array(anyLife, { minLength: 1, maxLength: 5 }), (lives) => findFault(lives));
   await fc.assert(property, { numRuns: 200, seed: 7919 });
 });
@@ -130,15 +130,15 @@
   return faulty;
 }
 
-test("power lost at each operation: all that was not synced is gone, and nothing is missing", async () => {
+test("a loss of power at any operation, with all unsynced writes gone, loses nothing", async () => {
   expect(await faultyCuts({})).toEqual([]);
 });
 
-test.each([{ losesFileSyncs: true }, { losesFolderSyncs: true }])("the same sweep finds what a disk loses with %o", async (lacks) => {
+test.each([{ losesFileSyncs: true }, { losesFolderSyncs: true }])("the same sweep finds the loss on a disk with %o", async (lacks) => {
   expect((await faultyCuts(lacks)).length).toBeGreaterThan(0);
 });
 
-test("the copy is cleared before the voter is entered, and a damaged set is never replaced by it", async () => {
+test("the copy is cleared before the voter takes part, and never replaces a damaged set", async () => {
   const disk = diskOf(sample);
   const voter = await start(disk);
   const copy = disk.files.get(conversion.COPY_NAME)!.current;
@@ -150,7 +150,7 @@
   expect(later.accepted).toBeNull();
 });
 
-test("files of release 1 that are all torn are an error that names the remedy, and are left as they are", async () => {
+test("files of release 1 that are all torn are an error with a remedy, and are left unchanged", async () => {
   const disk = diskOf(sample);
   for (const file of disk.files.values()) {
     file.current = Buffer.from(file.current);
--- a/tests/disk-faults.test.ts
+++ b/tests/disk-faults.test.ts
@@ -79,7 +79,7 @@
 }
 
 test.each([true, false])(
-  "no answered promise is forgotten and no identity is given up, wherever a life is cut (bootstrap %s)",
+  "no acknowledged prepare is forgotten and no identity is discarded, wherever a process is interrupted (bootstrap %s)",
   async function cuts(isBootstrap) {
     await fc.assert(
       fc.asyncProperty(anyHistory, async function holds(history) {
@@ -92,7 +92,7 @@
 );
 
 test.each([["losesFolderSyncs"], ["losesFileSyncs"], ["hidesShortWrites"]] as const)(
-  "the same check finds a promise forgotten on a disk that %s",
+  "the same check finds a prepare forgotten on a disk that %s",
   async function broken(guard) {
     const property = fc.asyncProperty(anyHistory, async function holds(history) {
       await playHistory(new simulated.SimulatedDisk({ [guard]: true }), history, false);
@@ -109,7 +109,7 @@
 /** No fault, but a sync at the cut has no effect. */
 const UNSYNCED_AT_THE_CUT = new Array<number>(200).fill(1);
 
-test("four processes in a row that are killed before their sync, then a loss of power, cost no answered promise", async function killed() {
+test("four processes in a row killed before their sync, then a loss of power, lose no acknowledged prepare", async () => {
   for (let operations = FIRST_CUT; operations <= LAST_CUT; operations += 1) {
     for (let loss = 0; loss < LOSSES; loss += 1) {
       const disk = new simulated.SimulatedDisk();
--- a/tests/disk-start.test.ts
+++ b/tests/disk-start.test.ts
@@ -39,7 +39,7 @@
   expect(condition()).toBe(true);
 }
 
-test("a first start syncs each file, the folder and one record; a later one syncs the newest record alone", async function syncs() {
+test("a first start syncs each file, the folder and one record; a later one syncs the newest record alone", async () => {
   const disk = new simulated.SimulatedDisk();
   await start(disk).voter;
   expect(disk.syncs).toBe(FILE_NAMES.length + 2);
@@ -47,7 +47,7 @@
   expect(disk.syncs).toBe(FILE_NAMES.length + 3);
 });
 
-test.each(FILE_NAMES)("a set that lacks %s is given up: a new identity, also where bootstrap is still set", async function lost(name) {
+test.each(FILE_NAMES)("a set without %s is discarded for a new identity, also where bootstrap is still set", async (name) => {
   const disk = await diskWithPromises();
   disk.files.delete(name);
   const voter = await start(disk, true).voter;
@@ -55,21 +55,21 @@
   expect((await start(disk, true).voter).disk).toBe(voter.disk);
 });
 
-test.each(FILE_NAMES)("a set with %s of another set is given up", async function foreign(name) {
+test.each(FILE_NAMES)("a set with %s of another set is discarded", async (name) => {
   const disk = await diskWithPromises();
   const other = await diskWithPromises();
   disk.files.set(name, other.files.get(name)!);
   expect((await start(disk, true).voter).disk).toMatch(RANDOM_IDENTITY);
 });
 
-test("a set whose files changed places is given up", async function exchanged() {
+test("a set with two files exchanged is discarded", async () => {
   const disk = await diskWithPromises();
   const [first, second] = [disk.files.get("register-0")!, disk.files.get("register-1")!];
   disk.files.set("register-0", second).set("register-1", first);
   expect((await start(disk, true).voter).disk).toMatch(RANDOM_IDENTITY);
 });
 
-test("a new set over an old one never reads the old one's records, wherever its making is cut", async function remade() {
+test("a new set over an old one never reads the old one's records, wherever its creation is interrupted", async () => {
   for (let operations = 1; operations < 40; operations += 1) {
     const disk = await diskWithPromises();
     disk.files.delete("register-2");
@@ -85,7 +85,7 @@
   }
 });
 
-test("a larger record than any before is taken by a disk that has filled up, up to twice the last one", async function full() {
+test("a full disk takes a record up to twice as large as the last one", async () => {
   const disk = new simulated.SimulatedDisk();
   const voter = await start(disk).voter;
   expect(await diskWorld.accept(voter, 1, 100_000)).toMatchObject({ isGranted: true });
@@ -97,7 +97,7 @@
   expect(await diskWorld.accept(voter, 4, 190_000)).toMatchObject({ isGranted: true });
 });
 
-test("a disk that refuses writes makes a silent voter that says so once, and votes again by itself", async function refusing() {
+test("a disk that refuses writes makes a silent voter, reported once, that votes again by itself", async () => {
   const written = jest.spyOn(process.stdout, "write").mockReturnValue(true);
   function linesOfTheDisk(): string[] {
     log.flushNow();
@@ -121,7 +121,7 @@
   written.mockRestore();
 });
 
-test("a disk that refuses at the start is tried again until it is open", async function refusingStart() {
+test("a disk that refuses at the start is retried until it is open", async () => {
   const disk = new simulated.SimulatedDisk();
   disk.refusal = "EIO";
   const { disk: voterDisk, voter } = start(disk, true);
@@ -131,7 +131,7 @@
   expect((await voter).disk).toBe(FIRST_IDENTITY);
 });
 
-test("a disk that hangs holds up neither the start nor the end of the node", async function hanging() {
+test("a disk that hangs blocks neither the start nor the shutdown of the node", async () => {
   const disk = new simulated.SimulatedDisk();
   disk.isHanging = true;
   const { disk: voterDisk } = start(disk);
@@ -173,7 +173,7 @@
   format.encodeRecord({ ...record, layout: record.layout + 1 }).copy(file.current, format.RECORD_OFFSET);
 }
 
-describe("on the machine's own disk", function real() {
+describe("on the machine's own disk", () => {
   let folder = "";
 
   beforeEach(async function make() {
@@ -188,7 +188,7 @@
     return { clock: new timers.SystemClock(), folder: new files.LocalFolder(name), processes };
   }
 
-  test("a data_dir that is a file is named with its remedy, and is used once it is a folder", async function isFile() {
+  test("a data_dir that is a file is reported with its remedy, and is used once it is a folder", async () => {
     const name = path.join(folder, "data");
     await fs.writeFile(name, "");
     const { disk, voter } = diskWorld.startDisk(machineOf(name), true);
@@ -199,7 +199,7 @@
     await disk.stop();
   });
 
-  test("a folder in missing folders is made, and a second process on it is told which process uses it", async function inUse() {
+  test("missing parent folders are created, and a second process is told which process uses the folder", async () => {
     const name = path.join(folder, "a", "b", "data");
     const first = diskWorld.startDisk(machineOf(name), true);
     const voter = await first.voter;
@@ -212,7 +212,7 @@
     await first.disk.stop();
   });
 
-  test("the name of a process that has ended holds nobody off", async function ended() {
+  test("the lock of a process that has ended is void", async () => {
     const ghost = processTableOf({ boot: "b", pid: process.pid, startTicks: "1" });
     const before = diskWorld.startDisk(machineOf(folder, ghost), true);
     await before.voter;
@@ -229,6 +229,6 @@
   ["ENOTDIR", /name a folder/],
   ["EROFS", /writable/],
   ["ELSE", /look at the disk of data_dir/],
-])("a failure with the code %s is told with a remedy", function remedy(code, message) {
+])("a failure with the code %s is reported with a remedy", function remedy(code, message) {
   expect(storageRemedies.describeFailure(Object.assign(new Error("no"), { code }))).toMatch(message);
 });
--- a/tests/order-load.test.ts
+++ b/tests/order-load.test.ts
@@ -52,7 +52,7 @@
   await systems.answered(system, right);
 }
 
-test("a node alone proposes its own orders; while others propose too, they go to the first voter in touch", async () => {
+test("a sole proposer keeps its own orders; while others propose too, they are forwarded to the first connected voter", async () => {
   const system = await systems.start();
   const before = counted("operator.forwarded");
   await systems.take(system, "b", "z4");
@@ -63,7 +63,7 @@
   expect(counted("operator.forwarded")).toBeGreaterThan(before);
 });
 
-test("a refusal of the one proposer is told to the caller as it is", async () => {
+test("a rejection by the common proposer is passed to the caller unchanged", async () => {
   const system = await systems.start();
   await contend(system);
   const before = counted("operator.forwarded");
@@ -71,7 +71,7 @@
   expect([told.status, counted("operator.forwarded")]).toEqual([404, before + 1]);
 });
 
-test("the one proposer falls silent with an order: the order is proposed where it arrived, and the next ones too", async () => {
+test("when the common proposer goes silent, the order is proposed where it arrived, and so are the next ones", async () => {
   const system = await systems.start();
   await contend(system);
   const before = counted("operator.forward_failed");
@@ -84,7 +84,7 @@
   expect(next.ms).toBeLessThan(500);
 });
 
-test("a node of a build without the feature is passed no orders", () => {
+test("no orders are forwarded to a node of a build without the feature", () => {
   const beat = { isReady: true, epoch: 0, isSettled: true, index: 0, members: 1, silentRegions: [] } as unknown as schema.Beat;
   expect(features.hasFeature(beat, features.FORWARDED_ORDERS)).toBe(false);
   expect(features.hasFeature({ ...beat, index: features.OWN_FEATURES }, features.FORWARDED_ORDERS)).toBe(true);
--- a/tests/orders-faults.test.ts
+++ b/tests/orders-faults.test.ts
@@ -55,7 +55,7 @@
 
 /** What is wrong with an answer, judged by a value chosen later; null when it holds. */
 function faultOf(value: schema.Value, { order, status }: Answered): string | null {
-  const verdict = registerValue.findOrder(value, order.base, operators.markOf(order));
+  const verdict = registerValue.findOrder(value, order.base, operators.orderIdOf(order));
   if (status === 200 && verdict !== "taken") return `acknowledged and ${verdict}`;
   if (status !== null && status !== 200 && verdict !== "not_taken") return `answered ${status} and ${verdict}`;
   return null;
@@ -86,14 +86,14 @@
   const value = core.newestChosen()!;
   const faults = answered.map(faultOf.bind(null, value)).filter((item) => item !== null);
   for (const { order } of answered) {
-    const isTaken = registerValue.findOrder(value, order.base, operators.markOf(order)) === "taken";
+    const isTaken = registerValue.findOrder(value, order.base, operators.orderIdOf(order)) === "taken";
     const status = await done(clock, desk.send(order, ADDRESSES));
     if (status !== (isTaken ? 200 : 412)) faults.push(`sent again: ${status}`);
   }
   return { faults, answered };
 }
 
-test("what was acknowledged stands, what was refused was never taken, and resends say the same, under 40 seeds of faults", async () => {
+test("acknowledged orders persist, rejected ones were never applied, and retries get the same answer, under 40 seeds of faults", async () => {
   const counts = new Map<number | null, number>();
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const { faults, answered } = await playSeed(seed * 7919);
--- a/tests/orders-pace.test.ts
+++ b/tests/orders-pace.test.ts
@@ -29,7 +29,7 @@
   process.stderr.write(`${name}, ${path}: ${figures}, ${unclear} without an answer\n`);
 }
 
-test.each(ROWS)("disks 30 times slower: %s", async function slow(name, row) {
+test.each(ROWS)("disks 30 times slower: %s", async (name, row) => {
   const { nodes, callers, isSpread } = row;
   const setting = { nodes, callers, isSpread, diskFactor: SLOW_DISKS };
   show(name, "in line", await pace.measure({ ...setting, seed: SEEDS[0], isBatched: false }));
@@ -43,7 +43,7 @@
   }
 });
 
-test("eight orders at once on slow disks end within two seconds, at one node and spread over three", async function burst() {
+test("eight concurrent orders on slow disks end within two seconds, at one node and spread over three", async () => {
   for (const isSpread of [false, true]) {
     for (const seed of SEEDS) {
       const took = await pace.burst({ seed, nodes: 3, callers: 8, isSpread, isBatched: true, diskFactor: SLOW_DISKS });
--- a/tests/orders.test.ts
+++ b/tests/orders.test.ts
@@ -51,7 +51,7 @@
 
 function takenOf(scene: Scene, orders: readonly operators.Order[]): boolean[] {
   const value = scene.core.newestChosen()!;
-  return orders.map((order) => registerValue.findOrder(value, order.base, operators.markOf(order)) === "taken");
+  return orders.map((order) => registerValue.findOrder(value, order.base, operators.orderIdOf(order)) === "taken");
 }
 
 /** One order wins its base, all others are refused, and each gets the same answer when it is sent again. */
@@ -62,7 +62,7 @@
   expect(await sendAll(scene, [...orders].reverse(), isSpread)).toEqual([...answers].reverse());
 }
 
-describe.each(VERBS)("%s, in a race", (_verb, make) => {
+describe.each(VERBS)("concurrent %s", (_verb, make) => {
   const RACES: [string, operators.Order[], boolean][] = [
     ["the same number for two changes", [make(10, 12, "x"), make(10, 12, "y")], true],
     ["numbers below and above", [make(10, 15, "x"), make(10, 11, "y")], true],
@@ -70,7 +70,7 @@
     ["eight at one node", Array.from({ length: 8 }, (_, index) => make(10, 11 + index, `r${index}`)), false],
     ["eight spread over all", Array.from({ length: 8 }, (_, index) => make(10, 18 - index, `r${index}`)), true],
   ];
-  test.each(RACES)("one wins, and all answers stand when sent again: %s", async (_name, orders, isSpread) => {
+  test.each(RACES)("one wins, and retries get the same answers: %s", async (_name, orders, isSpread) => {
     for (let seed = 1; seed <= 5; seed += 1) {
       const scene = sceneOf(seed * 7919);
       await begin(scene);
@@ -78,7 +78,7 @@
     }
   });
 
-  test("the same order at two nodes at once is taken once and acknowledged twice", async () => {
+  test("the same order at two nodes at once is applied once and acknowledged twice", async () => {
     for (let seed = 1; seed <= 10; seed += 1) {
       const scene = sceneOf(seed * 7919);
       await begin(scene);
@@ -89,8 +89,8 @@
   });
 });
 
-describe.each(VERBS)("%s, sent again", (_verb, make) => {
-  test("answers lost, eight under way: a resend is never refused once the order was taken", async () => {
+describe.each(VERBS)("retried %s", (_verb, make) => {
+  test("eight in flight with lost answers: a retry is never rejected once the order was applied", async () => {
     for (let seed = 1; seed <= 5; seed += 1) {
       const scene = sceneOf(seed * 7919);
       await begin(scene);
@@ -102,7 +102,7 @@
     }
   });
 
-  test("resent across a restart of all", async () => {
+  test("is acknowledged across a restart of all nodes", async () => {
     for (let seed = 1; seed <= 10; seed += 1) {
       const scene = sceneOf(seed * 7919);
       await begin(scene);
@@ -117,7 +117,7 @@
     }
   });
 
-  test("resent across a change of voters", async () => {
+  test("is acknowledged across a change of voters", async () => {
     const scene = sceneOf(7919);
     await begin(scene);
     const order = make(10, 12, "x");
@@ -128,7 +128,7 @@
     expect(await done(scene.clock, scene.desk.send(make(10, 12, "z"), ["d:1"]))).toBe(412);
   });
 
-  test("an order without an answer is taken later, and its resend is acknowledged", async () => {
+  test("an order without an answer is applied later, and its retry is acknowledged", async () => {
     const scene = sceneOf(7919);
     await begin(scene);
     for (const address of ["b:1", "c:1"]) for (const other of ADDRESSES) scene.core.cuts.add(`${address}>${other}`);
@@ -155,7 +155,7 @@
   joiner.makeProposer(core.newestChosen()!);
 }
 
-test("evacuations: eight at once, answers lost, all acknowledged and in force", async () => {
+test("eight concurrent evacuations with lost answers are all acknowledged and in force", async () => {
   for (let seed = 1; seed <= 5; seed += 1) {
     const scene = sceneOf(seed * 7919);
     scene.desk.answerLossShare = 0.5;
@@ -175,7 +175,7 @@
   [700, 503],
 ];
 
-test.each(LATER)("an order taken and sent again after %i more gets %i", async (count, status) => {
+test.each(LATER)("an order retried after %i more orders gets %i", async (count, status) => {
   const scene = sceneOf(3);
   await begin(scene);
   const order = operators.replaceOf(10, 12, "x");
@@ -196,13 +196,13 @@
   ["an update without a revision", { path: "/-/Config.Update", base: 10, body: Buffer.from("{}") }, 400],
 ];
 
-test.each(ALONE)("judged by the order alone, also without a majority: %s", async (_name, order, status) => {
+test.each(ALONE)("an invalid order is rejected by itself, also without a majority: %s", async (_name, order, status) => {
   const scene = sceneOf(3);
   for (const address of ["b:1", "c:1"]) scene.core.nodes.get(address)!.isUp = false;
   expect(await done(scene.clock, scene.desk.call("a:1", order))).toBe(status);
 });
 
-test("a configuration over the bound is refused with its size and the bound, and nothing changes", async () => {
+test("a configuration over the bound is rejected with its size and the bound, and nothing changes", async () => {
   const scene = sceneOf(3);
   await begin(scene);
   const update = { revision: 12, upsert: { routes: [{ ...operators.routeOf("big"), note: "x".repeat(12 * 1024 * 1024) }] } };
--- a/tests/reads-beside-orders.test.ts
+++ b/tests/reads-beside-orders.test.ts
@@ -17,7 +17,7 @@
   while (!isOver()) await node.call("GET", "/-/Config.Describe");
 }
 
-test.each(ROWS)("disks of %i ms, reads without a pause at %s: another node's orders do not wait for them", async (syncMs, readAt) => {
+test.each(ROWS)("disks of %i ms, continuous reads at %s: another node's orders do not wait for them", async (syncMs, readAt) => {
   const system = await systems.start({ withRouters: false });
   for (const node of system.controls.values()) node.syncMs = syncMs;
   let isOver = false;
@@ -33,7 +33,7 @@
   expect(Math.max(...took)).toBeLessThan(MAX_MS);
 });
 
-test("reads beside orders are answered too", async () => {
+test("reads concurrent with orders are answered too", async () => {
   const system = await systems.start({ withRouters: false });
   let isOver = false;
   void (async function order(): Promise<void> {
--- a/tests/register-faults.test.ts
+++ b/tests/register-faults.test.ts
@@ -19,11 +19,11 @@
   mark: string;
 }
 
-function setTo(base: number, mark: string): registerStep.Step {
+function setTo(base: number, orderId: string): registerStep.Step {
   return function step(value): result.Result<schema.Value, errors.CranewindError> {
-    if (orderHistory.lookUp(value.taken, value.revision, base, mark) === "taken") return result.ok(value);
+    if (orderHistory.lookUp(value.taken, value.revision, base, orderId) === "taken") return result.ok(value);
     if (value.revision !== base) return result.err(new errors.RevisionConflictError("another revision", "read again"));
-    return result.ok(registerValue.withConfig(value, base + 1, Buffer.from(mark), mark));
+    return result.ok(registerValue.withConfig(value, base + 1, Buffer.from(orderId), orderId));
   };
 }
 
@@ -115,6 +115,6 @@
   }
 }
 
-test("changes of voters under random faults, one machine at a time", async function faults() {
+test("changes of voters under random faults, one machine at a time", async () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) expect([seed, await new Play(seed).run()]).toEqual([seed, null]);
 }, 300_000);
--- a/tests/register-joint.test.ts
+++ b/tests/register-joint.test.ts
@@ -30,10 +30,10 @@
   return { clock, made, nodes: { a, b, c, d: made.join("d:1"), e: made.join("e:1") } };
 }
 
-function setTo(base: number, revision: number, mark: string): registerStep.Step {
+function setTo(base: number, revision: number, orderId: string): registerStep.Step {
   return function step(value): result.Result<schema.Value, errors.CranewindError> {
     if (value.revision !== base) return result.err(new errors.RevisionConflictError("another revision", "read again"));
-    return result.ok(registerValue.withConfig(value, revision, Buffer.from(mark), mark));
+    return result.ok(registerValue.withConfig(value, revision, Buffer.from(orderId), orderId));
   };
 }
 
@@ -43,7 +43,7 @@
 
 async function ended<T>(clock: sim.SimWorld, promise: Promise<T>): Promise<T> {
   let isEnded = false;
-  void promise.finally(function end() {
+  void promise.finally(() => {
     isEnded = true;
   });
   for (let spent = 0; !isEnded && spent < 30_000; spent += 50) await clock.play(50);
@@ -86,10 +86,10 @@
   function accept(voter: schema.Voter, ask: schema.Accept): Promise<schema.Vote | null> {
     return voter.address === node.address ? reach.accept(voter, ask) : Promise.resolve(null);
   }
-  return new proposer.Proposer(clock, "late", { prepare: reach.prepare, accept }, made.first, function ignore() {});
+  return new proposer.Proposer(clock, "late", { prepare: reach.prepare, accept }, made.first, () => undefined);
 }
 
-test.each([1, 2, 3, 4, 5, 6])("a late settle step never lets two changes be confirmed on one base (seed %d)", async function late(seed) {
+test.each([1, 2, 3, 4, 5, 6])("a late settle step never lets two changes be confirmed on one base (seed %d)", async (seed) => {
   const all = await start(seed);
   const { a, b, c, d } = all.nodes;
   const joint = registerValue.withVoters(valueAt(b), [d, b, c].map(voterOf));
@@ -104,7 +104,7 @@
   expect([left.isOk, right.isOk].filter(Boolean).length).toBeLessThan(2);
 });
 
-test("a voter denies new voters that stand alone without having been chosen with the former ones", async function unproven() {
+test("a voter rejects new voters without the former ones unless both sets were chosen together", async () => {
   const all = await start(7);
   const { b, c, d } = all.nodes;
   const joint = registerValue.withVoters(valueAt(b), [d, b, c].map(voterOf));
@@ -115,7 +115,7 @@
   expect((await acceptAlone(all, b, registerValue.withoutFormerVoters(joint), true)).isGranted).toBe(true);
 });
 
-test("a settle step leaves another joint set of the same voter epoch alone", async function other() {
+test("a settle step leaves another joint set of the same voter epoch alone", async () => {
   const all = await start(8);
   const { b, c, d, e } = all.nodes;
   const meant = registerValue.withVoters(valueAt(b), [d, b, c].map(voterOf));
@@ -124,7 +124,7 @@
   expect(voterPolicy.leaveJointStep(meant)(meant).unwrapOr(null)!.former).toEqual([]);
 });
 
-test("a joint set not known to be chosen is chosen as it stands before a change builds on it", async function first() {
+test("a joint set not known to be chosen is chosen unchanged before a change builds on it", async () => {
   const all = await start(9);
   const { b, c, d } = all.nodes;
   const joint = registerValue.withVoters(valueAt(b), [d, b, c].map(voterOf));
@@ -140,7 +140,7 @@
   expect(chosen.map((value) => value.former.length)).toEqual([3, 0]);
 });
 
-test("a joint set at one former voter, never chosen, gives way to a change by a majority that didn't see it", async function givesWay() {
+test("a joint set at one former voter, never chosen, gives way to a change by a majority that didn't see it", async () => {
   const all = await start(10);
   const { a, b, c, d, e } = all.nodes;
   await acceptAlone(
@@ -159,7 +159,7 @@
   expect(valueAt(c).voterEpoch).toBe(0);
 });
 
-test("no former voter accepts new voters before each joiner has them on its synced disk", async function joinersFirst() {
+test("no former voter accepts new voters before each added voter has them on its synced disk", async () => {
   const all = await start(11);
   const { a, b, c, d, e } = all.nodes;
   e.isDiskHung = true;
@@ -171,7 +171,7 @@
 });
 
 test.each(["a", "b", "c"] as const)(
-  "growth cut short at voter %s alone: a joiner and another voter wiped, the rest decides",
+  "growth interrupted at voter %s alone: with an added and another voter wiped, the rest decides",
   async function cutShort(at) {
     const all = await start(12);
     const { a, b, c, d, e } = all.nodes;
--- a/tests/register-membership.test.ts
+++ b/tests/register-membership.test.ts
@@ -28,7 +28,7 @@
 
 async function ended<T>(clock: sim.SimWorld, promise: Promise<T>): Promise<T> {
   let isEnded = false;
-  void promise.finally(function end() {
+  void promise.finally(() => {
     isEnded = true;
   });
   for (let spent = 0; !isEnded && spent < 30_000; spent += 20) await clock.play(20);
@@ -65,7 +65,7 @@
   await fleet.made.clock.play(voterPolicy.MAX_SILENT_MS + 2000);
 }
 
-test.each(SEEDS)("three voters and two spares become five in one change, never four (seed %d)", async function grows(seed) {
+test.each(SEEDS)("three voters and two spares become five in one change, never four (seed %d)", async (seed) => {
   const fleet = await start(seed, 3);
   const sizes = new Set<number>();
   for (const member of fleet.members) member.node.onChosen = keep(member);
@@ -81,7 +81,7 @@
   expect([...sizes].sort()).toEqual([3, 5].filter((size) => sizes.has(size)));
 });
 
-test.each(SEEDS)("a voter wiped, of three: full strength within 1.5 s (seed %d)", async function wiped(seed) {
+test.each(SEEDS)("a voter wiped, of three: full strength within 1.5 s (seed %d)", async (seed) => {
   const fleet = await start(seed, 3);
   fleet.wipe(fleet.at("b:1"));
   expect(await fleet.untilStrong(3, 5000)).toBeLessThan(STRONG_MS);
@@ -89,7 +89,7 @@
   await change(fleet, 1, "b:1");
 });
 
-test.each(SEEDS)("a voter lost for long, of three: full strength within 1.5 s of the new machine (seed %d)", async function lost(seed) {
+test.each(SEEDS)("a voter lost for long, of three: full strength within 1.5 s of the new machine (seed %d)", async (seed) => {
   const fleet = await start(seed, 3);
   await lose(fleet, "c:1");
   fleet.join("f:1");
@@ -98,7 +98,7 @@
 });
 
 test.each(SEEDS)(
-  "two of five wiped at once: full strength within 1.5 s, and two more losses are borne (seed %d)",
+  "two of five wiped at once: full strength within 1.5 s, and two more losses are tolerated (seed %d)",
   async function two(seed) {
     const fleet = await start(seed, 5);
     fleet.wipe(fleet.at("a:1"));
@@ -109,7 +109,7 @@
   },
 );
 
-test.each(SEEDS)("two of five lost for long, two new machines: full strength within 1.5 s (seed %d)", async function twoLost(seed) {
+test.each(SEEDS)("two of five lost for long, two new machines: full strength within 1.5 s (seed %d)", async (seed) => {
   const fleet = await start(seed, 5);
   fleet.at("b:1").node.isUp = false;
   await lose(fleet, "e:1");
@@ -119,7 +119,7 @@
   expect(addresses(fleet)).toEqual(["a:1", "c:1", "d:1", "f:1", "g:1"]);
 });
 
-test.each(SEEDS)("a replacement is replaced itself, also while its change is under way (seed %d)", async function again(seed) {
+test.each(SEEDS)("a replacement is replaced itself, also while its change is in progress (seed %d)", async (seed) => {
   const fleet = await start(seed, 3);
   await lose(fleet, "c:1");
   const joiner = fleet.join("f:1");
@@ -134,7 +134,7 @@
 });
 
 test.each(SEEDS)(
-  "planned replacement: the leaving voter hands over to the spare, and the core stays at three (seed %d)",
+  "planned replacement: the draining voter hands over to the spare, and the core stays at three (seed %d)",
   async function planned(seed) {
     const fleet = await start(seed, 3, ["f:1"]);
     const leaving = fleet.at("b:1");
@@ -152,7 +152,7 @@
 /** How long before the voter the spare begins to leave: its word takes up to a heartbeat and a trip. */
 const LEFT_BEFORE_MS = [0, 20, 150, 500];
 
-test.each(SEEDS)("a spare that leaves is given no vote: not in a hand-over, nor in growth (seed %d)", async function leavingSpare(seed) {
+test.each(SEEDS)("a draining spare gets no vote: neither in a hand-over nor in growth (seed %d)", async (seed) => {
   for (const beforeMs of LEFT_BEFORE_MS) {
     const fleet = await start(seed, 3, ["f:1"]);
     void fleet.at("f:1").handOver(1500);
@@ -166,7 +166,7 @@
 });
 
 test.each(SEEDS)(
-  "leaving without a spare: a voter that lagged behind holds the newest value afterwards (seed %d)",
+  "draining without a spare: a voter that lagged behind has the newest value afterwards (seed %d)",
   async function spread(seed) {
     const fleet = await start(seed, 3);
     fleet.at("c:1").node.isUp = false;
@@ -183,7 +183,7 @@
   },
 );
 
-test.each(SEEDS)("a joiner whose disk hangs holds up neither changes nor another joiner (seed %d)", async function hangs(seed) {
+test.each(SEEDS)("a learner whose disk hangs blocks neither changes nor another learner (seed %d)", async (seed) => {
   const fleet = await start(seed, 3);
   await lose(fleet, "c:1");
   fleet.join("f:1").node.isDiskHung = true;
@@ -194,7 +194,7 @@
   expect(addresses(fleet)).toEqual(["a:1", "b:1", "g:1"]);
 });
 
-test.each(SEEDS)("a machine back at its address with another's disk is found there and votes on (seed %d)", async function moved(seed) {
+test.each(SEEDS)("a machine back at its address with another's disk is found there and goes on voting (seed %d)", async (seed) => {
   const fleet = await start(seed, 3);
   // The disk of c goes into the machine at a, whose own is lost; c's machine starts blank.
   const [a, c] = [fleet.at("a:1"), fleet.at("c:1")];
--- a/tests/register-core.test.ts
+++ b/tests/register-replica.test.ts
@@ -74,7 +74,7 @@
   expect(core.acceptedVoterEpoch).toBe(1);
 });
 
-test("losses that can be borne: voters in touch by their disks, beyond a majority of each set", () => {
+test("losses that can be tolerated: voters connected, by their disks, beyond a majority of each set", () => {
   const made = make(first);
   const { core } = made;
   expect(core.lossesBorne()).toBe(0);
@@ -94,7 +94,7 @@
   expect(core.lossesBorne()).toBe(1);
 });
 
-test("a voter whose disk runs in another machine is in touch there, and not at its old address", () => {
+test("a voter whose disk runs in another machine is connected there, and not at its old address", () => {
   const made = make(first);
   made.core.learn(first);
   meet(made, "b:1", registerValue.initialDisk("c:1"));
--- a/tests/register-resend.test.ts
+++ b/tests/register-resend.test.ts
@@ -112,7 +112,7 @@
   });
 });
 
-test("what a voter is asked again changes nothing, is written once, and is answered only once it is written", async () => {
+test("an acceptor writes a repeated request once, and replies only once it is durable", async () => {
   const writes: ((isKept: boolean) => void)[] = [];
   const keep = {
     write(): Promise<void> {
--- a/tests/register.test.ts
+++ b/tests/register.test.ts
@@ -9,11 +9,11 @@
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
 
-function setTo(base: number, revision: number, mark: string) {
+function setTo(base: number, revision: number, orderId: string) {
   return function step(value: schema.Value): result.Result<schema.Value, errors.CranewindError> {
-    if (registerValue.findOrder(value, base, mark) === "taken") return result.ok(value);
+    if (registerValue.findOrder(value, base, orderId) === "taken") return result.ok(value);
     if (value.revision !== base) return result.err(new errors.RevisionConflictError("another revision", "read again"));
-    return result.ok(registerValue.withConfig(value, revision, Buffer.from(mark), mark));
+    return result.ok(registerValue.withConfig(value, revision, Buffer.from(orderId), orderId));
   };
 }
 
@@ -131,7 +131,7 @@
   return 0;
 }
 
-test("acknowledged changes stand, and one change wins each base, under 60 seeds of faults", async function seeds() {
+test("acknowledged changes persist, and one change wins each base, under 60 seeds of faults", async () => {
   for (let seed = 1; seed <= 60; seed += 1) expect([seed, await playSeed(seed * 7919, "none")]).toEqual([seed, null]);
 }, 120_000);
 
@@ -145,7 +145,7 @@
   120_000,
 );
 
-test("a replaced machine at a new address takes the place of the silent voter", async function replaced() {
+test("a replaced machine at a new address takes the place of the silent voter", async () => {
   const clock = new sim.SimWorld(5);
   const made = new core.SimCore(clock, ADDRESSES);
   const [a, b, c] = [...made.nodes.values()] as [core.SimNode, core.SimNode, core.SimNode];
@@ -173,7 +173,7 @@
   return voter.address;
 }
 
-test("a node without a majority never acknowledges and never denies", async function minority() {
+test("a node without a majority never acknowledges and never rejects", async () => {
   const clock = new sim.SimWorld(9);
   const made = new core.SimCore(clock, ADDRESSES);
   const [a, b, c] = [...made.nodes.values()] as [core.SimNode, core.SimNode, core.SimNode];
@@ -182,7 +182,7 @@
   expect(outcome.isErr && outcome.error.code).toBe("no_majority");
 });
 
-test("a wiped voter does not count with a promise from before the wipe", async function wiped() {
+test("a wiped voter does not count with a ballot prepared before the wipe", async () => {
   const clock = new sim.SimWorld(3);
   const made = new core.SimCore(clock, ADDRESSES);
   const a = made.nodes.get("a:1")!;
@@ -193,7 +193,7 @@
   expect(vote!.disk).not.toBe(before);
 });
 
-test("a core of five grows out of three voters, bears the loss of two, and takes changes with three", async function five() {
+test("a core of five grows from three voters, tolerates the loss of two, and takes changes with three", async () => {
   const clock = new sim.SimWorld(11);
   const made = new core.SimCore(clock, ADDRESSES);
   const a = made.nodes.get("a:1")!;
@@ -215,7 +215,7 @@
   expect(minority.isErr && minority.error.code).toBe("no_majority");
 });
 
-test("a frozen voter that wakes denies what is old and takes what is new", async function frozen() {
+test("a suspended voter that resumes rejects old ballots and accepts new ones", async () => {
   const clock = new sim.SimWorld(13);
   const made = new core.SimCore(clock, ADDRESSES);
   const [a, b, c] = [...made.nodes.values()] as [core.SimNode, core.SimNode, core.SimNode];
--- a/tests/sim/operators.ts
+++ b/tests/sim/operators.ts
@@ -45,7 +45,7 @@
   return { path: `/-/Evacuations.${isStart ? "Start" : "Stop"}/${zone}`, base: 0, body: Buffer.alloc(0) };
 }
 
-export function markOf(order: Order): string {
+export function orderIdOf(order: Order): string {
   return registerValue.digest(order.path.endsWith("Replace") ? "replace" : "update", String(order.base), order.body);
 }
 
