--- a/src/control/register-replica.ts
+++ b/src/control/register-replica.ts
@@ -61,7 +61,7 @@
     this.voterReach = new voterReach.VoterReach(options.address, this.channel, dial, () => this.disk);
     this.proposer = new proposer.Proposer(clock, options.incarnation, this, options.initialValue, (value) => this.publishChosen(value));
     this.recovery = new recovery.Recovery(clock, this);
-    this.queue = new stepQueue.StepQueue(clock, (step, timeoutMs) => this.proposer.change(step, timeoutMs));
+    this.queue = new stepQueue.StepQueue(clock, (step, timeoutMs, isPatient) => this.proposer.change(step, timeoutMs, isPatient));
   }
 
   /** Identity of the disk that votes here; empty when none does. */
