--- a/src/router/limit-borrower.ts
+++ b/src/router/limit-borrower.ts
@@ -1,4 +1,4 @@
-// Tells this router's needs to the control nodes it has links to, and takes their leases (design/shares 4).
+/** Requests the leases that this router needs from the control nodes it has links to (design/shares 4). */
 import * as calls from "../wire/calls.js";
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
@@ -6,7 +6,7 @@
 import type * as dialer from "../feed/dialer.js";
 import type * as leasedLimits from "../limits/leased-limits.js";
 
-/** With nothing to tell, an owner is asked so often whether it grants. */
+/** Without needs, an owner is polled this often for whether it grants. */
 const IDLE_REQUEST_INTERVAL_MS = 900;
 const REQUEST_INTERVAL_MS = 300;
 const REPLY_TIMEOUT_MS = 1800;
@@ -16,7 +16,7 @@
   requestedAt: number;
 }
 
-/** The part of a need that goes to one of the owners: hot tries are rounded up, all else goes to one in turn. */
+/** The part of a need that one of the owners is asked for: urgent retries are rounded up, the remainder of all else rotates. */
 export function splitNeed(need: leaseSchema.Need, index: number, owners: number, turn: number): leaseSchema.Need | null {
   const base = Math.floor(need.wanted / owners);
   const rest = need.wanted % owners;
@@ -38,7 +38,7 @@
     private readonly limits: leasedLimits.LeasedLimits,
   ) {}
 
-  /** Called often: asks at once when something was missing, else with each beat. */
+  /** Called often: requests at once when a lease was missing, otherwise once an interval. */
   runPeriodically(): void {
     const now = this.clock.now();
     if (now - this.requestedAt < REQUEST_INTERVAL_MS && !this.limits.leases.isShort) return;
@@ -49,7 +49,7 @@
     const lives = new Set(controls.map(incarnationOf));
     for (const life of this.sources.keys()) if (!lives.has(life)) this.sources.delete(life);
     this.limits.leases.retainOwners(lives);
-    const owners = controls.filter(this.isOwner.bind(this)).sort(byAddress);
+    const owners = controls.filter((control) => this.isOwner(control)).sort(byAddress);
     for (const control of controls) {
       const index = owners.indexOf(control);
       const own: leaseSchema.Need[] = [];
@@ -61,7 +61,7 @@
     }
   }
 
-  /** One that was not asked yet may be an owner. */
+  /** A control node that was not asked yet may be an owner. */
   private isOwner(control: controlNode.ControlNode): boolean {
     return this.sources.get(control.node.life)?.isGranting ?? true;
   }
@@ -73,12 +73,11 @@
     if (needs.length === 0 && done.length === 0 && now - source.requestedAt < IDLE_REQUEST_INTERVAL_MS) return;
     source.requestedAt = now;
     this.sources.set(life, source);
-    const { limits: share } = this;
-    void control.link.call(calls.lease, { router: this.incarnation, life, needs, done }, REPLY_TIMEOUT_MS).then(take);
-    function take(reply: leaseSchema.LeaseReply | null): void {
+    const request = { router: this.incarnation, life, needs, done };
+    void control.link.call(calls.lease, request, REPLY_TIMEOUT_MS).then((reply) => {
       source.isGranting = reply?.isGranting ?? false;
-      if (reply) share.grant(reply, now);
-    }
+      if (reply) this.limits.grant(reply, now);
+    });
   }
 }
 
--- a/src/router/policies/admission-policy.ts
+++ b/src/router/policies/admission-policy.ts
@@ -1,9 +1,9 @@
-// Admission as the last policy of the chain: in, or denied at the door (design/admission 1).
+/** Admission as the last policy of the chain (design/admission 1). */
 import type * as admissions from "../../admission/admission.js";
 import type * as routePlan from "../../routing/route-plan.js";
 import type * as policyChain from "./policy-chain.js";
 
-/** The last policy of the chain. */
+/** Rejects what would miss its deadline at every candidate. */
 export class AdmissionPolicy implements policyChain.Policy {
   readonly name = "admission";
   constructor(private readonly admission: admissions.Admission) {}
--- a/src/router/policies/cell-policy.ts
+++ b/src/router/policies/cell-policy.ts
@@ -1,5 +1,7 @@
-// Cell selection (design 7.3): deterministic by the key of the kept prompt where reading it again is dear,
-// else priority order: the own region, then the others in one fixed order.
+/**
+ * Cell selection (design 7.3): by rendezvous hashing of the shared prompt where another prefill is expensive; otherwise in
+ * priority order: the router's own region, then the others by size.
+ */
 import * as textHash from "../../limits/text-hash.js";
 import * as loadSummary from "../../load/load-summary.js";
 import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
@@ -8,16 +10,17 @@
 import * as promptParts from "../../routing/prompt-parts.js";
 import * as zoneRotation from "../../runners/zone-rotation.js";
 
-/** From so many shared tokens on, the request goes to the data. */
+/** From so many shared tokens on, a request goes to the cell that has its prompt cached. */
 export const DETERMINISTIC_TOKENS = 1000;
-/** A cell with fewer of its runners in good status than this is unavailable. */
+/** A cell with a smaller fraction of good runners is unavailable. */
 export const MIN_GOOD_FRACTION = 0.34;
 
+/** A cell that was unavailable for less than this is back at once. */
 const SHORT_ABSENCE_MS = 1000;
-/** Cells of the key's order that a request may well be sent to (*ours*): these are followed in detail (design/usage 4.1). */
+/** So many of the highest ranked cells are likely to get the request (*ours*): the router follows their load in detail (design/usage 4.1). */
 const RANKED_CELLS = 2;
 
-/** Runners of a cell, and those in good status. */
+/** The number of runners of a cell, and of the good ones among them. */
 export interface CellCount {
   all: number;
   good: number;
@@ -35,37 +38,32 @@
   return cells;
 }
 
+/** Maps a hash to a number between 0 and 1, both excluded. */
+const HASH_RANGE_PLUS_ONE = 4294967297;
+
 interface CellState {
-  isIn: boolean;
+  isAvailable: boolean;
   since: number;
 }
 
-/** A short doubt is no absence: only who was away for longer comes back by steps. */
-function transition(state: CellState, isIn: boolean, now: number): CellState {
-  if (isIn && now - state.since < SHORT_ABSENCE_MS) return { isIn, since: -Infinity };
-  return { isIn, since: now };
+/** The state after a change: only a cell that was unavailable for long comes back by steps. */
+function transition(state: CellState, isAvailable: boolean, now: number): CellState {
+  if (isAvailable && now - state.since < SHORT_ABSENCE_MS) return { isAvailable, since: -Infinity };
+  return { isAvailable, since: now };
 }
 
-/** Weighted rendezvous: each cell's share of keys follows its runners, and a lost cell moves only its own keys. */
+/** Weighted rendezvous hashing: the keys are distributed by the cells' weights, and a lost cell moves only its own keys. */
 export function rankByKey(key: string, weights: ReadonlyMap<string, number>): string[] {
   const scored: [string, number][] = [];
   for (const [name, weight] of weights) {
-    const point = (textHash.hashText(`${key}|${name}`) + 1) / 4294967297;
+    const point = (textHash.hashText(`${key}|${name}`) + 1) / HASH_RANGE_PLUS_ONE;
     scored.push([name, -weight / Math.log(point)]);
   }
-  scored.sort(byScore);
-  return scored.map(nameOf);
-}
-
-function byScore(left: [string, number], right: [string, number]): number {
-  return right[1] - left[1];
+  scored.sort((left, right) => right[1] - left[1]);
+  return scored.map(([name]) => name);
 }
 
-function nameOf(item: [string, number]): string {
-  return item[0];
-}
-
-/** Orders the regions of a request. */
+/** Orders the cells of a request. */
 export class CellPolicy implements policyChain.Policy {
   readonly name = "cells";
   private readonly states = new Map<string, CellState>();
@@ -81,24 +79,21 @@
       if (summary) cell.good = Math.min(cell.good, Math.round((cell.all * summary.good) / Math.max(1, summary.total)));
     }
     const order = plan.sharedTokens >= DETERMINISTIC_TOKENS ? this.byKey(plan, counts) : this.byPriority(counts);
-    const available = order.filter(this.isAvailable.bind(this, plan, counts));
-    const rest = order.filter(isRest);
-    function isRest(region: string): boolean {
-      return !available.includes(region);
-    }
-    plan.cells = [...available, ...rest];
+    const available = order.filter((region) => this.isAvailable(plan, counts, region));
+    const unavailable = order.filter((region) => !available.includes(region));
+    plan.cells = [...available, ...unavailable];
     if (plan.sharedTokens >= DETERMINISTIC_TOKENS)
       for (const region of plan.cells.slice(0, RANKED_CELLS)) this.summaries.requestDetails(region);
     return null;
   }
 
-  /** Past the threshold a cell is unavailable; after a while away it comes back by percentage steps. */
+  /** A cell with too few good runners is unavailable; after a long absence it comes back by percentage steps. */
   private isAvailable(plan: routePlan.RoutePlan, counts: ReadonlyMap<string, CellCount>, region: string): boolean {
     const cell = counts.get(region)!;
     const isGood = cell.good >= cell.all * MIN_GOOD_FRACTION && cell.good > 0;
     const key = `${plan.service}|${region}`;
-    const state = this.states.get(key) ?? { isIn: true, since: -Infinity };
-    if (state.isIn !== isGood) this.states.set(key, transition(state, isGood, plan.now));
+    const state = this.states.get(key) ?? { isAvailable: true, since: -Infinity };
+    if (state.isAvailable !== isGood) this.states.set(key, transition(state, isGood, plan.now));
     const { since } = this.states.get(key) ?? state;
     return isGood && zoneRotation.isWithinPercent(zoneRotation.failbackPercent(plan.now - since), plan.requestId);
   }
@@ -111,10 +106,9 @@
 
   private byPriority(counts: ReadonlyMap<string, CellCount>): string[] {
     const own = this.ownRegion;
-    return [...counts.keys()].sort(byRank);
-    function byRank(left: string, right: string): number {
+    return [...counts.keys()].sort((left, right) => {
       if ((left === own) !== (right === own)) return left === own ? -1 : 1;
       return counts.get(right)!.all - counts.get(left)!.all || (left < right ? -1 : 1);
-    }
+    });
   }
 }
--- a/src/router/policies/homes-policy.ts
+++ b/src/router/policies/homes-policy.ts
@@ -1,17 +1,18 @@
-// Homes: whatever fails, only runners in the allowed regions, in use and not tried yet, remain (design 7.3).
+/** Homes (design 7.3): whatever fails, only runners in the allowed regions remain, and of these the ones that are in use and not attempted yet. */
 import type * as runnerFleet from "../../runners/runner-fleet.js";
 import type * as routePlan from "../../routing/route-plan.js";
 import type * as policyChain from "./policy-chain.js";
 import type * as zoneRotation from "../../runners/zone-rotation.js";
 
-const LEAVING_SLACK_MS = 300;
+/** No request is sent to a runner that shuts down so soon. */
+const SHUTDOWN_SLACK_MS = 300;
 
-/** A list that names no region allows all. */
+/** An empty list allows all regions. */
 function allows(homes: readonly string[], region: string): boolean {
   return homes.length === 0 || homes.includes(region);
 }
 
-/** The first policy of the chain. */
+/** The first policy of the chain: collects the candidates. */
 export class HomesPolicy implements policyChain.Policy {
   readonly name = "homes";
   constructor(
@@ -26,7 +27,7 @@
     for (const runner of this.fleet.ofService(plan.service)) {
       if (!allows(homes, runner.region) || !allows(tenantHomes, runner.region)) continue;
       if (runner.status !== "ready" || plan.attemptedRunners.has(runner.id)) continue;
-      if (plan.now > runner.shutdownAt - LEAVING_SLACK_MS) continue;
+      if (plan.now > runner.shutdownAt - SHUTDOWN_SLACK_MS) continue;
       if (!this.rotation.admits(runner.instance.zone, plan.requestId)) continue;
       plan.candidates.push(runner);
       regions.add(runner.region);
--- a/src/router/policies/runner-policy.ts
+++ b/src/router/policies/runner-policy.ts
@@ -1,5 +1,7 @@
-// Runner selection (design 7.4): each runner is weighed by what the request would wait for there: readings
-// ahead of it, parts of its prompt to read, its batch, the way to another cell. Ties go by the prompt's key.
+/**
+ * Runner selection (design 7.4): each candidate costs what the request would wait for there: the prefill backlog, the prefill
+ * of its own uncached tokens, the load, another cell. Ties are broken by the affinity of the prompt.
+ */
 import * as textHash from "../../limits/text-hash.js";
 import type * as runnerEndpoint from "../../runners/runner-endpoint.js";
 import type * as routePlan from "../../routing/route-plan.js";
@@ -11,14 +13,14 @@
 const LOAD_SLACK = 4;
 const MAX_MEAN_LOAD_FACTOR = 1.5;
 const MAX_KV_CACHE_FRACTION = 0.92;
-/** A prompt of so many unread tokens is a long reading; it holds up every stream of its runner. */
+/** A prefill of so many tokens is long: it delays every stream of its runner. */
 export const LONG_TOKENS = 2000;
-/** Weights in milliseconds. */
+/** Costs in milliseconds: of each rank in the order of affinity, of each further cell, of a full load. */
 const AFFINITY_RANK_MS = 70;
 const AFFINITY_RANKS = 3;
 const NEXT_CELL_MS = 100;
 const LOAD_WEIGHT_MS = 400;
-/** Reading again costs the runner and whoever comes after, not only this request. */
+/** A prefill delays later requests of the runner, too, not only this one. */
 const PREFILL_WEIGHT = 2;
 
 interface ScoredRunner {
@@ -33,59 +35,51 @@
 
   apply(plan: routePlan.RoutePlan): routePlan.Rejection | null {
     const good: ScoredRunner[] = [];
-    const over: ScoredRunner[] = [];
+    const overloaded: ScoredRunner[] = [];
     const suspect: ScoredRunner[] = [];
     const ejected: ScoredRunner[] = [];
     const { isRepeatable } = plan.entry;
     for (const [cellIndex, region] of plan.cells.entries()) {
-      const cell = plan.candidates.filter(isHere);
-      function isHere(runner: runnerEndpoint.RunnerEndpoint): boolean {
-        return runner.region === region;
-      }
-      const bound = loadBound(cell);
+      const cell = plan.candidates.filter((runner) => runner.region === region);
+      const maxLoad = loadBound(cell);
       for (const scored of this.scoreCell(plan, cell, cellIndex)) {
-        const standing = runnerHealth.assessHealth(scored.runner, plan.now, isRepeatable, plan.requestId);
-        if (standing === "ejected") ejected.push(scored);
-        else if (standing === "suspect") suspect.push(scored);
-        else if (isOverloaded(scored.runner, bound, plan.now)) over.push(scored);
+        const health = runnerHealth.assessHealth(scored.runner, plan.now, isRepeatable, plan.requestId);
+        if (health === "ejected") ejected.push(scored);
+        else if (health === "suspect") suspect.push(scored);
+        else if (isOverloaded(scored.runner, maxLoad, plan.now)) overloaded.push(scored);
         else good.push(scored);
       }
     }
-    plan.candidates = [...good.sort(byMs), ...over.sort(byMs), ...suspect.sort(byMs), ...ejected.sort(byMs)].map(runnerOf);
+    const ordered = [good, overloaded, suspect, ejected].flatMap((group) => group.sort(byCost));
+    plan.candidates = ordered.map((scored) => scored.runner);
     return null;
   }
 
   private scoreCell(plan: routePlan.RoutePlan, cell: runnerEndpoint.RunnerEndpoint[], cellIndex: number): ScoredRunner[] {
-    const { prefills: known } = this;
     const hasPrompt = plan.parts.length > 0;
     const ranks = hasPrompt ? affinityRanks(promptParts.promptKey(plan.sharedParts), cell) : null;
-    return cell.map(scored);
-    function scored(runner: runnerEndpoint.RunnerEndpoint): ScoredRunner {
+    return cell.map((runner) => {
       let ms =
         runnerHealth.penaltyMs(runner, plan.now, plan.entry.isRepeatable) +
         cellIndex * NEXT_CELL_MS +
         (LOAD_WEIGHT_MS * runner.requestCount()) / runner.instance.capacity;
       if (hasPrompt) {
-        const unread = known.uncachedTokens(runner.id, plan.parts, plan.prefixKeys);
+        const uncachedTokens = this.prefills.uncachedTokens(runner.id, plan.parts, plan.prefixKeys);
         ms +=
-          known.backlogMs(runner.id, plan.now) +
-          (PREFILL_WEIGHT * unread) / known.tokensPerMs +
+          this.prefills.backlogMs(runner.id, plan.now) +
+          (PREFILL_WEIGHT * uncachedTokens) / this.prefills.tokensPerMs +
           AFFINITY_RANK_MS * (ranks?.get(runner) ?? AFFINITY_RANKS);
       }
       return { runner, ms };
-    }
+    });
   }
 }
 
-function byMs(left: ScoredRunner, right: ScoredRunner): number {
+function byCost(left: ScoredRunner, right: ScoredRunner): number {
   return left.ms - right.ms || (left.runner.id < right.runner.id ? -1 : 1);
 }
 
-function runnerOf(item: ScoredRunner): runnerEndpoint.RunnerEndpoint {
-  return item.runner;
-}
-
-/** No runner takes much more than its cell's mean, so that one hot key does not fill it. */
+/** No runner gets much more than the mean load of its cell, so that one popular prompt does not fill it. */
 function loadBound(cell: readonly runnerEndpoint.RunnerEndpoint[]): number {
   let sum = 0;
   for (const runner of cell) sum += runner.requestCount();
@@ -97,7 +91,7 @@
   return usage >= runner.instance.capacity || usage > bound || now < runner.fullUntil || runner.kvUsedFraction > MAX_KV_CACHE_FRACTION;
 }
 
-/** The first places of the key's order; all others are alike. The key is hashed once, not for each runner. */
+/** The first ranks of the rendezvous order of a key; all other runners are alike. The key is hashed once, not for each runner. */
 function affinityRanks(key: string, cell: readonly runnerEndpoint.RunnerEndpoint[]): ReadonlyMap<runnerEndpoint.RunnerEndpoint, number> {
   const start = textHash.beginHash(`${key}|`);
   const first: runnerEndpoint.RunnerEndpoint[] = [];
--- a/src/router/serve-gate.ts
+++ b/src/router/serve-gate.ts
@@ -1,25 +1,25 @@
 /**
- * Whether a router may serve by the configuration that it holds (design/hardening/1-cut-off). A router that starts waits
- * for a confirmed control node, or a moment where none is reached; a running one keeps the last known good, for as long as
- * its operators allow without the word of a confirmed control node.
+ * Whether a router may serve with the configuration that it has (design/hardening/1-cut-off). A router that starts waits
+ * for a confirmed control node, or a moment where none is reached; a running one keeps its configuration, for as long as
+ * the settings allow without a confirmed control node.
  */
 import type * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
 import * as controlNode from "../feed/control-node.js";
 
-/** After so long with a configuration that nobody confirmed, it serves: its region may be cut off (*ours*). */
+/** After so long with an unconfirmed configuration the router serves: its region may be partitioned (*ours*). */
 export const UNCONFIRMED_WAIT_MS = 1200;
 
 /** The gate as `status` shows it. */
 export interface GateStatus {
   isOpen: boolean;
-  /** How long ago a confirmed control node knew nothing newer, in ms; null: not in this life of the process. */
+  /** How long ago a confirmed control node knew nothing newer, in ms; null: never in this process. */
   confirmedMsAgo: number | null;
   /** Whether this router stopped serving because that was too long ago. */
   isExpired: boolean;
 }
 
-/** One for each life of a router. */
+/** One for each process. */
 export class ServeGate {
   private configuredSince: types.SteadyMs | null = null;
   private confirmedAt: types.SteadyMs | null = null;
@@ -27,8 +27,8 @@
   private isExpired = false;
 
   /**
-   * unconfirmedMs: for how long this router serves without the word of a confirmed control node; 0: without a bound.
-   * onOpen: called whenever it begins to allow requests.
+   * `unconfirmedMs`: for how long the router serves without a confirmed control node; 0: without a limit.
+   * `onOpen`: called whenever it begins to allow requests.
    */
   constructor(
     private readonly clock: types.Clock,
@@ -37,7 +37,7 @@
     private readonly onOpen: () => void,
   ) {}
 
-  /** Judged by the clock at each call, so that a process that stood still finds its time over. */
+  /** Decided by the clock at each call, so that a process that was suspended stops in time. */
   allows(): boolean {
     return this.isOpen && !this.isTooOld();
   }
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Called at each turn, and whenever what is held, or a control node's word, may have changed. epoch: of the
-   * configuration that this router holds; hasAll: whether it has all else that it needs.
+   * Called periodically, and whenever the configuration or a control node may have changed. `epoch`: of the router's
+   * configuration; `hasAll`: whether it has all else that it needs.
    */
   update(epoch: types.Epoch, hasAll: boolean): void {
     if (epoch < 0) return;
--- a/src/router/tenant-gate.ts
+++ b/src/router/tenant-gate.ts
@@ -1,6 +1,6 @@
 /**
- * Whose request it is, and whether its tenant may make it now (design/tenants 3, 4): the last question before a request
- * that was read whole becomes a transaction. Public routes, and configurations without tenants, need no key.
+ * Authenticates the tenant of a complete request and acquires its quota, before a transaction begins (design/tenants 3, 4).
+ * Public routes, and configurations without tenants, need no key.
  */
 import type * as check from "../config/check.js";
 import type * as controlNode from "../feed/control-node.js";
@@ -13,27 +13,27 @@
 import * as tenant from "../tenants/tenant.js";
 import type * as types from "../wire/types.js";
 
-/** When a machine that does not know enough about keys, or reaches nobody who counts, may do so again (*ours*). */
+/** After how long clients may retry while this router can't validate keys, or reaches no owner of quotas (*ours*). */
 const KEY_OUTAGE_RETRY_MS = { leastMs: 500, mostMs: 3000 };
 const QUOTA_OUTAGE_RETRY_MS = { leastMs: 300, mostMs: 3000 };
 const MIN_RETRY_S = 0.2;
 const MS_PER_S = 1000;
 
-/** An answer of the router in place of a runner's; retryAfterS: seconds, null where coming back is no use. */
+/** The router's own response; `retryAfterS`: seconds, null where a retry is of no use. */
 export interface TenantRejection {
   status: 401 | 429 | 503;
   cause: string;
   retryAfterS: number | null;
 }
 
-/** What a request that was admitted holds; handed back when it was never sent. */
+/** The unit of quota that an admitted request uses, returned if it is never sent; null: without a limit. */
 export type QuotaUnit = quotaClaim.Unit | null;
 
 /** One for each router. */
 export class TenantGate {
   private table = new tenant.TenantTable();
-  private readonly lease: keyLease.KeyLease;
-  private readonly quota: quotaClient.QuotaClient;
+  private readonly keyLease: keyLease.KeyLease;
+  private readonly quotaClient: quotaClient.QuotaClient;
   private readonly keyOutage: outages.Outage;
   private readonly quotaOutage: outages.Outage;
 
@@ -43,64 +43,64 @@
     controls: ReadonlyMap<string, controlNode.ControlNode>,
     bounds: keyLease.RevocationBounds,
   ) {
-    this.lease = new keyLease.KeyLease(clock, bounds);
+    this.keyLease = new keyLease.KeyLease(clock, bounds);
     this.keyOutage = new outages.Outage(clock, KEY_OUTAGE_RETRY_MS);
     this.quotaOutage = new outages.Outage(clock, QUOTA_OUTAGE_RETRY_MS);
     const owners = new quotaSources.Sources(clock, region, controls);
-    this.quota = new quotaClient.QuotaClient(clock, owners, this.lease.hear.bind(this.lease));
+    this.quotaClient = new quotaClient.QuotaClient(clock, owners, (epoch, sentAt) => this.keyLease.hear(epoch, sentAt));
   }
 
   /** The settings were read again. */
   applySettings(bounds: keyLease.RevocationBounds): void {
-    this.lease.resettle(bounds);
+    this.keyLease.resettle(bounds);
   }
 
-  /** A configuration is in force, with these tenants. */
+  /** A configuration took effect, with these tenants. */
   applyConfiguration(epoch: types.Epoch, table: tenant.TenantTable): void {
     this.table = table;
-    this.lease.take(epoch);
+    this.keyLease.take(epoch);
     this.runPeriodically();
   }
 
-  /** Called often. Without tenants nothing is asked of anybody. */
+  /** Called often. Without tenants nothing is requested. */
   runPeriodically(): void {
-    if (!this.table.isEmpty) this.quota.turn();
+    if (!this.table.isEmpty) this.quotaClient.turn();
   }
 
-  /** Whether keys may be honoured, or none are needed: a starting router waits for it. */
+  /** Whether keys can be validated, or none are needed: a starting router waits for it. */
   get isReady(): boolean {
-    return this.table.isEmpty || this.lease.mayHonour();
+    return this.table.isEmpty || this.keyLease.mayHonour();
   }
 
-  /** The tenant that holds the key, null where the route needs none, or why the request is refused. */
+  /** The tenant of the key, null where the route needs none, or the rejection. */
   authenticate(key: string | string[] | undefined, route: check.Route): tenant.Tenant | null | TenantRejection {
     if (this.table.isEmpty || route.public === true) return null;
     const tenant = typeof key === "string" && key !== "" ? this.table.find(key) : null;
-    if (tenant && this.lease.mayHonour()) {
+    if (tenant && this.keyLease.mayHonour()) {
       this.keyOutage.over();
       return tenant;
     }
-    if (!tenant && this.lease.mayDeny()) return this.reject(401, "the key is missing or not known; send a valid Api-Key", null);
+    if (!tenant && this.keyLease.mayDeny()) return this.reject(401, "the key is missing or not known; send a valid Api-Key", null);
     return this.reject(503, "this node cannot tell which keys are valid now; come back shortly", this.keyOutage.met() / MS_PER_S);
   }
 
   /**
-   * Asks for a unit of the tenant's quota. One of the two is called once, perhaps before this returns; the claim's
-   * cancel() ends the wait.
+   * Requests a unit of the tenant's quota. One of the two callbacks is called once, perhaps before this returns; `cancel`
+   * of the claim ends the wait.
    */
   acquireQuota(
     tenant: tenant.Tenant | null,
-    go: (admitted: QuotaUnit) => void,
-    reject: (rejection: TenantRejection) => void,
+    onAdmitted: (unit: QuotaUnit) => void,
+    onRejected: (rejection: TenantRejection) => void,
   ): quotaClaim.Claim | null {
     if (!tenant?.isLimited) {
-      go(null);
+      onAdmitted(null);
       return null;
     }
-    return this.quota.take(tenant.name, (decision) => {
+    return this.quotaClient.take(tenant.name, (decision) => {
       if (decision.kind !== "unreached") this.quotaOutage.over();
-      if (decision.kind === "granted") go(decision.unit);
-      else reject(this.rejectionOf(decision));
+      if (decision.kind === "granted") onAdmitted(decision.unit);
+      else onRejected(this.rejectionOf(decision));
     });
   }
 
@@ -115,8 +115,8 @@
     return { status, cause, retryAfterS };
   }
 
-  /** The request was never sent: its unit serves another. */
-  returnQuota(tenant: tenant.Tenant | null, admitted: QuotaUnit): void {
-    if (tenant && admitted) this.quota.hold(tenant.name, admitted);
+  /** The request was never sent: its unit is used for another. */
+  returnQuota(tenant: tenant.Tenant | null, unit: QuotaUnit): void {
+    if (tenant && unit) this.quotaClient.hold(tenant.name, unit);
   }
 }
--- a/tests/once.test.ts
+++ b/tests/at-most-once.test.ts
@@ -4,7 +4,7 @@
 import type * as net from "node:net";
 import * as fc from "fast-check";
 import * as callerCases from "./sim/caller-cases.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 import * as rawRunner from "./sim/raw-runner.js";
 import * as sims from "./sim/world.js";
 
@@ -28,7 +28,7 @@
   const bytes = rawRunner.answerBytes("i-1", "q1", rawRunner.DENIAL);
   const byte = bytes.indexOf("\r\n\r\n") + bytesAfterFields;
   const denial: rawRunner.Script = { answer: rawRunner.DENIAL, part: "answer", byte, fault: "close" };
-  const edge = await edges.Edge.over(new sims.SimWorld(), [
+  const edge = await routerEdge.Edge.over(new sims.SimWorld(), [
     new rawRunner.RawRunner("i-1", [denial]),
     new rawRunner.RawRunner("i-2", [denial]),
   ]);
@@ -57,7 +57,7 @@
   async (fault) => {
     const clock = new sims.SimWorld();
     const scripts: rawRunner.Script[] = [{ answer: rawRunner.FINE, part: "request", byte: 200_000, fault }];
-    const edge = await edges.Edge.over(clock, [new rawRunner.RawRunner("i-1", scripts), new rawRunner.RawRunner("i-2", [...scripts])]);
+    const edge = await routerEdge.Edge.over(clock, [new rawRunner.RawRunner("i-1", scripts), new rawRunner.RawRunner("i-2", [...scripts])]);
     edge.server.applyLimits({ max_body_bytes: LARGE_BODY });
     const reply = await callerCases.ask(clock, edge, callerCases.textOf("q1", { method: "PUT", bodyBytes: LARGE_BODY, isChunked: false }));
     const streams = edge.runners.flatMap((runner) => runner.streams);
@@ -70,7 +70,7 @@
 test("a kept connection that ends in the moment of the next send is not replaced under a request that may have gone out", async () => {
   for (let turns = 0; turns < 12; turns += 1) {
     const clock = new sims.SimWorld();
-    const edge = await edges.Edge.over(clock, [new rawRunner.RawRunner("i-1")]);
+    const edge = await routerEdge.Edge.over(clock, [new rawRunner.RawRunner("i-1")]);
     await edge.send(callerCases.textOf("a0", callerCases.SERVED));
     const reply = callerCases.ask(clock, edge, callerCases.textOf("q1", { method: "GET", bodyBytes: 0, isChunked: false }));
     for (let turn = 0; turn < turns; turn += 1) await sims.settle();
@@ -87,7 +87,7 @@
   diagnostics.subscribe("undici:client:connected", connected);
   const clock = new sims.SimWorld();
   const silent: rawRunner.Script = { answer: rawRunner.FINE, part: "answer", byte: 0, fault: "silent" };
-  const edge = await edges.Edge.over(clock, [new rawRunner.RawRunner("i-1", [silent])]);
+  const edge = await routerEdge.Edge.over(clock, [new rawRunner.RawRunner("i-1", [silent])]);
   const reply = edge.send(callerCases.textOf("q1", { method: "GET", bodyBytes: 0, isChunked: false }));
   while (!edge.runners[0].isSilent) await sims.settle();
   sockets[0].destroy(Object.assign(new Error("the library's own"), { code: "UND_ERR_INFO" }));
--- a/tests/edge-deadline.test.ts
+++ b/tests/body-deadline.test.ts
@@ -1,11 +1,11 @@
 // A body that comes too slowly (design/edge 7.12): its request ends at its deadline, and nothing of it reaches a runner.
 import * as timers from "../src/runtime/timers.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 
-let edge: edges.Edge;
+let edge: routerEdge.Edge;
 
 beforeEach(async () => {
-  edge = await edges.Edge.start(new timers.SystemClock(), [{ id: "i-1" }]);
+  edge = await routerEdge.Edge.start(new timers.SystemClock(), [{ id: "i-1" }]);
 });
 afterEach(() => edge.stop());
 
--- a/tests/callers.test.ts
+++ b/tests/callers.test.ts
@@ -1,11 +1,11 @@
 // Whose answer reaches a client, and what says that a request has run: raw bytes at stand-in runners, time is simulated.
 import * as net from "node:net";
 import * as log from "../src/runtime/log.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 import * as rawRunner from "./sim/raw-runner.js";
 import * as sims from "./sim/world.js";
 
-type Edge = edges.Edge<rawRunner.RawRunner>;
+type Edge = routerEdge.Edge<rawRunner.RawRunner>;
 
 let clock: sims.SimWorld;
 let edge: Edge | null = null;
@@ -14,7 +14,7 @@
 
 /** A router with two runners; the first takes these scripts, and both are told apart by their bodies. */
 async function start(scripts: rawRunner.Script[], greeting = ""): Promise<Edge> {
-  edge = await edges.Edge.over(clock, [new rawRunner.RawRunner("i-1", scripts, greeting), new rawRunner.RawRunner("i-2")]);
+  edge = await routerEdge.Edge.over(clock, [new rawRunner.RawRunner("i-1", scripts, greeting), new rawRunner.RawRunner("i-2")]);
   return edge;
 }
 
@@ -82,7 +82,7 @@
 
 test.each([400, 429, 503])("a runner's %i that says it has not run bears no seal on its way to the client", async (status) => {
   const denial = rawRunner.served({ status, isNotExecuted: true });
-  edge = await edges.Edge.over(clock, [new rawRunner.RawRunner("i-1", [denial]), new rawRunner.RawRunner("i-2", [denial])]);
+  edge = await routerEdge.Edge.over(clock, [new rawRunner.RawRunner("i-1", [denial]), new rawRunner.RawRunner("i-2", [denial])]);
   const reply = await ask("once", "q1");
   expect([reply.status, reply.headers.includes("Seal")]).toEqual([status === 400 ? 400 : 503, false]);
   expect(streams().every((stream) => stream.isDenied)).toBe(true);
@@ -157,7 +157,7 @@
 
 test("a runner whose address went to another service is left, and not asked again", async () => {
   const reused = new rawRunner.RawRunner("i-1");
-  edge = await edges.Edge.over(clock, [reused, new rawRunner.RawRunner("i-2")]);
+  edge = await routerEdge.Edge.over(clock, [reused, new rawRunner.RawRunner("i-2")]);
   Object.defineProperty(reused, "id", { value: "i-9" });
   for (const id of ["q1", "q2", "q3"]) expect(await ask("once", id)).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-2", id) });
   expect(reused.streams.map((stream) => stream.isDenied)).toEqual([true]);
@@ -165,7 +165,7 @@
 
 test("max_attempts counts all runners that one try was sent to, also after answers that ended early", async () => {
   const cut: rawRunner.Script = { answer: rawRunner.FINE, part: "answer", byte: 20, fault: "reset" };
-  edge = await edges.Edge.over(
+  edge = await routerEdge.Edge.over(
     clock,
     ["i-1", "i-2", "i-3", "i-4"].map((id) => new rawRunner.RawRunner(id, [cut])),
   );
--- a/tests/gone.test.ts
+++ b/tests/client-cancellation.test.ts
@@ -1,13 +1,13 @@
 // A client that leaves frees what it waited for (rule GONE): also while its request waits for the first configuration.
 import * as net from "node:net";
 import * as timers from "../src/runtime/timers.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 import * as sims from "./sim/world.js";
 
-let edge: edges.Edge;
+let edge: routerEdge.Edge;
 
 beforeEach(async () => {
-  edge = await edges.Edge.start(new timers.SystemClock(), [{ id: "i-1" }]);
+  edge = await routerEdge.Edge.start(new timers.SystemClock(), [{ id: "i-1" }]);
 });
 afterEach(() => edge.stop());
 
--- a/tests/kept-connections.test.ts
+++ b/tests/connection-reuse.test.ts
@@ -2,7 +2,7 @@
 // limits, a router that leaves, the end of the server (LOST on kept connections).
 import * as net from "node:net";
 import * as timers from "../src/runtime/timers.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 
 const CLIENTS = 24;
 const clock = new timers.SystemClock();
@@ -39,12 +39,12 @@
   }
 }
 
-test.each<[string, (edge: edges.Edge) => void]>([
+test.each<[string, (edge: routerEdge.Edge) => void]>([
   ["the idle limit is cut to a millisecond", (edge) => edge.server.applyLimits({ idle_timeout_ms: 1 })],
   ["the router leaves and its server closes", leave],
   ["idle connections are closed again and again", (edge) => [1, 2, 3].forEach(() => edge.server.close())],
 ])("%s: all that reached a runner is answered", async (_name, meddle) => {
-  const edge = await edges.Edge.start(clock, [{ capacity: 64 }, { id: "i-2", capacity: 64 }]);
+  const edge = await routerEdge.Edge.start(clock, [{ capacity: 64 }, { id: "i-2", capacity: 64 }]);
   let answers = 0;
   const clients = Array.from({ length: CLIENTS }, (_item, index) => keepAsking(edge.server.port, `k${index}`, () => (answers += 1)));
   while (answers < 200) await new Promise(setImmediate);
@@ -62,7 +62,7 @@
   edge.stop();
 });
 
-function leave(edge: edges.Edge): void {
+function leave(edge: routerEdge.Edge): void {
   edge.server.isDraining = true;
   edge.server.close();
 }
--- a/tests/early-answer.test.ts
+++ b/tests/early-response.test.ts
@@ -2,7 +2,7 @@
 // of that body is due come that body's own bytes, and then the next request.
 import * as net from "node:net";
 import * as timers from "../src/runtime/timers.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 import * as rawRunner from "./sim/raw-runner.js";
 
 const BODY_BYTES = 3 * 1024 * 1024;
@@ -59,7 +59,7 @@
 
 test("the rest of a body that was answered early stands before the next request, whole and unchanged", async () => {
   const runner = new EarlyRunner();
-  const edge = await edges.Edge.over(new timers.SystemClock(), [runner]);
+  const edge = await routerEdge.Edge.over(new timers.SystemClock(), [runner]);
   edge.server.applyLimits({ max_body_bytes: 2 * BODY_BYTES });
   try {
     const body = Array.from({ length: BODY_BYTES / 8 }, (_, index) => index.toString(16).padStart(8, "0")).join("");
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -1,7 +1,7 @@
 // Routers and five control nodes over simulated links: who is held, lost, replaced, told (design/members).
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as fleets from "./sim/fleet.js";
+import * as simulatedNodes from "./sim/simulated-nodes.js";
 import * as sim from "./sim/world.js";
 
 const REGIONS = ["a", "b", "c"];
@@ -14,8 +14,8 @@
 ];
 const SEEDS = CORE.map(([name]) => `${name}:1`);
 
-async function start(seed: number, routers: number, seeds: string[] = SEEDS): Promise<fleets.SimFleet> {
-  const fleet = new fleets.SimFleet(new sim.SimWorld(seed));
+async function start(seed: number, routers: number, seeds: string[] = SEEDS): Promise<simulatedNodes.SimFleet> {
+  const fleet = new simulatedNodes.SimFleet(new sim.SimWorld(seed));
   fleet.holes.add("hole:1");
   for (const [name, region] of CORE) fleet.control(name, region, SEEDS);
   await fleet.clock.play(1000);
@@ -23,11 +23,14 @@
   return fleet;
 }
 
-function view(control: fleets.SimControl): string[] {
+function view(control: simulatedNodes.SimControl): string[] {
   return control.members.withRole("router").map((item) => `${item.name}${item.isReady ? "" : "-"}`);
 }
 
-function expectOneView(fleet: fleets.SimFleet, isUp: (router: fleets.SimRouter) => boolean = (router) => router.isUp): void {
+function expectOneView(
+  fleet: simulatedNodes.SimFleet,
+  isUp: (router: simulatedNodes.SimRouter) => boolean = (router) => router.isUp,
+): void {
   const truth = fleet.routers
     .filter(isUp)
     .map((router) => router.name)
--- a/tests/idle.test.ts
+++ b/tests/idle-timeout.test.ts
@@ -1,7 +1,7 @@
 // Kept connections and their idle times (design/edge 7.13): told, learned, forgotten; time is simulated.
 import * as connectionPool from "../src/runners/connection-pool.js";
 import * as idleTimeout from "../src/runners/idle-timeout.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 import * as sim from "./sim/world.js";
 
 const USUAL = connectionPool.IDLE_TIMEOUT_MS;
@@ -148,10 +148,10 @@
 });
 
 describe("with a runner that forgets connections idle for over 1.5 s", () => {
-  let edge: edges.Edge;
+  let edge: routerEdge.Edge;
   let asked = 0;
   beforeEach(async () => {
-    edge = await edges.Edge.start(clock, [{ id: "i-1", forgetMs: 1500, now: () => clock.now() }]);
+    edge = await routerEdge.Edge.start(clock, [{ id: "i-1", forgetMs: 1500, now: () => clock.now() }]);
     asked = 0;
   });
   afterEach(() => edge.stop());
--- a/tests/network-partitions.test.ts
+++ b/tests/network-partitions.test.ts
@@ -2,7 +2,7 @@
 import * as networkPartitions from "../src/feed/network-partitions.js";
 import type * as dialer from "../src/feed/dialer.js";
 import * as types from "../src/wire/types.js";
-import * as fleets from "./sim/fleet.js";
+import * as simulatedNodes from "./sim/simulated-nodes.js";
 
 interface Held {
   region: string;
@@ -14,7 +14,7 @@
   const controls = new Map(
     held.map(({ region, silentMs, word }, index) => [
       `${region}${index}`,
-      { node: fleets.nodeOf("n", "control", region, ""), heartbeatAt: 0, heartbeat: word && { silentRegions: word }, silentMs },
+      { node: simulatedNodes.nodeOf("n", "control", region, ""), heartbeatAt: 0, heartbeat: word && { silentRegions: word }, silentMs },
     ]),
   );
   const targets = new Map([...controls.keys(), ...known].map((address) => [address, { region: address[0], failures: 0 }]));
--- a/tests/outcomes.test.ts
+++ b/tests/outlier-detection.test.ts
@@ -3,7 +3,7 @@
 import * as outlierDetection from "../src/runners/outlier-detection.js";
 import * as failureKind from "../src/runners/failure-kind.js";
 import * as types from "../src/wire/types.js";
-import * as runners from "./sim/runners.js";
+import * as simulatedRunners from "./sim/simulated-runners.js";
 
 const SHAPE = { seed: 5, routers: 12, regions: 3, runnersEach: 8, perS: 150 };
 const ONSET_S = 5;
@@ -22,16 +22,16 @@
   return now >= ONSET_S * 1000 && now < END_S * 1000;
 }
 
-function grey(answer: runners.Answer, share: number): runners.Play {
+function grey(answer: simulatedRunners.Answer, share: number): simulatedRunners.Play {
   return (runner, _router, now, chance) => (isBad(runner.id) && during(now) && chance < share ? answer : "fine");
 }
 
-function flap(runner: { id: string }, _router: number, now: number): runners.Answer {
+function flap(runner: { id: string }, _router: number, now: number): simulatedRunners.Answer {
   return isBad(runner.id) && during(now) && Math.floor((now - ONSET_S * 1000) / 700) % 2 === 0 ? "refused" : "fine";
 }
 
 /** What the runners do, and the most of all requests that still meet it after two seconds. */
-const PLAYS: [string, runners.Play, number][] = [
+const PLAYS: [string, simulatedRunners.Play, number][] = [
   ["30 % errors", grey("error", 0.3), 0.015],
   ["50 % errors", grey("error", 0.5), 0.015],
   ["50 % cut off", grey("cut", 0.5), 0.015],
@@ -44,7 +44,7 @@
 ];
 
 describe.each(PLAYS)("a tenth of the runners: %s", (_name, play, bound) => {
-  const played = new runners.RunnersSim({ ...SHAPE, play });
+  const played = new simulatedRunners.RunnersSim({ ...SHAPE, play });
   beforeAll(() => played.play(END_S + 11));
 
   test("requests go elsewhere after a second or two", () => {
@@ -67,8 +67,9 @@
 });
 
 test("trouble of a whole region ejects at most a third of it, and no good runner elsewhere", () => {
-  const play: runners.Play = (runner, _router, now, chance) => (runner.region === "r1" && during(now) && chance < 0.5 ? "error" : "fine");
-  const played = new runners.RunnersSim({ ...SHAPE, play });
+  const play: simulatedRunners.Play = (runner, _router, now, chance) =>
+    runner.region === "r1" && during(now) && chance < 0.5 ? "error" : "fine";
+  const played = new simulatedRunners.RunnersSim({ ...SHAPE, play });
   for (let at = ONSET_S; at < END_S; at += 0.5) {
     played.play(at);
     for (const router of played.routers) {
@@ -80,8 +81,8 @@
 });
 
 test("a few failures all over the fleet eject next to nothing", () => {
-  const play: runners.Play = (_runner, _router, _now, chance) => (chance < 0.03 ? "cut" : "fine");
-  const played = new runners.RunnersSim({ ...SHAPE, play });
+  const play: simulatedRunners.Play = (_runner, _router, _now, chance) => (chance < 0.03 ? "cut" : "fine");
+  const played = new simulatedRunners.RunnersSim({ ...SHAPE, play });
   played.play(20);
   const outs = played.changes.filter(([, , , to]) => to === "ejected").length;
   // 12 routers see 24 runners each for 20 s.
@@ -90,7 +91,7 @@
 
 test("reports that call good runners ill leave them in use at lower preference", () => {
   const isSpeaking = (id: string, now: number): boolean => !(isBad(id) && during(now));
-  const played = new runners.RunnersSim({ ...SHAPE, play: () => "fine", isSpeaking });
+  const played = new simulatedRunners.RunnersSim({ ...SHAPE, play: () => "fine", isSpeaking });
   played.play(END_S + 3);
   const usual = played.sentShare(0, ONSET_S, isBad);
   const share = played.sentShare(ONSET_S + 4, END_S, isBad);
@@ -101,8 +102,8 @@
 });
 
 test("a way that is silent from one router alone is left there, and nobody else hears of it", () => {
-  const play: runners.Play = (runner, router, now) => (router === 0 && isBad(runner.id) && during(now) ? "unreached" : "fine");
-  const played = new runners.RunnersSim({ ...SHAPE, play });
+  const play: simulatedRunners.Play = (runner, router, now) => (router === 0 && isBad(runner.id) && during(now) ? "unreached" : "fine");
+  const played = new simulatedRunners.RunnersSim({ ...SHAPE, play });
   played.play(END_S + 8);
   expect(played.changes.filter(([, router]) => router !== 0)).toEqual([]);
   expect(played.changes.filter(([, router, , to]) => router === 0 && to === "ejected").length).toBeGreaterThan(0);
--- a/tests/edge.test.ts
+++ b/tests/request-validation.test.ts
@@ -1,11 +1,11 @@
 // The table of conformance at the edge: raw bytes in, what a client is told, what reaches a runner (design/edge 7.12).
 import * as timers from "../src/runtime/timers.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 
-let edge: edges.Edge;
+let edge: routerEdge.Edge;
 
 beforeEach(async () => {
-  edge = await edges.Edge.start(new timers.SystemClock(), [{ id: "i-1" }]);
+  edge = await routerEdge.Edge.start(new timers.SystemClock(), [{ id: "i-1" }]);
 });
 afterEach(() => edge.stop());
 
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -13,8 +13,8 @@
 import * as leasedLimits from "../src/limits/leased-limits.js";
 import * as runner from "../src/emulator/runner.js";
 import * as types from "../src/wire/types.js";
-import * as edge from "./sim/edge.js";
-import * as raws from "./sim/raw.js";
+import * as routerEdge from "./sim/router-edge.js";
+import * as rawBytes from "./sim/raw-bytes.js";
 import * as sims from "./sim/world.js";
 
 const CONFIG = check
@@ -23,11 +23,11 @@
     services: [{ name: "s", max_connections: 100 }],
     limits: { max_body_bytes: 2000, max_header_bytes: 4096, header_timeout_ms: 5000 },
     routes: [
-      edge.routeOf("read", "read_only"),
-      edge.routeOf("once", "mutating"),
-      edge.routeOf("stream", "streaming", { resumable: true }),
-      edge.routeOf("single", "streaming", { max_attempts: 1 }),
-      edge.routeOf("home", "mutating", { allowed_regions: ["r2"] }),
+      routerEdge.routeOf("read", "read_only"),
+      routerEdge.routeOf("once", "mutating"),
+      routerEdge.routeOf("stream", "streaming", { resumable: true }),
+      routerEdge.routeOf("single", "streaming", { max_attempts: 1 }),
+      routerEdge.routeOf("home", "mutating", { allowed_regions: ["r2"] }),
     ],
   })
   .unwrapOr(null)!;
@@ -290,13 +290,13 @@
   ["a body that never ends", "POST /once/x HTTP/1.1\r\nHost: h\r\nX-Cranewind-Request-Id: s\r\nContent-Length: 10\r\n\r\nab"],
 ])("%s is ended with a 408 and reaches no runner", async function slow(_name, text) {
   server.applyLimits({ header_timeout_ms: 150, idle_timeout_ms: 150 });
-  const reply = await raws.sendRaw(port, text);
+  const reply = await rawBytes.sendRaw(port, text);
   expect(reply).toMatch(/^HTTP\/1.1 408/);
   expect(seenBy()).toHaveLength(0);
 });
 
 test.each(RAW)("bad input: %s", async function raw(_name, text, expected) {
-  const reply = await raws.sendRaw(port, text);
+  const reply = await rawBytes.sendRaw(port, text);
   expect(reply).toMatch(expected);
   expect(seenBy()).toHaveLength(0);
 });
--- a/tests/sim/caller-cases.ts
+++ b/tests/sim/caller-cases.ts
@@ -2,7 +2,7 @@
 // is judged by the bytes that reached the runners and the client (design 7.8).
 import * as assert from "node:assert/strict";
 import * as fc from "fast-check";
-import * as edges from "./edge.js";
+import * as routerEdge from "./router-edge.js";
 import * as rawRunner from "./raw-runner.js";
 import * as sims from "./world.js";
 
@@ -70,16 +70,19 @@
 /** Where a history is played. */
 export interface Place {
   runner(id: string): rawRunner.RawRunner;
-  edge(clock: sims.SimWorld, runners: rawRunner.RawRunner[]): Promise<edges.Edge<rawRunner.RawRunner>>;
+  edge(clock: sims.SimWorld, runners: rawRunner.RawRunner[]): Promise<routerEdge.Edge<rawRunner.RawRunner>>;
 }
 
 /** Sockets of the kernel, on loopback. */
-export const LOOPBACK: Place = { runner: (id) => new rawRunner.RawRunner(id), edge: (clock, runners) => edges.Edge.over(clock, runners) };
+export const LOOPBACK: Place = {
+  runner: (id) => new rawRunner.RawRunner(id),
+  edge: (clock, runners) => routerEdge.Edge.over(clock, runners),
+};
 
 /** Streams in memory; the library's connector must be that of `tests/callers/memory-connect.ts`. */
 export const MEMORY: Place = {
   runner: (id) => new rawRunner.RawRunner(id, [], "", true),
-  edge: (clock, runners) => edges.Edge.inMemory(clock, runners),
+  edge: (clock, runners) => routerEdge.Edge.inMemory(clock, runners),
 };
 
 /** The bytes of one request; the last one on its connection says so. */
@@ -92,7 +95,7 @@
 }
 
 /** The client's answer; time passes only while a runner is silent. */
-export async function ask(clock: sims.SimWorld, edge: edges.Edge<rawRunner.RawRunner>, text: string): Promise<string> {
+export async function ask(clock: sims.SimWorld, edge: routerEdge.Edge<rawRunner.RawRunner>, text: string): Promise<string> {
   let got: string | null = null;
   void edge.send(text).then((reply) => (got = reply));
   for (let turn = 0; got === null; turn += 1) {
@@ -107,17 +110,17 @@
 export const SERVED: Form = { method: "POST", bodyBytes: 1, isChunked: false };
 
 /** Requests at work together, so that both runners serve some and keep their connections. */
-async function warmUp(edge: edges.Edge<rawRunner.RawRunner>, count: number): Promise<void> {
+async function warmUp(edge: routerEdge.Edge<rawRunner.RawRunner>, count: number): Promise<void> {
   for (let turn = 0; turn < count; turn += 1) await Promise.all(["a", "b", "c"].map((name) => edge.send(textOf(`${name}${turn}`, SERVED))));
 }
 
 /** The streams of the requests that are judged; those whose id was cut off may be of any. */
-function streamsOf(edge: edges.Edge<rawRunner.RawRunner>): rawRunner.Stream[] {
+function streamsOf(edge: routerEdge.Edge<rawRunner.RawRunner>): rawRunner.Stream[] {
   return edge.runners.flatMap((runner) => runner.streams).filter((stream) => !/^[abc]\d$/.test(stream.requestId));
 }
 
 /** What is wrong with the history, thrown; `ids` are those of the requests, in their order on the connection. */
-export function judge(reply: string, edge: edges.Edge<rawRunner.RawRunner>, ids: readonly string[] = ["q1"]): void {
+export function judge(reply: string, edge: routerEdge.Edge<rawRunner.RawRunner>, ids: readonly string[] = ["q1"]): void {
   const streams = streamsOf(edge);
   const mayHaveRun = streams.filter((stream) => !stream.isDenied);
   assert.ok(mayHaveRun.length <= ids.length, `${mayHaveRun.length} requests reached runners that did not say that they have not run them`);
@@ -131,7 +134,12 @@
 }
 
 /** Answers come in the order of the requests; after one that is not whole comes none. */
-function judgeAnswers(reply: string, edge: edges.Edge<rawRunner.RawRunner>, ids: readonly string[], mayHaveRun: rawRunner.Stream[]): void {
+function judgeAnswers(
+  reply: string,
+  edge: routerEdge.Edge<rawRunner.RawRunner>,
+  ids: readonly string[],
+  mayHaveRun: rawRunner.Stream[],
+): void {
   let rest = reply;
   for (const id of ids) {
     const answer = rawRunner.readAnswer(rest);
@@ -146,7 +154,7 @@
 }
 
 /** A whole answer is a runner's own and whole, or this router's. */
-function judgeAnswer(answer: rawRunner.Reading, edge: edges.Edge<rawRunner.RawRunner>, id: string): void {
+function judgeAnswer(answer: rawRunner.Reading, edge: routerEdge.Edge<rawRunner.RawRunner>, id: string): void {
   if (!answer.headers.includes("Response-Seal")) {
     assert.ok(answer.status >= 400, `${id} got ${answer.status} without a seal`);
     return;
--- a/tests/sim/change-day.ts
+++ b/tests/sim/change-day.ts
@@ -5,7 +5,7 @@
 import * as link from "../../src/wire/link.js";
 import type * as types from "../../src/wire/types.js";
 import * as durableNode from "./durable-node.js";
-import * as fleet from "./fleet.js";
+import * as simulatedNodes from "./simulated-nodes.js";
 import * as networks from "./network.js";
 import * as operators from "./operators.js";
 import * as sim from "./world.js";
@@ -29,7 +29,13 @@
 
   constructor(network: networks.SimNetwork, name: string, controls: readonly string[]) {
     const world = new networks.NodeWorld(network, name);
-    this.dial = new durableNode.NetworkDialer(world, "", this.handlers, () => fleet.nodeOf(name, "router", "r", ""), link.LINK_TIMEOUT_MS);
+    this.dial = new durableNode.NetworkDialer(
+      world,
+      "",
+      this.handlers,
+      () => simulatedNodes.nodeOf(name, "router", "r", ""),
+      link.LINK_TIMEOUT_MS,
+    );
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     const follower = new feedSubscriber.FeedSubscriber(world, "r", this.dial, this.handlers, () => [], this);
     this.dial.addAddresses(controls.map(durableNode.addressOf));
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -14,7 +14,7 @@
 import * as link from "../../src/wire/link.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as fleet from "./fleet.js";
+import * as simulatedNodes from "./simulated-nodes.js";
 import * as networks from "./network.js";
 
 const SYNC_MS = 5;
@@ -86,7 +86,7 @@
 
   describe(): schema.NodeInfo {
     const { name } = this.node;
-    const info = fleet.nodeOf(name, "control", "r", addressOf(name));
+    const info = simulatedNodes.nodeOf(name, "control", "r", addressOf(name));
     return { ...info, life: this.life, disk: this.core?.disk ?? "", isCounted: true, epoch: this.epoch };
   }
 
--- a/tests/sim/members.ts
+++ b/tests/sim/members.ts
@@ -22,7 +22,7 @@
 import * as link from "../../src/wire/link.js";
 import type * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as fleet from "./fleet.js";
+import * as simulatedNodes from "./simulated-nodes.js";
 import * as networks from "./network.js";
 
 export const ZONES = new Set(["z0", "z1", "z2", "z3", "z4", "z5", "z6", "z7"]);
@@ -171,7 +171,7 @@
 
   private describe(): schema.NodeInfo {
     const disk = this.core?.disk ?? "";
-    return { ...fleet.nodeOf(this.name, "control", this.region, addressOf(this.name)), disk, epoch: this.epoch };
+    return { ...simulatedNodes.nodeOf(this.name, "control", this.region, addressOf(this.name)), disk, epoch: this.epoch };
   }
 
   get epoch(): types.Epoch {
--- a/tests/sim/edge.ts
+++ b/tests/sim/router-edge.ts
@@ -13,7 +13,7 @@
 import * as runner from "../../src/emulator/runner.js";
 import * as types from "../../src/wire/types.js";
 import * as memoryNet from "./memory-net.js";
-import * as raws from "./raw.js";
+import * as rawBytes from "./raw-bytes.js";
 
 /** A route under /NAME/ of the host h; `more` replaces or adds fields. */
 export function routeOf(name: string, type: string, more: object = {}): object {
@@ -139,10 +139,10 @@
 
   /** Sends bytes as they are; what came back until the connection ended, or one whole reply of the router's own. */
   send(text: string): Promise<string> {
-    if (!this.isInMemory) return raws.sendRaw(this.server.port, text);
+    if (!this.isInMemory) return rawBytes.sendRaw(this.server.port, text);
     const [client, server] = memoryNet.MemorySocket.pair();
     // A server takes any stream as a connection that is handed to it so.
     (this.server as unknown as { server: nodeHttp.Server }).server.emit("connection", server);
-    return raws.talk(client, text);
+    return rawBytes.talk(client, text);
   }
 }
--- a/tests/sim/router-node.ts
+++ b/tests/sim/router-node.ts
@@ -6,7 +6,7 @@
 import * as link from "../../src/wire/link.js";
 import type * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as fleet from "./fleet.js";
+import * as simulatedNodes from "./simulated-nodes.js";
 import * as members from "./members.js";
 import * as networks from "./network.js";
 
@@ -28,7 +28,7 @@
   ) {
     const world = new networks.NodeWorld(network, name);
     const selector = new sessionSelector.SessionSelector(world, { name, region });
-    const describe = (): schema.NodeInfo => ({ ...fleet.nodeOf(name, "router", region, ""), isReady: this.gate.allows() });
+    const describe = (): schema.NodeInfo => ({ ...simulatedNodes.nodeOf(name, "router", region, ""), isReady: this.gate.allows() });
     this.dial = new members.MemberDialer(world, "", this.handlers, describe, link.LINK_TIMEOUT_MS, selector);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.gate = new serveGate.ServeGate(world, this.dial.controls, unconfirmedMs, () => (this.openedAt = network.clock.now()));
--- a/tests/tenancy.test.ts
+++ b/tests/tenant-gate.test.ts
@@ -7,7 +7,7 @@
 import type * as tenantSchema from "../src/wire/tenant-schema.js";
 import * as types from "../src/wire/types.js";
 import * as timers from "../src/runtime/timers.js";
-import * as edges from "./sim/edge.js";
+import * as routerEdge from "./sim/router-edge.js";
 
 /** One owner, whose replies a test decides. */
 class FakeOwner {
@@ -52,7 +52,7 @@
 const clock = new timers.SystemClock();
 let owner: FakeOwner;
 let tenancy: tenantGate.TenantGate;
-let edge: edges.Edge;
+let edge: routerEdge.Edge;
 
 function tenantOf(name: string, key: string, isLimited: boolean, homes: string[] = []): tenant.Tenant {
   return { name, keys: [digests.digestOf(key)], priority: null, isLimited, homes };
@@ -67,7 +67,7 @@
     [],
   );
   tenancy.applyConfiguration(types.small(1), table);
-  edge = await edges.Edge.start(clock, [{}], tenancy);
+  edge = await routerEdge.Edge.start(clock, [{}], tenancy);
   await new Promise(setImmediate);
 });
 
