--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -17,7 +17,7 @@
 
   constructor(private readonly clock: world.SimWorld) {}
 
-  silentMs(): number {
+  idleMs(): number {
     return this.clock.now() - this.receivedAt;
   }
 
@@ -88,7 +88,7 @@
     b.receiveSomething();
     fixture.members.expireSilent();
     expect(fixture.names("router")).toEqual(["b"]);
-    expect(a.silentMs()).toBeGreaterThan(TIMEOUT_MS);
+    expect(a.idleMs()).toBeGreaterThan(TIMEOUT_MS);
   });
 
   test("after the control node itself was frozen, all are silent and still no reply is empty", async () => {
--- a/tests/model/network.ts
+++ b/tests/model/network.ts
@@ -84,7 +84,7 @@
     return this as unknown as link.Link;
   }
 
-  silentMs(): number {
+  idleMs(): number {
     return this.network.clock.now() - this.heardMs;
   }
 
--- a/tests/model/node.ts
+++ b/tests/model/node.ts
@@ -185,7 +185,7 @@
     const dial = this.dial as dialer.Dialer;
     let held = this.links.get(peer.address);
     const isReached = this.network.isConnected(this.address, peer.address) && !peer.isFrozen;
-    if (held && (held.silentMs() > link.LINK_TIMEOUT_MS || held.generation !== peer.generation || !held.isOpen)) {
+    if (held && (held.idleMs() > link.LINK_TIMEOUT_MS || held.generation !== peer.generation || !held.isOpen)) {
       held.isOpen = false;
       this.links.delete(peer.address);
       dial.controls.delete(peer.address);
