--- a/src/feed/control-node.ts
+++ b/src/feed/control-node.ts
@@ -1,4 +1,4 @@
-// A link to a control node, and an address that may be one, as dialers and selectors see them (design 4.2).
+/** A control node with an open link, and an address to dial, as the dialer and the session selector see them (design 4.2). */
 import type * as link from "../wire/link.js";
 import type * as schema from "../wire/schema.js";
 
@@ -9,38 +9,38 @@
   feedIncarnation: string;
   link: link.Link;
   heartbeat: schema.Beat | null;
-  /** When the last beat came, or the hello, on the own clock. */
+  /** When the last heartbeat came, or the hello, on the own clock. */
   heartbeatAt: number;
-  /** What its hello said; isConfirmed() tells its newest word. */
+  /** Whether its hello said that it is confirmed; isConfirmed() uses the newest heartbeat. */
   wasConfirmed: boolean;
   /** How long its hello took, there and back, in milliseconds. */
   roundTripMs: number;
 }
 
-/** A control node's newest word tells of now for so long, in ms: two beats and their way. */
+/** A heartbeat describes the present for this long: two intervals and the transit time. */
 const HEARTBEAT_FRESH_MS = 700;
 
-/** Whether a word of the control node came lately; now: on the own clock. */
+/** Whether a heartbeat of the control node came lately; now: on the own clock. */
 export function isFresh(control: ControlNode, now: number): boolean {
   return now - control.heartbeatAt < HEARTBEAT_FRESH_MS;
 }
 
-/** Whether the control node said, by its newest word, that a majority of the voters confirmed it lately. */
+/** Whether its newest heartbeat says that a majority of the voters confirmed it lately. */
 export function isConfirmed(control: ControlNode): boolean {
   return control.heartbeat ? control.heartbeat.isSettled : control.wasConfirmed;
 }
 
-/** Whether its link is open and a word came lately. */
+/** Whether its link is open and a heartbeat came lately. */
 export function isAlive(control: ControlNode, now: number): boolean {
   return control.link.isOpen && isFresh(control, now);
 }
 
-/** Whether it is heard, and its newest word says that a majority confirmed it. */
+/** Whether it is alive and confirmed by a majority. */
 export function isAliveAndConfirmed(control: ControlNode, now: number): boolean {
   return isAlive(control, now) && isConfirmed(control);
 }
 
-/** Whether it said that it leaves. */
+/** Whether it announced that it shuts down. */
 export function isDraining(control: ControlNode): boolean {
   return control.heartbeat !== null && !control.heartbeat.isReady;
 }
--- a/src/feed/dialer.ts
+++ b/src/feed/dialer.ts
@@ -1,4 +1,4 @@
-// Keeps links to the known control nodes, to all or to those that a selector names: from the seeds, later from what is told (design 4.2).
+/** Keeps links to the known control nodes, to all of them or to those that a session selector chooses (design 4.2). */
 import * as events from "node:events";
 import * as calls from "../wire/calls.js";
 import * as link from "../wire/link.js";
@@ -12,25 +12,25 @@
 const CONNECT_TIMEOUT_MS = 900;
 const INITIAL_BACKOFF_MS = 150;
 const MAX_BACKOFF_MS = 1500;
-/** The same between control nodes, which are few: nothing is confirmed until a majority of them is in touch again (*ours*). */
+/** The maximum between control nodes, which are few: nothing is confirmed before a majority of them is in touch again (*ours*). */
 const MAX_PEER_BACKOFF_MS = 400;
-/** A dial of a control node under way for so long gets another beside it. */
+/** A dial that takes longer gets a second one beside it. */
 const STALE_DIAL_AFTER_MS = 400;
 const MAX_LINKS = 16;
-/** Retries of one that is not needed now. */
+/** The maximum for a control node that is not needed now. */
 const MAX_SPARE_BACKOFF_MS = 6000;
-/** A region whose control nodes were all silent for so long is cut off from here. */
+/** A region all of whose control nodes were silent for this long is taken for partitioned. */
 const PARTITIONED_AFTER_MS = 750;
 
 /** What happens to links with control nodes. */
 export interface DialerEvents {
   up: [control: ControlNode];
   down: [control: ControlNode];
-  /** A beat of it came. */
+  /** A heartbeat of it came. */
   heartbeat: [control: ControlNode];
 }
 
-/** What a dial came to. */
+/** The result of a successful dial and hello. */
 interface Handshake {
   link: link.Link;
   known: schema.Known;
@@ -39,8 +39,8 @@
 }
 
 /**
- * Keeps links to control nodes: dials known addresses, with pauses that grow after failures, and ends links that are
- * silent. Emits "up" after a hello, "beat" with each beat, "down" when a link has ended.
+ * Keeps links to control nodes: dials known addresses, with exponential backoff after failures, and ends silent links. Emits "up"
+ * after a hello, "heartbeat" with each heartbeat, "down" when a link has ended. `close` ends all links.
  */
 export class Dialer extends events.EventEmitter<DialerEvents> {
   readonly controls = new Map<string, ControlNode>();
@@ -58,7 +58,7 @@
     super();
   }
 
-  /** Hears of control nodes from those with links. */
+  /** Registers the handler of announced control nodes. */
   registerHandlers(handlers: link.Handlers): void {
     handlers.on(calls.controls, (_from, told) => {
       this.addControls(told.controls);
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Addresses that may be control nodes; the own one and known ones are passed over. */
+  /** Adds addresses that may be control nodes; the own one and known ones are ignored. */
   addAddresses(addresses: Iterable<string>): void {
     for (const address of addresses) {
       if (address === this.ownAddress || this.targets.has(address) || address === "") continue;
@@ -74,14 +74,14 @@
     }
   }
 
-  /** The node at the address has just reached this one: its dial waits for no pause, nor for an older dial without a reply. */
+  /** The node at the address has just reached this one: dials it without waiting for the backoff or for an older dial. */
   dialWithoutBackoff(address: string): void {
     this.addAddresses([address]);
     const target = this.targets.get(address);
     if (target && (target.state === "idle" || this.isStale(target))) this.startDial(address, target);
   }
 
-  /** Control nodes told of by others, with where they stand. */
+  /** Adds control nodes that others announced, with their regions. */
   addControls(controls: Iterable<schema.ControlInfo>): void {
     for (const { address, region } of controls) {
       this.addAddresses([address]);
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Whether a connection is tried in vain for so long that its first packet may be lost. */
+  /** Whether a connection attempt has taken so long that its first packet may be lost. */
   private isStale(target: DialTarget): boolean {
     return target.state === "dialing" && this.clock.now() - target.dialedAt >= STALE_DIAL_AFTER_MS;
   }
@@ -147,7 +147,7 @@
     void this.dial(address, target);
   }
 
-  /** Simulations hand in links of their own here. */
+  /** Overridden by simulations, which have links of their own. */
   protected connect(address: string): Promise<link.Link | null> {
     return link.connect(this.clock, address, this.handlers, CONNECT_TIMEOUT_MS);
   }
@@ -182,12 +182,12 @@
   }
 
   private backOff(target: DialTarget): void {
-    const mostMs = this.maxBackoffMs();
+    const maxMs = this.maxBackoffMs();
     target.state = "idle";
     target.failures += 1;
     this.selector?.clearDue(target);
-    target.notBefore = this.clock.now() + Math.min(mostMs, target.backoffMs) * (0.7 + 0.6 * this.clock.random());
-    target.backoffMs = Math.min(mostMs, target.backoffMs * 2);
+    target.notBefore = this.clock.now() + Math.min(maxMs, target.backoffMs) * (0.7 + 0.6 * this.clock.random());
+    target.backoffMs = Math.min(maxMs, target.backoffMs * 2);
   }
 
   private addControlNode(address: string, target: DialTarget, met: Handshake): void {
@@ -210,7 +210,7 @@
     };
     this.controls.set(address, control);
     this.addControls(known.controls);
-    made.once("end", this.removeControlNode.bind(this, control, target));
+    made.once("end", (cause) => this.removeControlNode(control, target, cause));
     log.state(`link: up to ${known.node.name}`);
     this.emit("up", control);
   }
@@ -224,7 +224,7 @@
     this.emit("down", control);
   }
 
-  /** A beat came over a link; one over a link that this side did not dial is passed over. */
+  /** Records a heartbeat; one over a link that this side did not dial is ignored. */
   receiveHeartbeat(from: link.Link, beat: schema.Beat): void {
     for (const control of this.controls.values()) {
       if (control.link !== from) continue;
@@ -235,7 +235,7 @@
     }
   }
 
-  /** Sends a beat to all control nodes with links. */
+  /** Sends a heartbeat to all control nodes with links. */
   sendHeartbeats(beat: schema.Beat): void {
     for (const control of this.controls.values()) control.link.send(calls.beat, beat);
   }
--- a/src/feed/feed-publisher.ts
+++ b/src/feed/feed-publisher.ts
@@ -1,13 +1,10 @@
-// The keyed feed, publisher's side (design 6.4, design/parts 1). The state is divided into topics, a topic
-// holds items (key -> body), and each follower gets the items of the topics that it follows, as they change.
-//
-//   publish(topic, items, stamp)   the whole topic; only what differs gets a new number and travels
-//   amend(topic, changes, stamp)   some items; a body of null takes one away
-//   follow(link, {place, topics})  per topic a mode: "items" (differences from what it holds, else a view), "notices"
-//                                  (stamp and digest only), "once" (as items, now and not again), "none"
-//
-// `place` is this life of the publisher; numbers count within a topic and a place. `stamp`: an epoch or a time in
-// milliseconds of the source's steady clock; it may move on without any item. The other side is mirror.ts.
+/**
+ * The publisher of the keyed feed (design 6.4, design/parts 1). The state is divided into topics, a topic holds items (key to
+ * body), and each subscriber receives the items of its topics as they change: deltas, or a snapshot (a "view" on the wire)
+ * where it is too far behind. Offsets count the changes of one topic within one incarnation of the publisher (`number` and
+ * `place` on the wire). A stamp is an epoch, or a time in milliseconds of the source's steady clock; it may advance without
+ * any change of items. feed-replica.ts applies the changes, feed-subscriber.ts requests them.
+ */
 import * as calls from "../wire/calls.js";
 import type * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
@@ -15,21 +12,23 @@
 import * as log from "../runtime/log.js";
 import * as keyedItems from "./keyed-items.js";
 
+/** Removed keys that are remembered for deltas; a subscriber that needs an older one gets a snapshot. */
 const MAX_TOMBSTONES = 512;
+/** Digests of earlier states by which subscribers of other publishers are recognized. */
 const MAX_KNOWN_DIGESTS = 64;
 
-/** How a topic is followed. */
+/** What a subscriber receives of a topic: deltas; stamps and digests alone; one reply and no more; nothing. */
 export type SubscriptionMode = "items" | "notices" | "once" | "none";
 
 class Topic {
   readonly items = new keyedItems.KeyedItems();
-  /** The number of each item's last change, oldest first. */
+  /** The offset of each item's last change, oldest first. */
   private readonly offsets = new Map<string, number>();
   private readonly tombstones = new Map<string, number>();
-  /** Which number a digest was last seen at: differences for those who come from another source. */
+  /** The offset at which a digest was last seen, so that subscribers of another publisher can be sent deltas. */
   private readonly offsetsByDigest = new Map<types.Digest, number>();
   private packedSnapshot: ReturnType<typeof keyedItems.packChanges> | null = null;
-  /** Differences can be told from here on. */
+  /** Deltas can be made from this offset on. */
   private oldestOffset = 0;
   offset = 0;
   stamp: types.Stamp = types.small(Number.NEGATIVE_INFINITY);
@@ -61,7 +60,7 @@
     }
   }
 
-  /** The number from which a follower lacks items; null when only a view will do. */
+  /** The offset up to which the subscriber holds the topic; null when it needs a snapshot. */
   offsetToResumeFrom(place: string, own: string, wanted: schema.Wanted): number | null {
     const isOwn = place === own && wanted.from > 0 && wanted.from <= this.offset;
     const from = isOwn ? wanted.from : this.offsetsByDigest.get(wanted.digest);
@@ -75,31 +74,33 @@
     return changes;
   }
 
-  /** Packed once for all that ask. */
+  /** All items, packed once for all subscribers. */
   snapshot(): ReturnType<typeof keyedItems.packChanges> {
     this.packedSnapshot ??= keyedItems.packChanges(this.items.bodies());
     return this.packedSnapshot;
   }
 }
 
-/** The topics of one control node, and who follows them. */
+/** The topics of one control node, and their subscribers. */
 export class FeedPublisher {
   private readonly topics = new Map<string, Topic>();
   private readonly subscribers = new Map<link.Link, Map<string, SubscriptionMode>>();
 
   constructor(readonly incarnation: string) {}
 
+  /** Replaces all items of the topic; only those that differ are sent. */
   publishSnapshot(topic: string, items: ReadonlyMap<string, Buffer>, stamp: types.Stamp): void {
-    const held = this.topics.get(topic);
-    this.applyPlan(topic, (held?.items ?? new keyedItems.KeyedItems()).planSnapshot(items), stamp);
+    const current = this.topics.get(topic);
+    this.applyPlan(topic, (current?.items ?? new keyedItems.KeyedItems()).planSnapshot(items), stamp);
   }
 
+  /** Changes some items of the topic; a body of null removes its item. */
   publishChanges(topic: string, changes: keyedItems.Changes, stamp: types.Stamp): void {
-    const held = this.topics.get(topic);
-    this.applyPlan(topic, (held?.items ?? new keyedItems.KeyedItems()).plan(changes), stamp);
+    const current = this.topics.get(topic);
+    this.applyPlan(topic, (current?.items ?? new keyedItems.KeyedItems()).plan(changes), stamp);
   }
 
-  /** The one place where a topic changes, and where it is told. */
+  /** Applies a change to the topic and sends it to the subscribers; all changes pass here. */
   private applyPlan(name: string, plan: keyedItems.ChangePlan, stamp: types.Stamp): void {
     let topic = this.topics.get(name);
     if (topic && keyedItems.isEmpty(plan) && stamp <= topic.stamp) return;
@@ -110,10 +111,10 @@
     const base = topic.items.digest;
     topic.apply(plan, stamp);
     const change = this.changeMessage(name, topic, base, false, keyedItems.packChanges(keyedItems.changesOf(plan)));
-    for (const [follower, modes] of this.subscribers) {
+    for (const [subscriber, modes] of this.subscribers) {
       const mode = modes.get(name);
-      if (mode === "items") this.sendChange(follower, change);
-      else if (mode === "notices") this.sendNotice(follower, name, topic);
+      if (mode === "items") this.sendChange(subscriber, change);
+      else if (mode === "notices") this.sendNotice(subscriber, name, topic);
     }
   }
 
@@ -136,14 +137,14 @@
     };
   }
 
-  private sendChange(follower: link.Link, change: schema.Change): void {
+  private sendChange(subscriber: link.Link, change: schema.Change): void {
     log.count(change.isView ? "feed.view" : "feed.difference");
     log.count("feed.item_bytes", change.items.length);
-    follower.send(calls.change, change);
+    subscriber.send(calls.change, change);
   }
 
-  private sendNotice(follower: link.Link, name: string, topic: Topic): void {
-    follower.send(calls.notice, {
+  private sendNotice(subscriber: link.Link, name: string, topic: Topic): void {
+    subscriber.send(calls.notice, {
       place: this.incarnation,
       topic: name,
       number: topic.offset,
@@ -152,7 +153,7 @@
     });
   }
 
-  /** Answers those who follow topics. */
+  /** Registers the handler of subscriptions. */
   registerHandlers(handlers: link.Handlers): void {
     handlers.on(calls.follow, (from, ask) => {
       this.subscribe(from, ask);
@@ -160,12 +161,13 @@
     });
   }
 
-  subscribe(follower: link.Link, ask: schema.Follow): void {
-    let modes = this.subscribers.get(follower);
+  /** Sets what the subscriber receives, and sends at once what it lacks of each topic. */
+  subscribe(subscriber: link.Link, ask: schema.Follow): void {
+    let modes = this.subscribers.get(subscriber);
     if (!modes) {
       modes = new Map();
-      this.subscribers.set(follower, modes);
-      follower.once("end", this.removeSubscriber.bind(this, follower));
+      this.subscribers.set(subscriber, modes);
+      subscriber.once("end", () => this.removeSubscriber(subscriber));
     }
     for (const wanted of ask.topics) {
       const mode = wanted.mode as SubscriptionMode;
@@ -173,24 +175,24 @@
       else if (mode !== "once") modes.set(wanted.topic, mode);
       const topic = this.topics.get(wanted.topic);
       if (!topic || mode === "none") continue;
-      if (mode === "notices") this.sendNotice(follower, wanted.topic, topic);
-      else this.sendChange(follower, this.missingChange(ask.place, wanted, topic));
+      if (mode === "notices") this.sendNotice(subscriber, wanted.topic, topic);
+      else this.sendChange(subscriber, this.missingChange(ask.place, wanted, topic));
     }
   }
 
-  /** What the follower lacks, or all. */
+  /** What the subscriber lacks as a delta, or a snapshot. */
   private missingChange(place: string, wanted: schema.Wanted, topic: Topic): schema.Change {
     const from = topic.offsetToResumeFrom(place, this.incarnation, wanted);
     if (from === null) return this.changeMessage(wanted.topic, topic, keyedItems.EMPTY_DIGEST, true, topic.snapshot());
     return this.changeMessage(wanted.topic, topic, wanted.digest, false, keyedItems.packChanges(topic.changesSince(from)));
   }
 
-  /** Who follows the items of the topic. */
+  /** The links of those who receive the items of the topic. */
   *subscribersOf(topic: string): Generator<link.Link> {
-    for (const [follower, modes] of this.subscribers) if (modes.get(topic) === "items") yield follower;
+    for (const [subscriber, modes] of this.subscribers) if (modes.get(topic) === "items") yield subscriber;
   }
 
-  private removeSubscriber(follower: link.Link): void {
-    this.subscribers.delete(follower);
+  private removeSubscriber(subscriber: link.Link): void {
+    this.subscribers.delete(subscriber);
   }
 }
--- a/src/feed/feed-replica.ts
+++ b/src/feed/feed-replica.ts
@@ -1,15 +1,14 @@
-// The keyed feed, follower's side (design/parts 1.4): what is held of each topic. A change becomes visible
-// whole or not at all, after its digest has proved it, whichever source it comes from.
-//
-//   take(change) -> applied (what changed and what is gone, also for a view), known, stale, gap, mismatch
-//   wanted(topic, mode) -> what to ask a source for after a gap; wantedView(topic) after a mismatch
+/**
+ * The subscriber's replica of the feed's topics (design/parts 1.4). A change becomes visible as a whole or not at all, after
+ * its digest has proved it, whichever publisher it comes from.
+ */
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
 import type * as feedPublisher from "./feed-publisher.js";
 import * as keyedItems from "./keyed-items.js";
 
-/** A change that was taken. */
+/** A change that was applied: the new bodies, and the keys of removed items. */
 export interface AppliedChange {
   kind: "applied";
   topic: string;
@@ -19,7 +18,7 @@
   isFirst: boolean;
 }
 
-/** What became of a change. */
+/** Result of a change; after a `gap` a delta from the current state is needed, after a `mismatch` a snapshot. */
 export type Outcome = AppliedChange | { kind: "known" | "stale" | "gap" | "mismatch" };
 
 interface TopicState {
@@ -29,11 +28,11 @@
   stamp: types.Stamp;
 }
 
-/** A follower's copy of its topics. */
+/** The replica of all topics that one process subscribes to. */
 export class FeedReplica {
   private readonly topics = new Map<string, TopicState>();
 
-  /** `ordered`: topics whose stamps mean the same at every source; these never go back. */
+  /** `ordered`: topics whose stamps mean the same at every publisher; these never go back. */
   constructor(private readonly ordered: ReadonlySet<string>) {}
 
   has(topic: string): boolean {
@@ -56,50 +55,53 @@
     return this.topics.get(topic)?.items.bodies() ?? new Map<string, Buffer>();
   }
 
-  /** Place of the last change; a source only believes numbers of its own place. */
+  /** Incarnation of the publisher of the last change; offsets are valid within it alone. */
   incarnation(topic: string): string {
     return this.topics.get(topic)?.incarnation ?? "";
   }
 
+  /** Requests what this replica lacks of the topic: a delta where the publisher can make one. */
   subscription(topic: string, mode: feedPublisher.SubscriptionMode, place: string): schema.Wanted {
-    const held = this.topics.get(topic);
-    return { topic, mode, from: held && held.incarnation === place ? held.offset : 0, digest: this.digest(topic) };
+    const current = this.topics.get(topic);
+    return { topic, mode, from: current && current.incarnation === place ? current.offset : 0, digest: this.digest(topic) };
   }
 
+  /** Requests a snapshot of the topic. */
   snapshotSubscription(topic: string, mode: feedPublisher.SubscriptionMode): schema.Wanted {
     return { topic, mode, from: 0, digest: types.small("") };
   }
 
-  /** The keys of what was held. */
+  /** Drops the topic; returns the keys of its items. */
   remove(topic: string): string[] {
     const keys = [...(this.topics.get(topic)?.items.keys() ?? [])];
     this.topics.delete(topic);
     return keys;
   }
 
+  /** Applies a change if its digest proves it; nothing is visible of one that is not applied. */
   applyChange(change: schema.Change): Outcome {
-    const held = this.topics.get(change.topic);
+    const current = this.topics.get(change.topic);
     const isOrdered = this.ordered.has(change.topic);
-    const items = held?.items ?? new keyedItems.KeyedItems();
-    if (held && change.digest === items.digest) return this.updateStamp(held, change, isOrdered);
-    if (held && isOrdered && change.stamp <= held.stamp) return { kind: "stale" };
+    const items = current?.items ?? new keyedItems.KeyedItems();
+    if (current && change.digest === items.digest) return this.updateStamp(current, change, isOrdered);
+    if (current && isOrdered && change.stamp <= current.stamp) return { kind: "stale" };
     if (!change.isView && change.base !== items.digest) return this.reject("gap");
     const plan = this.planChange(items, change);
     if (plan?.digest !== change.digest) return this.reject("mismatch");
     items.apply(plan);
     this.topics.set(change.topic, { items, incarnation: change.place, offset: change.number, stamp: change.stamp });
-    return { kind: "applied", topic: change.topic, stamp: change.stamp, changed: plan.changed, removed: plan.removed, isFirst: !held };
+    return { kind: "applied", topic: change.topic, stamp: change.stamp, changed: plan.changed, removed: plan.removed, isFirst: !current };
   }
 
-  /** The same items: the stamp may have moved on, or another source may have caught up. */
-  private updateStamp(held: TopicState, change: schema.Change, isOrdered: boolean): Outcome {
-    const isNews = change.stamp > held.stamp;
-    if (isNews || !isOrdered) {
-      held.stamp = change.stamp;
-      held.incarnation = change.place;
-      held.offset = change.number;
+  /** The items are the same: the stamp may have advanced, or another publisher may have caught up. */
+  private updateStamp(current: TopicState, change: schema.Change, isOrdered: boolean): Outcome {
+    const isNewer = change.stamp > current.stamp;
+    if (isNewer || !isOrdered) {
+      current.stamp = change.stamp;
+      current.incarnation = change.place;
+      current.offset = change.number;
     }
-    return isNews && isOrdered
+    return isNewer && isOrdered
       ? { kind: "applied", topic: change.topic, stamp: change.stamp, changed: new Map(), removed: [], isFirst: false }
       : { kind: "known" };
   }
--- a/src/feed/feed-subscriber.ts
+++ b/src/feed/feed-subscriber.ts
@@ -1,6 +1,8 @@
-// The router's side of the feed (design 6.4, design/parts 3): one control node followed for the items of all
-// wanted topics, the others for notices of the register alone. A notice of more than the main one brings in time is
-// asked for where it came from; never backwards.
+/**
+ * A router's subscriptions to the feed (design 6.4, design/parts 3). One control node, the primary, sends the items of all
+ * topics; the others send notices of the register alone. When a notice announces a state that the primary does not deliver in
+ * time, the subscriber requests it from the sender of the notice. The configuration never goes back.
+ */
 import * as calls from "../wire/calls.js";
 import * as link from "../wire/link.js";
 import * as schema from "../wire/schema.js";
@@ -11,23 +13,26 @@
 import * as feedTopics from "./feed-topics.js";
 import * as feedReplica from "./feed-replica.js";
 
+/** A control node without a heartbeat for longer ranks after all others. */
 const HEARTBEAT_FRESH_MS = 1300;
+/** The primary has this long to deliver what another control node announced. */
 const LATE_CHECK_DELAY_MS = 150;
+/** Interval between requests to one announcing control node after the other. */
 const LATE_CHECK_INTERVAL_MS = 500;
 const GAP_REPAIR_DELAY_MS = 20;
 const MISMATCH_REPAIR_DELAY_MS = 500;
 
-/** Takes what a follower has applied. */
+/** Receives what the subscriber has applied. */
 export interface FeedListener {
-  /** What changed and what is gone of one topic, proved whole. */
+  /** A verified change of one topic has been applied to the replica. */
   onChange(applied: feedReplica.AppliedChange): void;
-  /** A topic is followed no longer; these were its items. */
+  /** A topic is no longer subscribed to; these were the keys of its items. */
   onUnsubscribe(topic: string, keys: readonly string[]): void;
 }
 
 /**
- * Keeps a mirror of the followed topics, all from one control node (`main`), and moves to another when that is better:
- * heard lately first, then confirmed by a majority, then of the own region.
+ * Keeps a replica of the subscribed topics from one control node (`primary`), and moves to another when that is better: a recent
+ * heartbeat counts first, then confirmation by a majority, then the own region.
  */
 export class FeedSubscriber {
   primary: controlNode.ControlNode | null = null;
@@ -45,11 +50,11 @@
     private readonly topics: () => Iterable<string>,
     private readonly listener: FeedListener,
   ) {
-    handlers.on(calls.change, this.receiveChange.bind(this));
-    handlers.on(calls.notice, this.receiveNotice.bind(this));
-    handlers.on(calls.beat, this.receiveHeartbeat.bind(this));
-    dial.on("up", this.addControlNode.bind(this));
-    dial.on("down", this.removeControlNode.bind(this));
+    handlers.on(calls.change, (from, change) => this.receiveChange(from, change));
+    handlers.on(calls.notice, (from, notice) => this.receiveNotice(from, notice));
+    handlers.on(calls.beat, (from, heartbeat) => this.receiveHeartbeat(from, heartbeat));
+    dial.on("up", (control) => this.addControlNode(control));
+    dial.on("down", (control) => this.removeControlNode(control));
   }
 
   private addControlNode(control: controlNode.ControlNode): void {
@@ -67,8 +72,8 @@
     control.link.send(calls.follow, { place: control.feedIncarnation, topics });
   }
 
-  private receiveHeartbeat(from: link.Link, beat: schema.Beat): null {
-    this.dial.receiveHeartbeat(from, beat);
+  private receiveHeartbeat(from: link.Link, heartbeat: schema.Beat): null {
+    this.dial.receiveHeartbeat(from, heartbeat);
     return null;
   }
 
@@ -78,13 +83,13 @@
 
   private rankOf(control: controlNode.ControlNode): number {
     let rank = control.node.region === this.region ? 0 : 1;
-    // One that no majority confirmed lately says so: others come first.
+    // A control node that no majority confirmed lately says so in its heartbeat: others come first.
     if (!controlNode.isConfirmed(control)) rank += 4;
     if (!this.isFresh(control)) rank += 8;
     return rank;
   }
 
-  /** Follows the best control node; moves only when another is better by rank, and then asks for differences. */
+  /** Subscribes to the best control node; moves only when another ranks better, and then requests deltas. */
   selectPrimary(): void {
     let best: controlNode.ControlNode | null = this.primary;
     for (const control of this.dial.controls.values()) {
@@ -105,31 +110,31 @@
     this.requestTopics(control, topics);
   }
 
-  /** Follows what is wanted by now, and no longer what is not. */
+  /** Adds and drops subscriptions by the topics that are needed now. */
   updateSubscriptions(): void {
     this.resubscribe(this.subscribed);
   }
 
-  /** `told`: what the main control node knows to be followed. */
-  private resubscribe(told: ReadonlySet<string>): void {
+  /** `known`: the topics that the primary already sends. */
+  private resubscribe(known: ReadonlySet<string>): void {
     const { primary: main, replica: mirror } = this;
     if (!main) return;
-    const wanted = new Set([feedTopics.REGISTER_TOPIC, ...this.topics()]);
+    const needed = new Set([feedTopics.REGISTER_TOPIC, ...this.topics()]);
     const topics: schema.Wanted[] = [];
-    for (const topic of wanted) if (!told.has(topic)) topics.push(mirror.subscription(topic, "items", main.feedIncarnation));
+    for (const topic of needed) if (!known.has(topic)) topics.push(mirror.subscription(topic, "items", main.feedIncarnation));
     for (const topic of this.subscribed) {
-      if (wanted.has(topic)) continue;
-      if (told.has(topic)) topics.push(mirror.subscription(topic, "none", main.feedIncarnation));
+      if (needed.has(topic)) continue;
+      if (known.has(topic)) topics.push(mirror.subscription(topic, "none", main.feedIncarnation));
       const keys = mirror.remove(topic);
       this.listener.onUnsubscribe(topic, keys);
     }
-    this.subscribed = wanted;
+    this.subscribed = needed;
     if (topics.length > 0) this.requestTopics(main, topics);
   }
 
-  /** Whether each wanted topic of a kind has had its first view. */
-  hasAllTopics(isAsked: (topic: string) => boolean): boolean {
-    for (const topic of this.topics()) if (isAsked(topic) && !this.replica.has(topic)) return false;
+  /** Whether the first snapshot of each needed topic of a kind has come. */
+  hasAllTopics(isIncluded: (topic: string) => boolean): boolean {
+    for (const topic of this.topics()) if (isIncluded(topic) && !this.replica.has(topic)) return false;
     return true;
   }
 
@@ -140,7 +145,7 @@
 
   private receiveChange(from: link.Link, change: schema.Change): null {
     const { topic } = change;
-    // The register may come from any; of the rest the main one's word counts.
+    // The register may come from any control node, all other topics from the primary alone.
     if (topic !== feedTopics.REGISTER_TOPIC && (this.primary?.link !== from || !this.subscribed.has(topic))) return null;
     const outcome = this.replica.applyChange(change);
     if (outcome.kind === "applied") this.listener.onChange(outcome);
@@ -148,21 +153,21 @@
     return null;
   }
 
-  /** After a gap what is missing, after a mismatch all; one question at a time for each topic. */
-  private scheduleRepair(from: link.Link, topic: string, isAll: boolean): void {
+  /** Requests a delta after a gap, a snapshot after a mismatch; one request at a time for each topic. */
+  private scheduleRepair(from: link.Link, topic: string, needsSnapshot: boolean): void {
     if (this.pendingRequests.has(topic)) return;
     this.pendingRequests.add(topic);
-    const repair = this.again.bind(this, from, topic, isAll);
-    this.clock.schedule(isAll ? MISMATCH_REPAIR_DELAY_MS : GAP_REPAIR_DELAY_MS, repair);
+    const delayMs = needsSnapshot ? MISMATCH_REPAIR_DELAY_MS : GAP_REPAIR_DELAY_MS;
+    this.clock.schedule(delayMs, () => this.repair(from, topic, needsSnapshot));
   }
 
-  private again(from: link.Link, topic: string, isAll: boolean): void {
+  private repair(from: link.Link, topic: string, needsSnapshot: boolean): void {
     this.pendingRequests.delete(topic);
     const control = this.controlOf(from);
     if (!control) return;
     const mode = control === this.primary && this.subscribed.has(topic) ? "items" : "once";
     this.requestTopics(control, [
-      isAll ? this.replica.snapshotSubscription(topic, mode) : this.replica.subscription(topic, mode, control.feedIncarnation),
+      needsSnapshot ? this.replica.snapshotSubscription(topic, mode) : this.replica.subscription(topic, mode, control.feedIncarnation),
     ]);
   }
 
@@ -177,19 +182,18 @@
   private scheduleLateCheck(ms: number): void {
     if (this.isLateCheckScheduled) return;
     this.isLateCheckScheduled = true;
-    const requestLateRegister = this.late.bind(this);
-    this.clock.schedule(ms, requestLateRegister);
+    this.clock.schedule(ms, () => this.requestLateRegister());
   }
 
-  /** The main control node has not brought what another noticed: that one is asked, later the next one. */
-  private late(): void {
+  /** The primary has not delivered what another control node announced: requests it from that one, later from the next. */
+  private requestLateRegister(): void {
     this.isLateCheckScheduled = false;
-    const held = this.replica.stamp(feedTopics.REGISTER_TOPIC);
+    const current = this.replica.stamp(feedTopics.REGISTER_TOPIC);
     for (const [control, stamp] of this.noticedStamps) {
-      if (stamp <= held || !control.link.isOpen) continue;
+      if (stamp <= current || !control.link.isOpen) continue;
       log.count("feed.late");
       this.requestTopics(control, [this.replica.subscription(feedTopics.REGISTER_TOPIC, "once", control.feedIncarnation)]);
-      // It goes to the end: each is asked in turn.
+      // It moves to the end, so that each is asked in turn.
       this.noticedStamps.delete(control);
       this.noticedStamps.set(control, stamp);
       this.scheduleLateCheck(LATE_CHECK_INTERVAL_MS);
--- a/src/feed/item-hash.ts
+++ b/src/feed/item-hash.ts
@@ -1,5 +1,7 @@
-// A hash of key and body in two lanes of 32 bits (design/parts 2): it proves that two sides hold the same,
-// against lost and mixed-up changes, not against malice.
+/**
+ * A hash of key and body in two lanes of 32 bits (design/parts 2). It proves that two sides hold the same items, against lost
+ * and mixed-up changes, not against malice.
+ */
 
 const HIGH_LANE_PRIME = 0x9e3779b1;
 const LOW_LANE_PRIME = 0x5f356495;
--- a/src/feed/keyed-items.ts
+++ b/src/feed/keyed-items.ts
@@ -1,4 +1,4 @@
-// Keyed items of one topic with a digest that costs only what changes (design/parts 2).
+/** Keyed items of one topic with a digest that is updated at the cost of what changes (design/parts 2). */
 import * as zlib from "node:zlib";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
@@ -13,10 +13,10 @@
   low: number;
 }
 
-/** A body of null is an item that is gone. */
+/** New bodies by key; null removes the item. */
 export type Changes = ReadonlyMap<string, Buffer | null>;
 
-/** What a set of changes comes to; nothing is in force before `apply`. */
+/** The effect of a set of changes; nothing is visible before `apply`. */
 export interface ChangePlan {
   changed: Map<string, Buffer>;
   removed: string[];
@@ -29,16 +29,16 @@
 function makeItem(key: string, body: Buffer): Item {
   const [high, low] = itemHash.hashItem(key, body);
   // A copy of its own: a body kept for long must not hold on to the large buffer it was cut from.
-  const kept = Buffer.allocUnsafeSlow(body.length);
-  body.copy(kept);
-  return { body: kept, high, low };
+  const ownBody = Buffer.allocUnsafeSlow(body.length);
+  body.copy(ownBody);
+  return { body: ownBody, high, low };
 }
 
 function formatDigest(high: number, low: number): types.Digest {
   return types.small(high.toString(16).padStart(8, "0") + low.toString(16).padStart(8, "0"));
 }
 
-/** Of no items. */
+/** The digest of no items. */
 export const EMPTY_DIGEST = formatDigest(0, 0);
 
 /** Items by key, with their digest kept up to date. */
@@ -90,9 +90,9 @@
     return plan;
   }
 
-  /** As `plan`, for a view: what it does not hold is gone. */
-  planSnapshot(whole: Changes): ChangePlan {
-    const changes = new Map<string, Buffer | null>(whole);
+  /** As `plan`, for a snapshot: items that it does not contain are removed. */
+  planSnapshot(snapshot: Changes): ChangePlan {
+    const changes = new Map<string, Buffer | null>(snapshot);
     for (const key of this.items.keys()) if (!changes.has(key)) changes.set(key, null);
     return this.plan(changes);
   }
@@ -111,7 +111,7 @@
   return plan.changed.size === 0 && plan.removed.length === 0;
 }
 
-/** Items as they travel: packed where that is worth it. */
+/** Items as they are sent: compressed where that is worth it. */
 export function packChanges(changes: Changes): { isPacked: boolean; items: Buffer } {
   const items: schema.Item[] = [];
   for (const [key, body] of changes) items.push({ key, body });
@@ -120,7 +120,7 @@
   return { isPacked: true, items: zlib.deflateRawSync(plain, { level: COMPRESSION_LEVEL }) };
 }
 
-/** The changes of a frame; null: the item is gone. */
+/** The changes of a message; null removes the item. */
 export function unpackChanges(change: schema.Change): Map<string, Buffer | null> {
   const { items } = schema.items.fromBuffer(change.isPacked ? zlib.inflateRawSync(change.items) : change.items);
   const changes = new Map<string, Buffer | null>();
@@ -128,7 +128,7 @@
   return changes;
 }
 
-/** The changes of a plan, ready to travel. */
+/** The changes of a plan, ready to be packed. */
 export function changesOf(plan: ChangePlan): Map<string, Buffer | null> {
   const changes = new Map<string, Buffer | null>(plan.changed);
   for (const key of plan.removed) changes.set(key, null);
--- a/src/feed/session-selector.ts
+++ b/src/feed/session-selector.ts
@@ -1,22 +1,22 @@
-// Which few control nodes a router holds sessions with, and when it dials or releases one (design/members 2, 3).
+/** Chooses the few control nodes that a router has sessions with, and when it dials or releases one (design/members 2, 3). */
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
 import * as textHash from "../limits/text-hash.js";
 import type * as controlNode from "./control-node.js";
 
-/** Control nodes that a router holds sessions with. */
+/** The number of control nodes that a router has sessions with. */
 export const MAX_SESSIONS = 3;
-/** Fewer than these left: a replacement is dialled at once. */
+/** With fewer usable sessions a replacement is dialled at once. */
 const MIN_SESSIONS = 2;
 const MAX_REPLACE_DELAY_MS = 600;
 const MAX_REBALANCE_DELAY_MS = 4000;
 const MIN_RELEASE_DELAY_MS = 1000;
 const SILENCE_TIMEOUT_MS = 1200;
-/** A turn so late says that this process stood still, not that others are silent. */
+/** A plan so late means that this process was suspended, not that the others were silent. */
 const LATE_PLAN_MS = 400;
-/** A dial that takes longer is not waited for: another is tried beside it. */
+/** A dial that takes longer is not waited for: another control node is dialled beside it. */
 const SLOW_DIAL_MS = 500;
-/** At the start no regions are known: seeds are tried one after the other, so long apart, until one replies. */
+/** At the start no regions are known: seeds are dialled one after the other at this interval until one replies. */
 const SEED_INTERVAL_MS = 150;
 
 const NOT_DUE = 0;
@@ -24,10 +24,10 @@
 const TO_REPLACE = 2;
 const AT_ONCE = 3;
 
-/** Where a control node stands. */
+/** A control node that may be chosen. */
 export interface Candidate {
   address: string;
-  /** "" when not met yet. */
+  /** "" until its first hello. */
   region: string;
 }
 
@@ -37,46 +37,37 @@
   region: string;
 }
 
-/** Weighted rendezvous: the place with the highest score; each gets its part by weight (design/members 2). */
-function scoreOf(self: Self, place: Candidate, weight: number): number {
-  const part = (textHash.hashText(`${self.name}\n${place.address}`) + 0.5) / 2 ** 32;
-  return -weight / Math.log(part);
+/** Score of weighted rendezvous hashing: the candidates with the highest ones are chosen, in proportion to weight (design/members 2). */
+function scoreOf(self: Self, candidate: Candidate, weight: number): number {
+  const fraction = (textHash.hashText(`${self.name}\n${candidate.address}`) + 0.5) / 2 ** 32;
+  return -weight / Math.log(fraction);
 }
 
 /**
- * The own region's best, the best of another region, then the best of the rest, up to MAX_SESSIONS. Weights come from all that
- * are known, usable or not: one that is lost then moves nobody but those that held it.
+ * The best candidate of the own region, the best of another region, then the best of the rest, up to MAX_SESSIONS. Weights
+ * come from all known candidates, usable or not, so that the loss of one moves only the routers that had sessions with it.
  */
-export function chooseControls(places: readonly Candidate[], self: Self, known: readonly Candidate[] = places): Set<string> {
-  const ranked = rank(places, self, known);
+export function chooseControls(candidates: readonly Candidate[], self: Self, known: readonly Candidate[] = candidates): Set<string> {
+  const ranked = rank(candidates, self, known);
   const chosen = new Set<string>();
-  const own = ranked.find(isOwn);
+  const own = ranked.find((candidate) => candidate.region === self.region);
   if (own) chosen.add(own.address);
-  const other = ranked.find(isOther);
+  const other = ranked.find((candidate) => candidate.region !== self.region && candidate.region !== "");
   if (other) chosen.add(other.address);
   for (const { address } of ranked) if (chosen.size < MAX_SESSIONS) chosen.add(address);
   return chosen;
-  function isOwn(place: Candidate): boolean {
-    return place.region === self.region;
-  }
-  function isOther(place: Candidate): boolean {
-    return place.region !== self.region && place.region !== "";
-  }
 }
 
-/** All routers of a region hold its control nodes: those of small regions get less from routers of elsewhere. */
-function rank(places: readonly Candidate[], self: Self, known: readonly Candidate[]): Candidate[] {
+/** All routers of a region have sessions with its control nodes, so those of small regions get fewer routers of other regions. */
+function rank(candidates: readonly Candidate[], self: Self, known: readonly Candidate[]): Candidate[] {
   const counts = new Map<string, number>();
   for (const { region } of known) counts.set(region, (counts.get(region) ?? 0) + 1);
   const isWeighed = counts.has(self.region);
   const scores = new Map<Candidate, number>();
-  for (const place of places) {
-    scores.set(place, scoreOf(self, place, isWeighed && place.region !== "" ? counts.get(place.region)! : 1));
-  }
-  return [...places].sort(byScore);
-  function byScore(left: Candidate, right: Candidate): number {
-    return scores.get(right)! - scores.get(left)!;
+  for (const candidate of candidates) {
+    scores.set(candidate, scoreOf(self, candidate, isWeighed && candidate.region !== "" ? counts.get(candidate.region)! : 1));
   }
+  return [...candidates].sort((left, right) => scores.get(right)! - scores.get(left)!);
 }
 
 /** Chooses which control nodes one router holds sessions with. */
@@ -84,7 +75,7 @@
   private releaseAt = Infinity;
   private plannedAt = -Infinity;
   private startedAt = -1;
-  /** Enough good ones are held: what else is known may wait. */
+  /** Whether enough sessions are usable: all other dials may wait. */
   hasEnoughSessions = false;
 
   constructor(
@@ -92,7 +83,7 @@
     private readonly self: Self,
   ) {}
 
-  /** One that says it is not settled, or is silent, does not count toward its sessions. */
+  /** A control node that is unconfirmed or silent does not count as a session. */
   private isUsable(control: controlNode.ControlNode, isLate: boolean): boolean {
     return this.isResponsive(control, isLate) && (!control.heartbeat || control.heartbeat.isSettled);
   }
@@ -101,20 +92,20 @@
     return control.link.isOpen && (isLate || control.link.idleMs() < SILENCE_TIMEOUT_MS);
   }
 
-  /** Sets when each target is due to be dialled; releases those that are held beyond what it needs. */
+  /** Sets when each target is due to be dialled; releases sessions beyond the chosen ones. */
   planDials(targets: ReadonlyMap<string, controlNode.DialTarget>, controls: ReadonlyMap<string, controlNode.ControlNode>): void {
     const now = this.clock.now();
     const isLate = now - this.plannedAt > LATE_PLAN_MS;
     this.plannedAt = now;
     const all: Candidate[] = [];
     const counted: Candidate[] = [];
-    let good = 0;
+    let usable = 0;
     for (const [address, target] of targets) {
       const control = controls.get(address);
-      const place = { address, region: target.region };
-      all.push(place);
-      if (control && this.isUsable(control, isLate)) good += 1;
-      if (control ? this.isUsable(control, isLate) : isFresh(target, now)) counted.push(place);
+      const candidate = { address, region: target.region };
+      all.push(candidate);
+      if (control && this.isUsable(control, isLate)) usable += 1;
+      if (control ? this.isUsable(control, isLate) : isFresh(target, now)) counted.push(candidate);
     }
     if (!all.some(hasKnownRegion)) {
       this.planFirstDials(all, targets);
@@ -123,20 +114,20 @@
     const goal = chooseControls(counted, this.self, all);
     const isShort = goal.size < Math.min(MAX_SESSIONS, all.length);
     const ideal = chooseControls(all, this.self);
-    this.hasEnoughSessions = good >= MAX_SESSIONS;
-    const urgency = good < MIN_SESSIONS ? AT_ONCE : good < MAX_SESSIONS ? TO_REPLACE : TO_REBALANCE;
+    this.hasEnoughSessions = usable >= MAX_SESSIONS;
+    const urgency = usable < MIN_SESSIONS ? AT_ONCE : usable < MAX_SESSIONS ? TO_REPLACE : TO_REBALANCE;
     for (const [address, target] of targets) {
-      const isWanted = isShort || goal.has(address) || ideal.has(address);
-      if (target.state === "idle") this.setDue(target, isWanted ? urgency : NOT_DUE);
+      const isChosen = isShort || goal.has(address) || ideal.has(address);
+      if (target.state === "idle") this.setDue(target, isChosen ? urgency : NOT_DUE);
     }
     this.release(targets, controls, new Set([...goal, ...ideal]), !isShort && isAllUp(goal, controls));
   }
 
-  /** Nobody was met yet: whoever replies first tells of all the others. */
+  /** No control node was met yet: the first one that replies announces all others. */
   private planFirstDials(all: readonly Candidate[], targets: ReadonlyMap<string, controlNode.DialTarget>): void {
     if (this.startedAt < 0) this.startedAt = this.clock.now();
-    for (const [index, place] of rank(all, this.self, all).entries()) {
-      const target = targets.get(place.address)!;
+    for (const [index, candidate] of rank(all, this.self, all).entries()) {
+      const target = targets.get(candidate.address)!;
       if (target.state === "idle") target.dueAt = this.startedAt + index * SEED_INTERVAL_MS;
     }
   }
@@ -149,14 +140,14 @@
     }
     if (urgency <= target.urgency) return;
     const now = this.clock.now();
-    const mostMs = urgency === AT_ONCE ? 0 : urgency === TO_REPLACE ? MAX_REPLACE_DELAY_MS : MAX_REBALANCE_DELAY_MS;
-    // A pause that grew while it was not needed does not hold up what is needed now.
+    const maxDelayMs = urgency === AT_ONCE ? 0 : urgency === TO_REPLACE ? MAX_REPLACE_DELAY_MS : MAX_REBALANCE_DELAY_MS;
+    // A backoff that grew while the control node was not needed does not delay it now.
     if (target.urgency === TO_REBALANCE) target.notBefore = Math.min(target.notBefore, now + MAX_REPLACE_DELAY_MS);
     target.urgency = urgency;
-    target.dueAt = Math.min(target.dueAt, now + mostMs * this.clock.random());
+    target.dueAt = Math.min(target.dueAt, now + maxDelayMs * this.clock.random());
   }
 
-  /** Dialled, up or no longer wanted: the next wait is drawn anew. */
+  /** Called once it is dialled, connected or no longer chosen: the next delay is drawn anew. */
   clearDue(target: controlNode.DialTarget): void {
     target.urgency = NOT_DUE;
     target.dueAt = Infinity;
@@ -180,7 +171,7 @@
     this.releaseAt = Infinity;
     for (const control of extra) {
       const target = targets.get(control.address)!;
-      // One that is not good now must not be taken for a fresh one next.
+      // A session that is unusable now must not count as an untried one next.
       target.failures = this.isUsable(control, false) ? 0 : 1;
       target.isReleased = true;
       log.count("sessions.released");
@@ -189,13 +180,13 @@
   }
 }
 
-/** Not known to be down: never tried, let go while it was good, or being dialled for a short while. */
+/** Not known to be down: never tried, released while usable, or being dialled for a short time. */
 function isFresh(target: controlNode.DialTarget, now: number): boolean {
   return target.failures === 0 && (target.state === "idle" || target.state === "up" || now - target.dialedAt < SLOW_DIAL_MS);
 }
 
-function hasKnownRegion(place: Candidate): boolean {
-  return place.region !== "";
+function hasKnownRegion(candidate: Candidate): boolean {
+  return candidate.region !== "";
 }
 
 function isAllUp(goal: ReadonlySet<string>, controls: ReadonlyMap<string, controlNode.ControlNode>): boolean {
