--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -1,6 +1,6 @@
 /**
  * The operator's calls on batches (design/batch 10): Quote, Submit, Status, Results, Cancel, List. Any control node with
- * batches on takes any. A quote only reads; a submission is answered once its record and its place are durable.
+ * batches on accepts any. A quote only reads; a submission is answered once its record and its queue position are durable.
  */
 import * as result from "true-myth/result";
 import * as bounds from "../../batch/bounds.js";
@@ -21,8 +21,9 @@
 import type * as registerReplica from "../register-replica.js";
 import * as serve from "../../wire/serve.js";
 
-const CHANGE_MS = 2600;
-/** Results told by one call. */
+/** A majority of the batch register replies within this time, or the call fails. */
+const CHANGE_TIMEOUT_MS = 2600;
+/** Results in one response. */
 const MAX_RESULTS = 100;
 
 /** What the calls are answered with. */
@@ -34,9 +35,9 @@
   readonly forecast: Parameters<typeof outlook.cellsOf>[1];
 }
 
-type Denied = errors.CranewindError;
+type Rejection = errors.CranewindError;
 
-/** All paths begin so. */
+/** Prefix of all paths. */
 export const PREFIX = "/-/Batches.";
 
 /** Replies to every call on batches; holds no state. */
@@ -44,14 +45,14 @@
   constructor(private readonly needs: BatchDependencies) {}
 
   /** Replies to any path that begins with PREFIX. */
-  async reply(asked: serve.HttpRequest): Promise<serve.HttpResponse> {
-    const { method, path } = asked;
+  async reply(request: serve.HttpRequest): Promise<serve.HttpResponse> {
+    const { method, path } = request;
     const [call, argument] = path.slice(PREFIX.length).split("/");
-    if (method === "POST" && call === "Quote") return this.quote(asked);
-    if (method === "POST" && call === "Submit") return this.submit(asked.body);
+    if (method === "POST" && call === "Quote") return this.quote(request);
+    if (method === "POST" && call === "Submit") return this.submit(request.body);
     if (method === "POST" && call === "Cancel") return this.withNumber(argument, (number) => this.cancel(number));
     if (method === "GET" && call === "Status") return this.withNumber(argument, (number) => this.status(number));
-    if (method === "GET" && call === "Results") return this.withNumber(argument, (number) => this.results(number, asked.query));
+    if (method === "GET" && call === "Results") return this.withNumber(argument, (number) => this.results(number, request.query));
     if (method === "GET" && call === "List") return this.list();
     return serve.errorReply(new errors.NotFoundError(`no call ${method} ${path}`, "see docs/batch.md for the calls"));
   }
@@ -65,27 +66,27 @@
     return serve.errorReply(new errors.UsageError(`${argument ?? "nothing"} is no number of a batch`, "cranewind batch list shows all"));
   }
 
-  /** What is known of the table here; it may lag behind by a moment. */
+  /** The table as this node knows it; it may lag behind the register. */
   private get table(): batchSchema.BatchTable {
     const { chosen } = this.needs.register;
     return chosen ? tables.tableOf(chosen) : tables.EMPTY;
   }
 
-  private async quote(asked: serve.HttpRequest): Promise<serve.HttpResponse> {
-    const outline = submissions.parseOutline(asked.body);
+  private async quote(request: serve.HttpRequest): Promise<serve.HttpResponse> {
+    const outline = submissions.parseOutline(request.body);
     if (outline.isErr) return serve.errorReply(outline.error);
-    const denied = this.check(outline.value);
-    if (denied) return serve.errorReply(denied);
-    return { status: 200, json: await this.project(outline.value, asked.query.get("table") === "true") };
+    const rejection = this.check(outline.value);
+    if (rejection) return serve.errorReply(rejection);
+    return { status: 200, json: await this.project(outline.value, request.query.get("table") === "true") };
   }
 
   /** The route must be there, and some region must be allowed. */
-  private check(outline: submissions.Outline): Denied | null {
+  private check(outline: submissions.Outline): Rejection | null {
     const { view } = this.needs;
     const service = view.serviceOf(outline.route);
     if (service === null)
       return new errors.InvalidRequestError(`route: there is no route ${outline.route}`, "name a route of the configuration in force");
-    if (view.roomsOf(outline, service).length > 0) return null;
+    if (view.capacitiesOf(outline, service).length > 0) return null;
     return new errors.NotReadyError(
       `no runner of ${service} reports in a region that is allowed`,
       "check homes, evacuations and the runners",
@@ -93,21 +94,21 @@
   }
 
   private async project(outline: submissions.Outline, wantsTable: boolean): Promise<object> {
-    const { view, forecast, clock: world } = this.needs;
+    const { view, forecast, clock } = this.needs;
     const { table } = this;
     const service = view.serviceOf(outline.route)!;
-    const rooms = view.roomsWithBatches(service, table);
+    const capacities = view.capacitiesWithBatches(service, table);
     const pastErrors = outlook.pastErrors(table);
     const quote = await quotes.answer({
-      cells: outlook.cellsOf(rooms, forecast, (route) => view.usualHeldMs(route)),
-      works: [...view.worksBefore(table, service), view.workOf(outline, outline.count)],
+      cells: outlook.cellsOf(capacities, forecast, (route) => view.typicalOccupancyMs(route)),
+      works: [...view.workAhead(table, service), view.workOf(outline, outline.count)],
       withinMs: outline.finish_within_s * 1000,
       pastErrors,
-      random: () => world.random(),
+      random: () => clock.random(),
       wantsTable,
     });
-    const confidence = outlook.confidenceOf(view.roomsOf(outline, service), forecast, pastErrors.count);
-    if (!view.knowsRoute(outline.route)) confidence.reasons.push(`no request of ${outline.route} was seen yet`);
+    const confidence = outlook.confidenceOf(view.capacitiesOf(outline, service), forecast, pastErrors.count);
+    if (!view.hasRouteLoads(outline.route)) confidence.reasons.push(`no request of ${outline.route} was seen yet`);
     return { ...quote, confidence: { ...confidence, isSure: confidence.reasons.length === 0 }, medianError: pastErrors.medianError() };
   }
 
@@ -116,18 +117,18 @@
     if (parsed.isErr) return serve.errorReply(parsed.error);
     const submission = parsed.value;
     const outline = submissions.outlineOf(submission);
-    const denied = this.check(outline);
-    if (denied) return serve.errorReply(denied);
+    const rejection = this.check(outline);
+    if (rejection) return serve.errorReply(rejection);
     const digest = submissions.digestOf(body);
     const quote = (await this.project(outline, false)) as quotes.Quote;
     if (!(await this.needs.replicas.put({ digest, ...records.SUBMISSION }, body))) return serve.errorReply(notDurable());
     const step = owners.registrationStep((table) => steps.submit(table, this.order(submission, body, digest, quote)));
-    const outcome = await this.needs.register.submitOrder(step, CHANGE_MS);
+    const outcome = await this.needs.register.submitOrder(step, CHANGE_TIMEOUT_MS);
     log.count(outcome.isOk ? "batch.submitted" : `batch.submit_${outcome.error.code}`);
     if (outcome.isErr) return serve.errorReply(outcome.error);
     const table = tables.tableOf(outcome.value);
-    const taken = tables.findKey(table, submission.key)!;
-    return { status: 200, json: { number: taken.number, place: tables.placeOf(table, taken.number), quote } };
+    const accepted = tables.findKey(table, submission.key)!;
+    return { status: 200, json: { number: accepted.number, place: tables.placeOf(table, accepted.number), quote } };
   }
 
   private order(submission: submissions.Submission, body: Buffer, digest: string, quote: quotes.Quote): steps.Submission {
@@ -147,32 +148,32 @@
 
   private async cancel(number: number): Promise<serve.HttpResponse> {
     const step = owners.registrationStep((table) => steps.cancel(table, number));
-    const outcome = await this.needs.register.submitOrder(step, CHANGE_MS);
+    const outcome = await this.needs.register.submitOrder(step, CHANGE_TIMEOUT_MS);
     if (outcome.isErr) return serve.errorReply(outcome.error);
-    return this.told(tables.tableOf(outcome.value), number);
+    return this.describeBatch(tables.tableOf(outcome.value), number);
   }
 
   /** Read at a majority, so that a submission that was acknowledged is there. */
   private async status(number: number): Promise<serve.HttpResponse> {
     const read = await this.read();
-    return read.isOk ? this.told(read.value, number) : serve.errorReply(read.error);
+    return read.isOk ? this.describeBatch(read.value, number) : serve.errorReply(read.error);
   }
 
-  private told(table: batchSchema.BatchTable, number: number): serve.HttpResponse {
+  private describeBatch(table: batchSchema.BatchTable, number: number): serve.HttpResponse {
     const batch = tables.findNumber(table, number);
-    return batch ? { status: 200, json: accountOf(table, batch) } : serve.errorReply(noBatch(number));
+    return batch ? { status: 200, json: statusOf(table, batch) } : serve.errorReply(noBatch(number));
   }
 
   private async list(): Promise<serve.HttpResponse> {
     const read = await this.read();
     if (read.isErr) return serve.errorReply(read.error);
     const table = read.value;
-    const batches = table.batches.map((batch) => accountOf(table, batch));
+    const batches = table.batches.map((batch) => statusOf(table, batch));
     return { status: 200, json: { batches, bounds: { open: bounds.MAX_OPEN, items: bounds.MAX_ITEMS, bytes: bounds.MAX_BYTES } } };
   }
 
-  private async read(): Promise<result.Result<batchSchema.BatchTable, Denied>> {
-    const outcome = await this.needs.register.read(CHANGE_MS);
+  private async read(): Promise<result.Result<batchSchema.BatchTable, Rejection>> {
+    const outcome = await this.needs.register.read(CHANGE_TIMEOUT_MS);
     return outcome.isOk ? result.ok(tables.tableOf(outcome.value)) : result.err(outcome.error);
   }
 
@@ -186,11 +187,11 @@
     if (!batch) return serve.errorReply(noBatch(number));
     const found = await this.needs.replicas.find({ digest: batch.digest, ...records.SUBMISSION });
     const submission = found.kind === "found" ? submissions.parse(found.body) : null;
-    if (!submission?.isOk) return serve.errorReply(unread(number));
+    if (!submission?.isOk) return serve.errorReply(unreadable(number));
     const end = Math.min(items.countOf(batch.items), from + MAX_RESULTS);
-    const told: object[] = [];
-    for (let index = from; index < end; index += 1) told.push(await this.resultOf(batch, index, submission.value.items[index].id));
-    return { status: 200, json: { number, from, items: told, next: end < items.countOf(batch.items) ? end : null } };
+    const results: object[] = [];
+    for (let index = from; index < end; index += 1) results.push(await this.resultOf(batch, index, submission.value.items[index].id));
+    return { status: 200, json: { number, from, items: results, next: end < items.countOf(batch.items) ? end : null } };
   }
 
   private async resultOf(batch: batchSchema.Batch, index: number, id: string): Promise<object> {
@@ -203,15 +204,15 @@
   }
 }
 
-function notDurable(): Denied {
+function notDurable(): Rejection {
   return new errors.NoQuorumError("the batch could not be stored at a majority of the core", "send the call again, to any control node");
 }
 
-function noBatch(number: number): Denied {
+function noBatch(number: number): Rejection {
   return new errors.NotFoundError(`there is no batch ${number}`, "cranewind batch list shows all");
 }
 
-function unread(number: number): Denied {
+function unreadable(number: number): Rejection {
   return new errors.NoQuorumError(`batch ${number} can't be read from any node in touch`, "send the call again, to any control node");
 }
 
@@ -221,8 +222,8 @@
   return { beginMs: begin.p50, endMs: end.p50, earlyEndMs: end.p05, lateEndMs: end.p95, modelMs };
 }
 
-/** A batch as status and list tell it; docs/batch.md names the fields. Times are milliseconds since its submission. */
-function accountOf(table: batchSchema.BatchTable, batch: batchSchema.Batch): object {
+/** A batch as Status and List show it; docs/batch.md names the fields. Times are milliseconds since its submission. */
+function statusOf(table: batchSchema.BatchTable, batch: batchSchema.Batch): object {
   const since = (clockMs: number): number | null => (clockMs > 0 ? Math.max(0, clockMs - batch.submittedMs) : null);
   return {
     number: batch.number,
@@ -241,6 +242,6 @@
 }
 
 /** What control nodes with the setting `batches` off reply. */
-export function off(): serve.HttpResponse {
+export function batchesAreOff(): serve.HttpResponse {
   return serve.errorReply(new errors.NotFoundError("batches are off on this node", "set batches=on in the settings of all control nodes"));
 }
--- a/src/control/batches/batch-register.ts
+++ b/src/control/batches/batch-register.ts
@@ -1,6 +1,6 @@
 /**
  * The batch register of a control node (design/batch 3): the same register as the configuration's, with a value, voters
- * and a disk folder of its own, so that batches have its guarantees and cost its rounds nothing.
+ * and a disk folder of its own, so that batches have its guarantees and don't slow its changes down.
  */
 import * as path from "node:path";
 import * as calls from "../../wire/calls.js";
@@ -19,12 +19,13 @@
 
 /** The folder of the register's files below data_dir. */
 const FOLDER = "batches";
-/** A disk is told again so often, in case a telling was lost. */
-const TELL_MS = 1000;
+/** The own disk is announced to peers this often, in case a message was lost. */
+const ANNOUNCE_INTERVAL_MS = 1000;
 
 /** Which node this is, and how its register begins. */
 export interface BatchRegisterOptions {
-  life: string;
+  /** Of this process. */
+  incarnation: string;
   /** Of this node's links. */
   address: string;
   dataDir: string;
@@ -33,34 +34,30 @@
   isBootstrap: boolean;
 }
 
-/** Turned by the control node's timer. */
+/** Run by the control node's timer. */
 export class BatchRegister {
   readonly replica: registerReplica.RegisterReplica;
   private readonly disk: voterDisk.VoterDisk;
   private readonly voterManager: voterManager.VoterManager;
-  /** Disks of the siblings in this register, by their address. */
+  /** Disks of the peers in this register, by their address. */
   private readonly disksByAddress = new Map<string, string>();
-  private toldAt = -Infinity;
+  private announcedAt = -Infinity;
 
-  /** heldControls: this node and the control nodes whose sessions it holds itself. */
+  /** `connectedControls`: this node and the control nodes that have a session here. */
   constructor(
     private readonly clock: types.Clock,
     private readonly options: BatchRegisterOptions,
     private readonly dial: dialer.Dialer,
-    private readonly heldControls: () => schema.NodeInfo[],
+    private readonly connectedControls: () => schema.NodeInfo[],
   ) {
-    const { life, address, seeds, isBootstrap } = options;
-    const first = registerValue.initialValue(isBootstrap ? seeds : []);
-    this.replica = new registerReplica.RegisterReplica(
-      clock,
-      { incarnation: life, address, initialValue: first, channel: this.channel() },
-      dial,
-    );
+    const { incarnation, address, seeds, isBootstrap } = options;
+    const initialValue = registerValue.initialValue(isBootstrap ? seeds : []);
+    this.replica = new registerReplica.RegisterReplica(clock, { incarnation, address, initialValue, channel: this.channel() }, dial);
     const folder = new files.LocalFolder(path.join(options.dataDir, FOLDER));
     const machine = { clock, folder, processes: dataDirLock.systemProcesses };
-    this.disk = new voterDisk.VoterDisk(machine, { address, seeds, isBootstrap }, this.replica.attachVoter.bind(this.replica));
-    this.voterManager = new voterManager.VoterManager(clock, this.replica, this.nodes.bind(this));
-    dial.on("up", this.tell.bind(this));
+    this.disk = new voterDisk.VoterDisk(machine, { address, seeds, isBootstrap }, (voter) => this.replica.attachVoter(voter));
+    this.voterManager = new voterManager.VoterManager(clock, this.replica, () => this.connectedNodes());
+    dial.on("up", (control) => this.announceDisk(control));
     dial.on("down", (control) => this.disksByAddress.delete(control.address));
   }
 
@@ -76,14 +73,16 @@
     };
   }
 
-  register(handlers: link.Handlers): void {
+  /** Registers the handlers of peers' calls of this register. */
+  registerHandlers(handlers: link.Handlers): void {
     this.replica.registerHandlers(handlers);
-    handlers.on(calls.batchNode, (_from, told) => {
-      this.disksByAddress.set(told.address, told.disk);
+    handlers.on(calls.batchNode, (_from, announced) => {
+      this.disksByAddress.set(announced.address, announced.disk);
       return null;
     });
   }
 
+  /** Begins to open the disk. */
   start(): void {
     this.disk.start();
   }
@@ -93,30 +92,31 @@
     return new files.LocalFolder(path.join(this.options.dataDir, FOLDER, "records"));
   }
 
-  private tell(control: controlNode.ControlNode): void {
+  private announceDisk(control: controlNode.ControlNode): void {
     control.link.send(calls.batchNode, { address: this.options.address, disk: this.replica.disk });
   }
 
   /** The nodes in touch with their disks in this register. */
-  private nodes(): schema.NodeInfo[] {
-    return this.heldControls().map((node) => {
+  private connectedNodes(): schema.NodeInfo[] {
+    return this.connectedControls().map((node) => {
       const isOwn = node.address === this.options.address;
       return { ...node, disk: isOwn ? this.replica.disk : (this.disksByAddress.get(node.address) ?? "") };
     });
   }
 
-  turn(): void {
+  /** Announces the own disk, learns what peers know, and manages the voters. */
+  runPeriodically(): void {
     const now = this.clock.now();
-    if (now - this.toldAt >= TELL_MS) {
-      this.toldAt = now;
-      for (const control of this.dial.controls.values()) this.tell(control);
+    if (now - this.announcedAt >= ANNOUNCE_INTERVAL_MS) {
+      this.announcedAt = now;
+      for (const control of this.dial.controls.values()) this.announceDisk(control);
       this.catchUp();
     }
     this.replica.runPeriodically();
     this.voterManager.runPeriodically();
   }
 
-  /** News of a choice may be lost with a link: one sibling after the other is asked what it knows. */
+  /** The message of a chosen value may be lost with a link: a peer at random is asked for its newest value. */
   private catchUp(): void {
     const controls = [...this.dial.controls.values()];
     if (controls.length === 0) return;
@@ -125,16 +125,18 @@
     if (known !== undefined) void this.replica.catchUp(control.link, (known + 1) as types.Epoch);
   }
 
+  /** For `status`. */
   status(): unknown {
     const { chosen } = this.replica;
     return { disk: this.disk.status(), epoch: chosen?.epoch ?? null, voters: chosen?.voters ?? [], isSettled: this.replica.hasQuorum() };
   }
 
-  /** Hands its vote over while the links still stand. */
-  handOver(withinMs: number): Promise<void> {
-    return this.voterManager.handOver(withinMs);
+  /** Hands its vote over while the links are still up. */
+  handOver(timeoutMs: number): Promise<void> {
+    return this.voterManager.handOver(timeoutMs);
   }
 
+  /** Stops voting and closes the disk. */
   async stop(): Promise<void> {
     this.replica.detachVoter();
     await this.disk.stop();
--- a/src/control/batches/batch-view.ts
+++ b/src/control/batches/batch-view.ts
@@ -1,6 +1,6 @@
 /**
  * What a control node knows of the fleet, as batches need it (design/batch 6, 9): routes by the configuration in force,
- * rooms by the newest reports, and the work that lies before a batch.
+ * capacities by the newest reports, and the work that lies ahead of a batch.
  */
 import * as projection from "../../batch/projection.js";
 import * as items from "../../batch/items.js";
@@ -16,15 +16,15 @@
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
 
-/** Of a shared part so much is usually kept where an item is sent (*ours*). */
-const SHARED_KEPT = 0.8;
-/** Before anything is known of a route: a place is held for this part of its deadline (*ours*). */
-const USUAL_HELD_SHARE = 0.25;
-/** Weight of the newest item in the mean time that items of a batch hold a place (*ours*). */
-const HELD_WEIGHT = 0.1;
+/** Share of a common prefix that is typically cached where an item is sent (*ours*). */
+const CACHED_SHARE_OF_PREFIX = 0.8;
+/** Before anything is known of a route: a slot is occupied for this share of its deadline (*ours*). */
+const DEFAULT_OCCUPANCY_SHARE = 0.25;
+/** Weight of the newest item in the mean time that items of a batch occupy a slot (*ours*). */
+const OCCUPANCY_WEIGHT = 0.1;
 
 /** What the view is made from. */
-export interface Sources {
+export interface BatchViewSources {
   /** The newest chosen value of the configuration's register. */
   configuration(): schema.Value | null;
   instances(): readonly schema.Instance[];
@@ -39,19 +39,20 @@
 }
 
 /** Sizes of one item of a batch. */
-export type Sizes = Pick<submissions.Outline, "route" | "shared_tokens" | "prompt_tokens" | "tokens_out" | "homes">;
+export type ItemSizes = Pick<submissions.Outline, "route" | "shared_tokens" | "prompt_tokens" | "tokens_out" | "homes">;
 
 /** One for each control node with batches on. */
 export class BatchView {
   private parsed: Parsed | null = null;
-  /** Mean milliseconds that items of a batch held a place, by its digest. */
-  private readonly heldMs = new Map<string, number>();
-  private readonly sizes = new Map<string, Sizes>();
+  /** Mean milliseconds that items of a batch occupied a slot, by the batch's digest. */
+  private readonly occupancyMs = new Map<string, number>();
+  private readonly sizes = new Map<string, ItemSizes>();
 
-  constructor(private readonly from: Sources) {}
+  constructor(private readonly sources: BatchViewSources) {}
 
+  /** The route in the configuration in force; null: there is none of that name. */
   routeOf(name: string): check.Route | null {
-    const value = this.from.configuration();
+    const value = this.sources.configuration();
     if (!value) return null;
     if (this.parsed?.epoch !== value.epoch) {
       const document = registerValue.unpack(value.config) as check.Configuration | null;
@@ -75,107 +76,117 @@
   }
 
   /** The regions that both the batch and its route allow; null: all. */
-  private allowed(route: string, homes: readonly string[]): ReadonlySet<string> | null {
+  private allowedRegions(route: string, homes: readonly string[]): ReadonlySet<string> | null {
     const ofRoute = this.routeOf(route)?.allowed_regions ?? [];
     if (homes.length === 0) return ofRoute.length === 0 ? null : new Set(ofRoute);
     return new Set(ofRoute.length === 0 ? homes : homes.filter((home) => ofRoute.includes(home)));
   }
 
-  /** The newest rooms of the service in the regions that the batch may run in; zones under evacuation have none. */
-  roomsOf(batch: Pick<batchSchema.Batch, "route" | "homes">, service: string): outlook.Room[] {
-    const allowed = this.allowed(batch.route, batch.homes);
-    return this.rooms(service).filter((room) => !allowed || allowed.has(room.region));
+  /** The newest capacities of the service in the regions that the batch may run in; zones under evacuation have none. */
+  capacitiesOf(batch: Pick<batchSchema.Batch, "route" | "homes">, service: string): outlook.Room[] {
+    const allowed = this.allowedRegions(batch.route, batch.homes);
+    return this.capacities(service).filter(({ region }) => !allowed || allowed.has(region));
   }
 
-  private rooms(service: string): outlook.Room[] {
-    const evacuated = new Set(this.from.configuration()?.evacuations);
-    const speaking = new Map<string, schema.Report>();
-    for (const { reports } of this.from.reports()) for (const report of reports) if (report.isSpeaking) speaking.set(report.id, report);
-    const rooms = new Map<string, outlook.Room>();
-    for (const instance of this.from.instances()) {
-      const report = speaking.get(instance.id);
+  private capacities(service: string): outlook.Room[] {
+    const evacuated = new Set(this.sources.configuration()?.evacuations);
+    const reporting = new Map<string, schema.Report>();
+    for (const { reports } of this.sources.reports()) for (const report of reports) if (report.isSpeaking) reporting.set(report.id, report);
+    const capacities = new Map<string, outlook.Room>();
+    for (const instance of this.sources.instances()) {
+      const report = reporting.get(instance.id);
       if (instance.service !== service || instance.isDraining || !report || evacuated.has(instance.zone)) continue;
-      const region = this.from.regionOf(instance.zone);
-      const room = rooms.get(region) ?? { region, places: 0, used: 0, waiting: 0, readPerMs: 0, batchItems: 0 };
-      room.places += instance.capacity;
-      room.used += report.active + report.waiting;
-      room.waiting += report.waiting;
-      room.readPerMs += trickle.readPerMs(1, this.from.forecast.readRate);
-      rooms.set(region, room);
+      const region = this.sources.regionOf(instance.zone);
+      const capacity = capacities.get(region) ?? { region, places: 0, used: 0, waiting: 0, readPerMs: 0, batchItems: 0 };
+      capacity.places += instance.capacity;
+      capacity.used += report.active + report.waiting;
+      capacity.waiting += report.waiting;
+      capacity.readPerMs += trickle.readPerMs(1, this.sources.forecast.readRate);
+      capacities.set(region, capacity);
     }
-    return [...rooms.values()];
+    return [...capacities.values()];
   }
 
-  /** The rooms of a service in all regions, with the batch items that are at work spread over them by their places. */
-  roomsWithBatches(service: string, table: batchSchema.BatchTable): outlook.Room[] {
-    const rooms = this.rooms(service);
-    let places = 0;
-    for (const room of rooms) places += room.places;
-    let atWork = 0;
+  /** The capacities of a service in all regions, with the batch items in flight spread over them by their slots. */
+  capacitiesWithBatches(service: string, table: batchSchema.BatchTable): outlook.Room[] {
+    const capacities = this.capacities(service);
+    let slots = 0;
+    for (const capacity of capacities) slots += capacity.places;
+    let inFlight = 0;
     for (const open of tables.openBatches(table)) {
-      if (this.serviceOf(open.route) === service) atWork += items.tally(open.items).get("sent") ?? 0;
+      if (this.serviceOf(open.route) === service) inFlight += items.tally(open.items).get("sent") ?? 0;
     }
-    return rooms.map((room) => ({ ...room, batchItems: Math.min(room.used, (atWork * room.places) / Math.max(1, places)) }));
+    return capacities.map((capacity) => {
+      const batchItems = Math.min(capacity.used, (inFlight * capacity.places) / Math.max(1, slots));
+      return { ...capacity, batchItems };
+    });
   }
 
-  /** An item of the batch was done: its place was held for so long. */
-  learnHeld(digest: string, ms: number): void {
-    const before = this.heldMs.get(digest);
-    this.heldMs.set(digest, before === undefined ? ms : before + HELD_WEIGHT * (ms - before));
+  /** An item of the batch is done: it occupied its slot for so long. */
+  recordOccupancy(digest: string, ms: number): void {
+    const previous = this.occupancyMs.get(digest);
+    this.occupancyMs.set(digest, previous === undefined ? ms : previous + OCCUPANCY_WEIGHT * (ms - previous));
   }
 
-  learnSizes(digest: string, sizes: Sizes): void {
+  /** The sizes of a batch's items became known. */
+  recordSizes(digest: string, sizes: ItemSizes): void {
     this.sizes.set(digest, sizes);
   }
 
-  /** Tokens of a prompt that are read for an item of the batch; 0 where its sizes are not known yet. */
-  unreadOf(digest: string): number {
+  /** Tokens to prefill for an item of the batch; 0 where its sizes are not known yet. */
+  prefillTokensOf(digest: string): number {
     const sizes = this.sizes.get(digest);
-    return sizes ? unreadOf(sizes) : 0;
+    return sizes ? prefillTokensOf(sizes) : 0;
   }
 
-  knowsSizes(digest: string): boolean {
+  /** Whether the sizes of the batch's items are known. */
+  hasSizes(digest: string): boolean {
     return this.sizes.has(digest);
   }
 
   /** Forgets batches that the table does not name. */
   retainOnly(table: batchSchema.BatchTable): void {
     const digests = new Set(table.batches.map((batch) => batch.digest));
-    for (const known of [this.heldMs, this.sizes]) for (const digest of known.keys()) if (!digests.has(digest)) known.delete(digest);
+    for (const known of [this.occupancyMs, this.sizes]) for (const digest of known.keys()) if (!digests.has(digest)) known.delete(digest);
   }
 
-  /** Milliseconds that a request of the route usually holds a place. */
-  usualHeldMs(route: string): number {
-    const learned = this.from.forecast.meansOf(route)?.heldMs ?? 0;
-    return learned > 0 ? learned : USUAL_HELD_SHARE * (this.routeOf(route)?.deadline_ms ?? 0);
+  /** Milliseconds that a request of the route typically occupies a slot. */
+  typicalOccupancyMs(route: string): number {
+    const learned = this.sources.forecast.meansOf(route)?.heldMs ?? 0;
+    return learned > 0 ? learned : DEFAULT_OCCUPANCY_SHARE * (this.routeOf(route)?.deadline_ms ?? 0);
   }
 
-  /** Whether routers have told what a request of the route takes. */
-  knowsRoute(route: string): boolean {
-    return (this.from.forecast.meansOf(route)?.heldMs ?? 0) > 0;
+  /** Whether routers have reported how long requests of the route take. */
+  hasRouteLoads(route: string): boolean {
+    return (this.sources.forecast.meansOf(route)?.heldMs ?? 0) > 0;
   }
 
-  /** So many items of a batch of these sizes, as work of the projection. */
-  workOf(sizes: Sizes, count: number, digest = ""): projection.Work {
+  /** This number of items of a batch of these sizes, as work of the projection. */
+  workOf(sizes: ItemSizes, count: number, digest = ""): projection.Work {
     const service = this.serviceOf(sizes.route) ?? "";
-    const regions = new Set(this.roomsOf(sizes, service).map((room) => room.region));
-    return { count, heldMs: Math.max(1, this.heldMs.get(digest) ?? this.usualHeldMs(sizes.route)), unread: unreadOf(sizes), regions };
+    const regions = new Set(this.capacitiesOf(sizes, service).map(({ region }) => region));
+    return {
+      count,
+      heldMs: Math.max(1, this.occupancyMs.get(digest) ?? this.typicalOccupancyMs(sizes.route)),
+      unread: prefillTokensOf(sizes),
+      regions,
+    };
   }
 
   /** The open batches of the service, in their order, as works; those before `number` if one is given. */
-  worksBefore(table: batchSchema.BatchTable, service: string, number = Infinity): projection.Work[] {
+  workAhead(table: batchSchema.BatchTable, service: string, number = Infinity): projection.Work[] {
     const works: projection.Work[] = [];
     for (const batch of tables.openBatches(table)) {
       if (batch.number >= number || this.serviceOf(batch.route) !== service) continue;
       const counts = items.tally(batch.items);
       const left = (counts.get("waiting") ?? 0) + (counts.get("sent") ?? 0);
-      const plain = { route: batch.route, homes: batch.homes, shared_tokens: 0, prompt_tokens: 0, tokens_out: 0 };
-      works.push(this.workOf(this.sizes.get(batch.digest) ?? plain, left, batch.digest));
+      const unknownSizes = { route: batch.route, homes: batch.homes, shared_tokens: 0, prompt_tokens: 0, tokens_out: 0 };
+      works.push(this.workOf(this.sizes.get(batch.digest) ?? unknownSizes, left, batch.digest));
     }
     return works;
   }
 }
 
-function unreadOf(sizes: Sizes): number {
-  return sizes.prompt_tokens - SHARED_KEPT * sizes.shared_tokens;
+function prefillTokensOf(sizes: ItemSizes): number {
+  return sizes.prompt_tokens - CACHED_SHARE_OF_PREFIX * sizes.shared_tokens;
 }
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -1,4 +1,4 @@
-/** Batches at one control node, put together (design/batch 1): register, records, owner, forecast and operator's calls. */
+/** Batches at one control node (design/batch 1): register, records, owner, forecast and operators' calls, connected. */
 import type * as attempt from "../../batch/attempt.js";
 import * as owners from "../../batch/owner.js";
 import * as records from "../../batch/records.js";
@@ -19,15 +19,17 @@
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
 import * as batchCalls from "./batch-calls.js";
-import * as batchLoads from "./batch-loads.js";
+import * as loadCollector from "./load-collector.js";
 import * as batchRegister from "./batch-register.js";
 import * as batchView from "./batch-view.js";
 import type * as fleetObserver from "../platform/fleet-observer.js";
 import type * as serve from "../../wire/serve.js";
 import type * as membership from "../members/membership.js";
 
-const REPAIR_MS = 2000;
-const OPEN_AGAIN_MS = 1000;
+/** Missing replicas of records are looked for this often. */
+const REPAIR_INTERVAL_MS = 2000;
+/** Pause between two attempts to open the records. */
+const OPEN_RETRY_INTERVAL_MS = 1000;
 
 /** The control node around it. */
 export interface BatchesHost {
@@ -43,7 +45,7 @@
   /** The newest chosen value of the configuration's register. */
   configuration(): schema.Value | null;
   isConfirmed(): boolean;
-  /** This node and the control nodes whose sessions it holds itself. */
+  /** This node and the control nodes that have a session here. */
   connectedControls(): schema.NodeInfo[];
 }
 
@@ -58,7 +60,7 @@
   private readonly register: batchRegister.BatchRegister;
   private readonly records: records.Records;
   private readonly replicas: replicas.Replicas;
-  private readonly loads: batchLoads.BatchLoads;
+  private readonly loads: loadCollector.LoadCollector;
   private readonly view: batchView.BatchView;
   private readonly owner: owners.Owner;
   private readonly calls: batchCalls.BatchCalls;
@@ -73,22 +75,22 @@
     private readonly host: BatchesHost,
     dataDir: string,
   ) {
-    const { incarnation: life, address, startup, seeds, dial } = host;
+    const { incarnation, address, startup, seeds, dial } = host;
     const isBootstrap = startup.batches_bootstrap ?? startup.bootstrap;
-    const options = { life, address, dataDir, seeds, isBootstrap };
-    this.register = new batchRegister.BatchRegister(clock, options, dial, host.connectedControls.bind(host));
+    const options = { incarnation, address, dataDir, seeds, isBootstrap };
+    this.register = new batchRegister.BatchRegister(clock, options, dial, () => host.connectedControls());
     this.records = new records.Records(clock, this.register.recordFolder());
     this.replicas = new replicas.Replicas(clock, this.register.replica, this.records);
-    this.loads = new batchLoads.BatchLoads(clock, host.feed, host.members, dial);
+    this.loads = new loadCollector.LoadCollector(clock, host.feed, host.members, dial);
     this.view = new batchView.BatchView({
-      configuration: host.configuration.bind(host),
+      configuration: () => host.configuration(),
       instances: () => host.fleetObserver.instances(),
       reports: () => host.fleetObserver.reports(),
       regionOf: (zone) => startup.zones[zone] ?? zone,
       forecast: this.loads.forecast,
     });
     this.routers = new routers.PassedRouters(clock, () => host.members.readyRouters());
-    this.owner = new owners.Owner(this.ownerNeeds());
+    this.owner = new owners.Owner(this.ownerDependencies());
     const { view, replicas: replicated } = this;
     this.calls = new batchCalls.BatchCalls({
       clock,
@@ -97,47 +99,47 @@
       view,
       forecast: this.loads.forecast,
     });
-    this.register.register(host.handlers);
+    this.register.registerHandlers(host.handlers);
     this.replicas.register(host.handlers);
-    this.loads.register(host.handlers);
+    this.loads.registerHandlers(host.handlers);
   }
 
-  private ownerNeeds(): owners.Dependencies {
+  private ownerDependencies(): owners.Dependencies {
     const { clock, host, view, replicas: replicated } = this;
     return {
       clock,
       life: host.incarnation,
       register: this.register.replica,
       replicas: replicated,
-      isConfirmed: host.isConfirmed.bind(host),
+      isConfirmed: () => host.isConfirmed(),
       serviceOf: (route) => view.serviceOf(route),
-      roomsOf: (batch, service) => view.roomsOf(batch, service),
-      unreadOf: (batch) => view.unreadOf(batch.digest),
+      roomsOf: (batch, service) => view.capacitiesOf(batch, service),
+      unreadOf: (batch) => view.prefillTokensOf(batch.digest),
       longestMs: (route) => sender.longestMs(view.routeOf(route)),
-      send: this.send.bind(this),
+      send: (send, batch) => this.send(send, batch),
       attemptEnded: (batch, send, ended) => {
-        if (ended.end === "done") view.learnHeld(batch.digest, clock.now() - send.sentAt);
+        if (ended.end === "done") view.recordOccupancy(batch.digest, clock.now() - send.sentAt);
       },
-      isInTouch: (life) => this.livesInTouch().has(life),
-      rank: () => [...this.livesInTouch()].filter((life) => life < host.incarnation).length,
+      isInTouch: (life) => this.connectedIncarnations().has(life),
+      rank: () => [...this.connectedIncarnations()].filter((life) => life < host.incarnation).length,
     };
   }
 
-  /** Lives of the other control nodes with batches, as far as they are in touch. */
-  private livesInTouch(): Set<string> {
-    const lives = new Set<string>();
-    for (const { node, link: to } of this.host.dial.controls.values()) if (to.isOpen) lives.add(node.life);
-    return lives;
+  /** Incarnations of the other control nodes in touch. */
+  private connectedIncarnations(): Set<string> {
+    const incarnations = new Set<string>();
+    for (const { node, link: to } of this.host.dial.controls.values()) if (to.isOpen) incarnations.add(node.life);
+    return incarnations;
   }
 
-  /** Called each 100 ms. */
+  /** Run by the control node's timer. */
   runPeriodically(): void {
-    this.register.turn();
-    this.loads.turn();
+    this.register.runPeriodically();
+    this.loads.runPeriodically();
     if (this.hasRecords) this.owner.turn();
     if (this.owner.isOwner()) this.routers.introduce();
     const now = this.clock.now();
-    if (this.isRepairing || !this.hasRecords || now - this.repairedAt < REPAIR_MS) return;
+    if (this.isRepairing || !this.hasRecords || now - this.repairedAt < REPAIR_INTERVAL_MS) return;
     this.repairedAt = now;
     void this.repair();
   }
@@ -151,19 +153,19 @@
     this.view.retainOnly(table);
     const digests = new Set(table.batches.map((batch) => batch.digest));
     for (const digest of this.submissions.keys()) if (!digests.has(digest)) this.submissions.delete(digest);
-    for (const batch of tables.openBatches(table)) if (!this.view.knowsSizes(batch.digest)) await this.submissionOf(batch);
+    for (const batch of tables.openBatches(table)) if (!this.view.hasSizes(batch.digest)) await this.submissionOf(batch);
     this.isRepairing = false;
   }
 
   /** The submission of a batch, read once; null: no node in touch holds it. */
   private async submissionOf(batch: batchSchema.Batch): Promise<submissions.Submission | null> {
-    const held = this.submissions.get(batch.digest);
-    if (held) return held;
+    const cached = this.submissions.get(batch.digest);
+    if (cached) return cached;
     const found = await this.replicas.find({ digest: batch.digest, ...records.SUBMISSION });
     const parsed = found.kind === "found" ? submissions.parse(found.body) : null;
     if (!parsed?.isOk) return null;
     this.submissions.set(batch.digest, parsed.value);
-    this.view.learnSizes(batch.digest, submissions.outlineOf(parsed.value));
+    this.view.recordSizes(batch.digest, submissions.outlineOf(parsed.value));
     return parsed.value;
   }
 
@@ -171,7 +173,7 @@
     const submission = await this.submissionOf(batch);
     const route = this.view.routeOf(batch.route);
     const item = submission?.items[send.index];
-    if (!item || !route) return { kind: "not_run", againMs: OPEN_AGAIN_MS };
+    if (!item || !route) return { kind: "not_run", againMs: OPEN_RETRY_INTERVAL_MS };
     return sender.send(this.clock, this.routers.in(send.region), { route, item });
   }
 
@@ -181,7 +183,7 @@
 
   /** For the supervisor. */
   child(): tree.Child {
-    return { name: "batches", start: this.start.bind(this), stop: this.stop.bind(this) };
+    return { name: "batches", start: () => this.start(), stop: () => this.stop() };
   }
 
   private start(): void {
@@ -189,7 +191,7 @@
     void this.openRecords();
   }
 
-  /** A disk that refuses is tried again; until it is open, this node owns no batches. */
+  /** Opening is retried while the disk fails; until then this node owns no batches. */
   private async openRecords(): Promise<void> {
     try {
       await this.records.open();
@@ -197,7 +199,7 @@
     } catch (cause) {
       log.count("batch.records_refused");
       log.state(`batch: the records can't be opened: ${errors.messageOf(cause)}`);
-      this.clock.schedule(OPEN_AGAIN_MS, () => void this.openRecords());
+      this.clock.schedule(OPEN_RETRY_INTERVAL_MS, () => void this.openRecords());
     }
   }
 
@@ -205,9 +207,9 @@
     return { ...(this.register.status() as object), isOwner: this.owner.isOwner(), atWork: this.owner.working };
   }
 
-  /** Hands the vote over while links still stand. */
-  handOver(withinMs: number): Promise<void> {
-    return this.register.handOver(withinMs);
+  /** Hands the vote over while links are still up. */
+  handOver(timeoutMs: number): Promise<void> {
+    return this.register.handOver(timeoutMs);
   }
 
   private async stop(): Promise<void> {
--- a/src/control/operator/operator-api.ts
+++ b/src/control/operator/operator-api.ts
@@ -44,7 +44,7 @@
     if (method === "GET" && path === operatorPaths.DESCRIBE) return this.handleDescribe();
     if (method === "POST" && path.startsWith(operatorPaths.START_EVACUATION)) return this.handleEvacuation(path, true);
     if (method === "POST" && path.startsWith(operatorPaths.STOP_EVACUATION)) return this.handleEvacuation(path, false);
-    if (path.startsWith(batchCalls.PREFIX)) return this.batches?.reply(request) ?? batchCalls.off();
+    if (path.startsWith(batchCalls.PREFIX)) return this.batches?.reply(request) ?? batchCalls.batchesAreOff();
     if (method === "GET" && path === "/-/status") return { status: 200, json: this.status() };
     return serve.errorReply(new errors.NotFoundError(`no call ${method} ${path}`, "see docs/operating.md for the calls"));
   }
