--- a/src/experiment/routers.ts
+++ b/src/experiment/routers.ts
@@ -1,5 +1,6 @@
 /** Hollow routers: whole router programs without clients, many in one process (design/experiment 2). */
 import * as routerProgram from "../router/router-program.js";
+import type * as routerStatus from "../router/router-status.js";
 import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
 import * as vitals from "../runtime/vitals.js";
@@ -56,7 +57,7 @@
 interface HollowRouter {
   program: routerProgram.RouterProgram;
   regions: string[];
-  lastStanding: routerProgram.Standing;
+  lastStanding: routerStatus.RouterPosition;
 }
 
 /** The hollow routers of one process. */
--- a/src/router/followed-topics.ts
+++ b/src/router/followed-topics.ts
@@ -1,7 +1,7 @@
-// Which lists this router follows (design/parts 3): all that its settings and routes may need.
+/** The membership topics that a router follows (design/parts 3): all that its settings and routes may need. */
 import * as feedTopics from "../feed/feed-topics.js";
 
-/** Regions whose runners this router may need; all that the settings know, until a narrower choice is proved right. */
+/** The regions whose runners this router may need: all of the settings. */
 export function neededRegions(zones: Readonly<Record<string, string>>): Set<string> {
   return new Set(Object.values(zones));
 }
--- a/src/router/limit-borrower.ts
+++ b/src/router/limit-borrower.ts
@@ -17,11 +17,11 @@
 }
 
 /** The part of a need that one of the owners is asked for: urgent retries are rounded up, the remainder of all else rotates. */
-export function splitNeed(need: leaseSchema.Need, index: number, owners: number, turn: number): leaseSchema.Need | null {
-  const base = Math.floor(need.wanted / owners);
-  const rest = need.wanted % owners;
-  const isNext = (index + turn) % owners < rest;
-  const wanted = base + (isNext || (need.isHot && need.kind === leaseSchema.TRIES && rest > 0) ? 1 : 0);
+export function splitNeed(need: leaseSchema.Need, index: number, ownerCount: number, round: number): leaseSchema.Need | null {
+  const base = Math.floor(need.wanted / ownerCount);
+  const remainder = need.wanted % ownerCount;
+  const isNext = (index + round) % ownerCount < remainder;
+  const wanted = base + (isNext || (need.isHot && need.kind === leaseSchema.TRIES && remainder > 0) ? 1 : 0);
   return wanted > 0 ? { ...need, wanted } : null;
 }
 
@@ -46,9 +46,9 @@
     this.roundNumber += 1;
     const needs = this.limits.leases.needs();
     const controls = [...this.dial.controls.values()];
-    const lives = new Set(controls.map(incarnationOf));
-    for (const life of this.sources.keys()) if (!lives.has(life)) this.sources.delete(life);
-    this.limits.leases.retainOwners(lives);
+    const incarnations = new Set(controls.map(incarnationOf));
+    for (const incarnation of this.sources.keys()) if (!incarnations.has(incarnation)) this.sources.delete(incarnation);
+    this.limits.leases.retainOwners(incarnations);
     const owners = controls.filter((control) => this.isOwner(control)).sort(byAddress);
     for (const control of controls) {
       const index = owners.indexOf(control);
--- a/src/router/router-batches.ts
+++ b/src/router/router-batches.ts
@@ -9,12 +9,12 @@
 import type * as admissions from "../admission/admission.js";
 import type * as prefillTracker from "../runners/prefill-tracker.js";
 
-/** Routes counted; the counts of others are left out. */
+/** At most so many routes are counted. */
 const MAX_ROUTES = 4096;
-/** Shorter passes are none. */
+/** A shorter pass is invalid. */
 const MIN_PASS_CHARACTERS = 16;
 
-/** Made once per router. */
+/** One for each router. */
 export class RouterBatches {
   private readonly passes = new Map<link.Link, string>();
   private readonly arrivals = new Map<string, number>();
@@ -25,16 +25,16 @@
     private readonly admission: admissions.Admission,
   ) {}
 
-  /** Takes passes, and answers control nodes that ask for loads. */
+  /** Receives passes, and reports loads to control nodes that request them. */
   register(handlers: link.Handlers): void {
-    handlers.on(calls.batchPass, (from, told) => {
-      this.recordPass(from, told.pass);
+    handlers.on(calls.batchPass, (from, message) => {
+      this.recordPass(from, message.pass);
       return null;
     });
     handlers.on(calls.routerLoads, () => this.loads());
   }
 
-  /** A pass holds while the link stands over which it came. */
+  /** A pass is valid while the link is up over which it came. */
   private recordPass(from: link.Link, pass: string): void {
     if (!this.passes.has(from)) from.once("end", () => this.passes.delete(from));
     this.passes.set(from, pass);
@@ -47,7 +47,7 @@
     return false;
   }
 
-  /** A client's request on this route was read whole. */
+  /** A client's complete request arrived on this route. */
   countArrival(route: string): void {
     const count = this.arrivals.get(route) ?? 0;
     if (count > 0 || this.arrivals.size < MAX_ROUTES) this.arrivals.set(route, count + 1);
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -31,11 +31,11 @@
 import * as tenantGate from "./tenant-gate.js";
 import * as followedTopics from "./followed-topics.js";
 
+/** Between two runs of the periodic work. */
 const WATCH_INTERVAL_MS = 100;
+/** The runners of a zone that comes back from an evacuation start slowly for so long. */
 const FAILBACK_WARM_UP_MS = 2500;
 
-export type { RouterPosition as Standing } from "./router-status.js";
-
 /** One router. Its `root` starts it and `stop` ends it. */
 export class RouterProgram implements feedSubscriber.FeedListener {
   private readonly incarnation = crypto.randomBytes(6).toString("hex");
@@ -153,9 +153,9 @@
     this.follower.selectPrimary();
     this.follower.updateSubscriptions();
     this.load.refresh(this.follower.replica);
-    const dealer = this.follower.primary;
-    if (dealer?.heartbeat && this.clock.now() - dealer.heartbeatAt < link.HEARTBEAT_INTERVAL_MS * 3)
-      this.limits.setRouterCount(dealer.heartbeat.members);
+    const primary = this.follower.primary;
+    if (primary?.heartbeat && this.clock.now() - primary.heartbeatAt < link.HEARTBEAT_INTERVAL_MS * 3)
+      this.limits.setRouterCount(primary.heartbeat.members);
     this.borrower.runPeriodically();
     this.tenantGate.runPeriodically();
     this.fleet.peerGroups.routers = this.limits.routers;
@@ -165,8 +165,8 @@
     this.suspectUnreachableRegions();
   }
 
-  private sendHints(told: schema.Signs): void {
-    this.follower.primary?.link.send(calls.signs, told);
+  private sendHints(hints: schema.Signs): void {
+    this.follower.primary?.link.send(calls.signs, hints);
   }
 
   /** The runners of a region that can't be reached from here are suspected. */
@@ -235,8 +235,8 @@
       node: this.nodeInfo(),
       following: this.position().following,
       configuration: this.gate.status(),
-      share: this.limits,
-      chooser: this.picker,
+      limits: this.limits,
+      picker: this.picker,
       fleet: this.fleet,
       now: this.clock.now(),
     });
--- a/src/router/router-status.ts
+++ b/src/router/router-status.ts
@@ -1,4 +1,4 @@
-// A router's account of itself for `status` (design 9.1): counters first.
+/** What a router shows of itself in `status` (design 9.1). */
 import * as log from "../runtime/log.js";
 import * as vitals from "../runtime/vitals.js";
 import * as counts from "../wire/counts.js";
@@ -9,35 +9,35 @@
 import type * as serveGate from "./serve-gate.js";
 import type * as runnerFleet from "../runners/runner-fleet.js";
 
-/** What a router goes by now. */
+/** What a router follows now. */
 export interface RouterPosition {
   epoch: types.Epoch;
   revision: number;
   following: string | null;
 }
 
-/** What the account is put together from. */
+/** The parts that the status is composed of. */
 export interface StatusSources {
   node: schema.NodeInfo;
   following: string | null;
   configuration: serveGate.GateStatus;
-  share: leasedLimits.LeasedLimits;
-  chooser: runnerPicker.RunnerPicker;
+  limits: leasedLimits.LeasedLimits;
+  picker: runnerPicker.RunnerPicker;
   fleet: runnerFleet.RunnerFleet;
   now: number;
 }
 
-/** The status of a router as JSON; its names are read by `cranewind status`. */
-export function routerStatus(of: StatusSources): unknown {
+/** The status of a router as JSON; `cranewind status` reads its names. */
+export function routerStatus(sources: StatusSources): unknown {
   const runners: unknown[] = [];
-  for (const runner of of.fleet.all()) runners.push(runner.describe(of.now));
+  for (const runner of sources.fleet.all()) runners.push(runner.describe(sources.now));
   return {
-    node: of.node,
-    following: of.following,
-    configuration: of.configuration,
-    routers: of.share.routers,
-    sharesValid: of.share.isValid(),
-    admission: of.chooser.admission.status(),
+    node: sources.node,
+    following: sources.following,
+    configuration: sources.configuration,
+    routers: sources.limits.routers,
+    sharesValid: sources.limits.isValid(),
+    admission: sources.picker.admission.status(),
     runners,
     counters: Object.fromEntries(log.counted()),
     vitals: vitals.vitals(),
