--- a/src/limits/leased-limits.ts
+++ b/src/limits/leased-limits.ts
@@ -1,24 +1,26 @@
-// A router's side of the bounds of the whole system (design/shares 3.6, 4): its own ratio of further tries is earned
-// by its own requests, all else is leased from owners. A process that is new or cut off has no leases.
+/**
+ * A router's side of the system-wide limits (design/shares 3.6, 4): its own ratio of retries is earned by its own requests, all
+ * else is leased from the owners of the limits. A process that is new or partitioned has no leases.
+ */
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
 import * as routerLeases from "./router-leases.js";
 import type * as limitShares from "./limit-shares.js";
 
-/** Owners that said so lately count as granting for so long. */
+/** An owner that granted counts as granting for this long. */
 const GRANTING_VALID_MS = 3000;
-/** Half of the ratio is used, so that a process that starts anew within a window can spend its part again. */
+/** Half of the ratio is used, so that a process that restarts within a window can spend its share again. */
 const OWN_RETRY_RATIO = 0.5;
 const MAX_RETURNABLE = 256;
 
 interface RetryWindow {
   requests: number[];
   retries: number[];
-  /** What each try still out was taken from, the newest last; null: the own ratio. */
+  /** The lease from which each retry in flight was taken, the newest last; null: the own ratio. */
   taken: (routerLeases.Lease | null)[];
 }
 
-/** One router's part in all bounds. */
+/** The system-wide limits as one router may use them. */
 export class LeasedLimits {
   private routerCount = 1;
   private grantedAt = -Infinity;
@@ -32,7 +34,7 @@
     this.leases = new routerLeases.RouterLeases(clock);
   }
 
-  /** How many routers there are: each keeps to its part of the connections (design 7.6). */
+  /** How many routers there are: each keeps to its share of the connections (design 7.6). */
   setRouterCount(members: number): void {
     this.routerCount = Math.max(1, members);
   }
@@ -50,7 +52,7 @@
     return this.clock.now() - this.grantedAt < GRANTING_VALID_MS;
   }
 
-  /** sentAt: when the ask was sent, on the own clock. */
+  /** Takes the grants of a reply; sentAt: when the request was sent, on the own clock. */
   grant(reply: leaseSchema.LeaseReply, sentAt: number): void {
     if (reply.isGranting) this.grantedAt = this.clock.now();
     this.leases.addGrants(reply, sentAt);
@@ -77,7 +79,7 @@
     return window.retries.length + 1 <= OWN_RETRY_RATIO * this.bounds.retry_ratio * window.requests.length;
   }
 
-  /** Whether a further try could be taken now; one that could not is wanted. */
+  /** Whether a retry is available now; one that is not is recorded as demand. */
   canRetry(service: string): boolean {
     if (this.hasOwnRetry(this.windowOf(service)) || this.leases.has(leaseSchema.TRIES, service)) return true;
     this.leases.recordDemand(leaseSchema.TRIES, service, 0);
@@ -85,7 +87,7 @@
     return false;
   }
 
-  /** Takes one further try, of the own ratio first; false when there is none. */
+  /** Takes one retry, from the own ratio first; false when there is none. */
   takeRetry(service: string): boolean {
     const window = this.windowOf(service);
     if (this.hasOwnRetry(window)) {
@@ -104,7 +106,7 @@
     if (window.taken.length > MAX_RETURNABLE) window.taken.shift();
   }
 
-  /** A try that was taken and never left, as no connection came up, goes back to where it was taken from. */
+  /** Returns a retry that was never sent, as no connection came up, to where it was taken from. */
   returnRetry(service: string): void {
     const window = this.windowOf(service);
     const from = window.taken.pop();
@@ -112,15 +114,15 @@
     else if (from === null) window.retries.pop();
   }
 
-  /** Takes one send to a cold runner; false when none is held for it. */
+  /** Takes one send to a warming runner; false when no lease on it is left. */
   takeWarmUpSend(runner: string, perS: number): boolean {
     this.leases.recordDemand(leaseSchema.COLD, runner, perS);
     return this.leases.takeUnit(leaseSchema.COLD, runner) !== null;
   }
 
-  /** How long until one may be had again, when all routers want it alike. */
+  /** Seconds until such a send may be available again, if all routers demand it alike. */
   warmUpWaitS(perS: number): number {
-    const room = (this.bounds.warmup_overshoot - 1) * perS + this.bounds.warmup_tolerance;
-    return perS > 0 ? Math.min(this.routerCount, Math.max(1, Math.floor(room))) / perS : 1;
+    const burst = (this.bounds.warmup_overshoot - 1) * perS + this.bounds.warmup_tolerance;
+    return perS > 0 ? Math.min(this.routerCount, Math.max(1, Math.floor(burst))) / perS : 1;
   }
 }
--- a/src/limits/router-leases.ts
+++ b/src/limits/router-leases.ts
@@ -1,20 +1,22 @@
-// A router's leases and its needs of them (design/shares 4): each lease ends on the router's own steady
-// clock, counted from when the ask was sent, and is reported with what was not used.
+/**
+ * The leases of one router and its demand for more (design/shares 4): each lease expires on the router's own steady clock,
+ * counted from when the request was sent, and is reported to its owner with the unused units.
+ */
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as types from "../wire/types.js";
 
 const DEMAND_WINDOW_MS = 1500;
 const WARM_UP_DEMAND_WINDOW_MS = 1000;
-/** A lease that ends so soon is no longer counted on when needs are told. */
+/** A lease that expires sooner does not count as available when needs are reported. */
 const EXPIRING_MS = 600;
-/** Sends to a cold runner are asked for this part of a second ahead. */
+/** Sends to a warming runner are requested for this fraction of a second ahead. */
 const WARM_UP_LOOKAHEAD_S = 0.3;
 const MAX_REQUESTED_UNITS = 64;
 const MAX_WARM_UP_UNITS = 4;
-/** So many cold runners a router asks for at once (*ours*); the ones wanted last come first. */
+/** Warming runners for which a router requests leases at once (*ours*); those demanded last come first. */
 const MAX_WARM_UP_RUNNERS = 16;
 
-/** A lease as its holder counts it. */
+/** A lease as its holder accounts for it. */
 export interface Lease {
   id: number;
   ownerIncarnation: string;
@@ -37,19 +39,19 @@
   private readonly leases = new Map<string, Lease[]>();
   private readonly ended = new Map<string, leaseSchema.Done[]>();
   private readonly demands = new Map<string, Demand>();
-  /** Something was wanted and not there since needs were told last. */
+  /** Whether something was demanded and not available since needs were reported last. */
   isShort = false;
 
   constructor(private readonly clock: types.Clock) {}
 
-  /** Wanted now: counted whether it was there or not. */
+  /** Records a demand, whether it can be met or not. */
   recordDemand(kind: leaseSchema.Kind, key: string, perS: number): void {
     const demand = this.demandOf(kind, key, perS);
     demand.requestedAt.push(this.clock.now());
     if (demand.requestedAt.length > 2 * MAX_REQUESTED_UNITS) demand.requestedAt.shift();
   }
 
-  /** May be wanted soon: one is kept ready while the owners have plenty. */
+  /** Keeps one unit ready for a demand that may come soon, while the owners have plenty. */
   keepStandby(key: string, forMs: number): void {
     this.demandOf(leaseSchema.TRIES, key, 0).standbyUntil = this.clock.now() + forMs;
   }
@@ -58,7 +60,7 @@
     const name = `${kind}${key}`;
     const demand = this.demands.get(name) ?? { kind, key, perS, requestedAt: [], standbyUntil: 0 };
     demand.perS = perS;
-    // The one wanted last stands last.
+    // The one demanded last stands last.
     if (kind === leaseSchema.COLD) this.demands.delete(name);
     this.demands.set(name, demand);
     return demand;
@@ -84,7 +86,7 @@
     done.push({ id: lease.id, unused: lease.unitsLeft });
     this.ended.set(lease.ownerIncarnation, done);
     lease.ownerIncarnation = "";
-    // What a cold runner may take is scarce: its owner hears at once that this one has ended.
+    // Capacity of a warming runner is scarce: the end of this lease is reported to its owner at once.
     if (lease.kind === leaseSchema.COLD) this.isShort = true;
   }
 
@@ -92,7 +94,7 @@
     return this.openLeases(kind, key).length > 0;
   }
 
-  /** One unit of the lease that ends first. */
+  /** Takes one unit of the lease that expires first; null when there is none. */
   takeUnit(kind: leaseSchema.Kind, key: string): Lease | null {
     let first: Lease | null = null;
     for (const lease of this.openLeases(kind, key)) if (!first || lease.expiresAt < first.expiresAt) first = lease;
@@ -101,7 +103,7 @@
     return first;
   }
 
-  /** The unit was not used after all; once the lease's end is told, it is too late. */
+  /** Returns an unused unit; without effect once the end of the lease was reported. */
   giveBack(lease: Lease): void {
     if (lease.ownerIncarnation !== "") lease.unitsLeft += 1;
   }
@@ -113,7 +115,7 @@
     return held;
   }
 
-  /** What is wanted on top of what is held. */
+  /** What is demanded beyond the available units. */
   needs(): leaseSchema.Need[] {
     const now = this.clock.now();
     this.isShort = false;
@@ -138,7 +140,7 @@
     return [...needs, ...cold.slice(-MAX_WARM_UP_RUNNERS)];
   }
 
-  /** The ended leases of that owner's life, to be told once. */
+  /** The ended leases of that owner's incarnation, to be reported once. */
   takeEnded(ownerIncarnation: string): leaseSchema.Done[] {
     for (const [name, all] of this.leases) {
       const lease = all[0];
@@ -149,12 +151,12 @@
     return done;
   }
 
-  /** Ends of owners that are gone are told to nobody: they count as used there. */
+  /** Drops the ended leases of owners that are gone: these units count as used. */
   retainOwners(lives: ReadonlySet<string>): void {
     for (const life of this.ended.keys()) if (!lives.has(life)) this.ended.delete(life);
   }
 
-  /** sentAt: when the ask was sent, on the own clock. */
+  /** Adds the grants of a reply; sentAt: when the request was sent, on the own clock. */
   addGrants(reply: leaseSchema.LeaseReply, sentAt: number): void {
     const now = this.clock.now();
     for (const { id, kind, key, amount, lifeMs } of reply.grants) {
--- a/src/limits/slot-ownership.ts
+++ b/src/limits/slot-ownership.ts
@@ -1,19 +1,21 @@
-// Whether this process owns a slot of the bounds now: by the register's voters, fenced by a majority of them
-// (design/shares 2). An owner that is cut off stops before anyone else may hold its slot.
+/**
+ * Whether this process owns a slot of the system-wide limits now: by the register's voters, fenced by a majority of them
+ * (design/shares 2). A partitioned owner stops granting before any other process may own its slot.
+ */
 import * as quorumConfirmation from "../register/quorum-confirmation.js";
 import * as leaseSchema from "../wire/lease-schema.js";
 import * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 
-/** A voter's word that it knows no newer voters counts for so long, from when it was asked (*ours*). */
+/** A voter's reply that it knows no newer voters is valid for this long from when it was requested (*ours*). */
 export const FENCE_VALID_MS = quorumConfirmation.MAX_ANSWER_AGE_MS;
-/** The longest life of a lease, and what steady clocks may differ by over it (*ours*). */
+/** The longest duration of a lease, and what steady clocks may drift apart over it (*ours*). */
 export const MAX_LEASE_MS = 1800;
 const CLOCK_DRIFT_MS = 200;
 
-/** How long words and leases of one kind of bound hold, in milliseconds. */
+/** How long fence replies and leases of one kind of limit are valid, in milliseconds. */
 export interface OwnershipTerms {
-  /** A voter's word that it knows no newer voters, from when it was asked. */
+  /** A voter's reply that it knows no newer voters, from when it was requested. */
   fenceMs: number;
   /** The longest lease. */
   maxLeaseMs: number;
@@ -21,7 +23,7 @@
 
 const LEASES: OwnershipTerms = { fenceMs: FENCE_VALID_MS, maxLeaseMs: MAX_LEASE_MS };
 
-/** A place among the voters: slot of so many. */
+/** A slot and the number of slots: one a voter. */
 export interface SlotPosition {
   slot: number;
   slots: number;
@@ -42,7 +44,7 @@
   private readonly startedAt: number;
   /** From then on this process may grant and earn. */
   openAt = Infinity;
-  /** Grows whenever what was held before no longer counts. */
+  /** Increases whenever earlier grants no longer count. */
   round = 0;
 
   constructor(
@@ -64,17 +66,17 @@
     return this.current?.epoch ?? types.NO_EPOCH;
   }
 
-  /** Opens as soon as leases of an earlier life of this process have run out. */
+  /** Opens as soon as the leases of an earlier incarnation of this process have expired. */
   protected openEarly(): void {
     this.openAt = Math.min(this.openAt, this.startedAt + this.maxRemainingLeaseMs());
   }
 
-  /** Leases of an earlier life, or of the slot's former owner, have run out after this long. */
+  /** Leases of an earlier incarnation, or of the slot's former owner, have expired after this long. */
   protected maxRemainingLeaseMs(): number {
     return this.terms.maxLeaseMs + CLOCK_DRIFT_MS;
   }
 
-  /** What is chosen, and the own disk: all changes of tenure pass here. */
+  /** Applies a chosen value and the own disk; all changes of ownership pass here. */
   applyValue(value: schema.Value, disk: string): void {
     const before = this.current;
     if (before && (value.voterEpoch < before.epoch || (value.voterEpoch === before.epoch && disk === this.disk))) return;
@@ -86,7 +88,7 @@
     const isSame = before !== null && value.voterEpoch === before.epoch;
     this.current = { epoch: value.voterEpoch, voters: new Set(disks), slots: disks.length, slot, knownAt: isSame ? before.knownAt : now };
     this.disk = disk;
-    // A word that nothing newer than an earlier epoch was accepted says the same of this one.
+    // A reply that nothing newer than an earlier epoch was accepted says the same of this epoch.
     for (const voter of this.acks.keys()) if (!this.current.voters.has(voter)) this.acks.delete(voter);
     if (isKept) return;
     this.round += 1;
@@ -94,7 +96,7 @@
       value.voterEpoch === types.FIRST_EPOCH ? this.startedAt + this.maxRemainingLeaseMs() : this.earliestOpening(this.current.knownAt);
   }
 
-  /** Called at the next epoch: whether this process goes on without a pause, as what it held is no one else's there. */
+  /** Called at the next epoch: whether this process goes on without a pause, as no other process owns its slot there. */
   protected keepsSlot(before: SlotPosition, next: SlotPosition): boolean {
     return next.slot >= 0 && next.slot === before.slot && next.slots === before.slots;
   }
@@ -108,7 +110,7 @@
     return this.current && this.current.epoch === epoch ? this.clock.now() - this.current.knownAt : -1;
   }
 
-  /** A voter's word; sentAt: when it was asked, on the own clock. */
+  /** Records a voter's fence reply; sentAt: when it was requested, on the own clock. */
   recordFenceReply(asked: types.Epoch, sentAt: number, reply: leaseSchema.FenceState): void {
     if (!this.current || reply.voterEpoch > this.current.epoch || !this.current.voters.has(reply.disk)) return;
     this.acks.set(reply.disk, Math.max(sentAt, this.acks.get(reply.disk) ?? -Infinity));
@@ -120,7 +122,7 @@
 
   /**
    * accepted: the newest voter epoch on the own disk. The own disk counts as long as it accepted nothing newer; the others by
-   * their recent words. Whatever majority chooses the next epoch shares a disk with these, which accepted it after its word.
+   * their recent replies. Any majority that chooses the next epoch shares a disk with these, which accepted it after its reply.
    */
   isGranting(accepted: types.Epoch): boolean {
     const { current: era } = this;
--- a/src/limits/text-hash.ts
+++ b/src/limits/text-hash.ts
@@ -1,12 +1,13 @@
-// A small hash that is the same in every process.
+/** A small hash of text that is the same in every process (FNV-1a). */
+
 const FNV_OFFSET_BASIS = 0x811c9dc5;
 
-/** FNV-1a, mixed again at the end. */
+/** FNV-1a with a final mixing step. */
 export function hashText(text: string): number {
   return finishHash(FNV_OFFSET_BASIS, text);
 }
 
-/** FNV-1a before its end: `ended(begun(a), b)` is `hash(a + b)`, for many texts of one beginning. */
+/** FNV-1a before its end: `finishHash(beginHash(a), b)` is `hashText(a + b)`, for many texts with one prefix. */
 export function beginHash(text: string): number {
   return mixIn(FNV_OFFSET_BASIS, text);
 }
@@ -19,7 +20,7 @@
   return value;
 }
 
-/** The hash of what was begun and the rest of its text. */
+/** The hash of a prefix begun with beginHash, and the rest of the text. */
 export function finishHash(start: number, text: string): number {
   let value = mixIn(start, text);
   value ^= value >>> 15;
--- a/src/limits/token-pool.ts
+++ b/src/limits/token-pool.ts
@@ -1,11 +1,13 @@
-// What an owner holds of one bounded thing, and who is let in to it: max-min over what each got lately
-// (design/shares 3, 5). Level + outstanding never passes the burst.
+/**
+ * The units of one limit at its owner, and which router gets them: max-min fairness over what each got lately (design/shares
+ * 3, 5). Level + outstanding never exceeds the burst.
+ */
 import * as leaseSchema from "../wire/lease-schema.js";
 import type * as limitShares from "./limit-shares.js";
 
 const CLAIM_VALID_MS = 700;
 const FAIR_LEVEL_VALID_MS = 100;
-/** Standing leases are dealt from what lies above this part of the burst (*ours*). */
+/** Standby leases are granted only from the units above this fraction of the burst (*ours*). */
 const STANDBY_RESERVE_RATIO = 0.5;
 
 interface Claim {
@@ -14,10 +16,10 @@
   at: number;
   got: number;
   gotAt: number;
-  held: number;
+  leased: number;
 }
 
-/** One bounded thing at one owner. */
+/** The token pool of one limit at one owner. */
 export class TokenPool {
   private level: number;
   private at: number;
@@ -26,7 +28,7 @@
   private fairLevelAt = -Infinity;
   readonly claims = new Map<string, Claim>();
 
-  /** earnedSince: refill counts from then on, with nothing there at first. memoryMs: how long a grant is held against its taker. */
+  /** earnedSince: refill counts from then on, with nothing there at first. memoryMs: how long a grant counts against its router. */
   constructor(
     private part: limitShares.LimitShare,
     earnedSince: number,
@@ -48,14 +50,14 @@
     this.at = now;
   }
 
-  /** Idle and full: one that is made anew later would be the same. */
+  /** Whether it is idle and full, so that a new pool made later would be the same. */
   isIdleAndFull(now: number): boolean {
     this.refill(now);
     for (const [router, claim] of this.claims) if (now - claim.at > 2 * this.memoryMs) this.claims.delete(router);
     return this.outstanding === 0 && this.level >= this.part.burst && this.claims.size === 0;
   }
 
-  /** How many units this router gets now. */
+  /** Grants units to a router by its need; returns how many. */
   grant(router: string, need: leaseSchema.Need, now: number): number {
     this.refill(now);
     const claim = this.claimOf(router, now);
@@ -68,27 +70,27 @@
     );
     this.level -= amount;
     this.outstanding += amount;
-    claim.held += amount;
+    claim.leased += amount;
     claim.got += amount;
     claim.wanted -= amount;
     return amount;
   }
 
-  /** A lease has ended: what is reported as unused comes back, the rest was used. */
+  /** Ends a lease: unused units return to the pool, the rest was used. */
   endLease(router: string, amount: number, unused: number, now: number): void {
     this.refill(now);
     this.outstanding -= amount;
     this.level += unused;
     const claim = this.claims.get(router);
     if (!claim) return;
-    claim.held -= amount;
+    claim.leased -= amount;
     claim.got = Math.max(0, claim.got - unused);
   }
 
   private claimOf(router: string, now: number): Claim {
     let claim = this.claims.get(router);
     if (!claim) {
-      claim = { wanted: 0, isHot: false, at: now, got: 0, gotAt: now, held: 0 };
+      claim = { wanted: 0, isHot: false, at: now, got: 0, gotAt: now, leased: 0 };
       this.claims.set(router, claim);
     }
     this.decay(claim, now);
@@ -101,7 +103,7 @@
   }
 
   private standbyAmount(claim: Claim): number {
-    if (claim.held > 0 || this.level - 1 < this.part.burst * STANDBY_RESERVE_RATIO) return 0;
+    if (claim.leased > 0 || this.level - 1 < this.part.burst * STANDBY_RESERVE_RATIO) return 0;
     return 1;
   }
 
@@ -110,11 +112,11 @@
       this.fairLevel = this.waterLevel(now);
       this.fairLevelAt = now;
     }
-    // A claim that is new since the height was found is as low as any.
+    // A claim that is new since the fair level was computed is as low as any.
     return Math.ceil(Math.max(this.fairLevel, 1e-6) - claim.got - 1e-9);
   }
 
-  /** The height to which the level fills the claims, each starting at what it got lately (max-min). */
+  /** The height to which the level fills the claims, each starting at what it got lately (water-filling, max-min). */
   private waterLevel(now: number): number {
     const steps: { at: number; slope: number }[] = [];
     for (const claim of this.claims.values()) {
@@ -122,7 +124,7 @@
       this.decay(claim, now);
       steps.push({ at: claim.got, slope: 1 }, { at: claim.got + claim.wanted, slope: -1 });
     }
-    steps.sort(byAt);
+    steps.sort((left, right) => left.at - right.at);
     let left = this.level;
     let open = 0;
     let height = steps[0]?.at ?? 0;
@@ -136,7 +138,3 @@
     return Infinity;
   }
 }
-
-function byAt(left: { at: number }, right: { at: number }): number {
-  return left.at - right.at;
-}
