--- a/src/emulator/platform.ts
+++ b/src/emulator/platform.ts
@@ -20,7 +20,7 @@
   instances: Listed[] = [];
   calls = 0;
   address = "";
-  private readonly server = nodeHttp.createServer(this.reply.bind(this));
+  private readonly server = nodeHttp.createServer((incoming, outgoing) => this.reply(incoming, outgoing));
 
   constructor(private readonly pageSize = 50) {}
 
--- a/src/emulator/runner.ts
+++ b/src/emulator/runner.ts
@@ -63,8 +63,8 @@
 
   constructor(options: Partial<RunnerOptions> = {}) {
     this.options = { ...DEFAULTS, ...options };
-    this.server = nodeHttp.createServer({ keepAliveTimeout: 20_000 }, this.take.bind(this));
-    this.server.on("connection", this.accept.bind(this));
+    this.server = nodeHttp.createServer({ keepAliveTimeout: 20_000 }, (incoming, outgoing) => this.take(incoming, outgoing));
+    this.server.on("connection", (socket) => this.accept(socket));
   }
 
   get id(): string {
@@ -184,7 +184,7 @@
       return;
     }
     this.active += 1;
-    outgoing.once("close", this.closed.bind(this));
+    outgoing.once("close", () => this.closed());
     if (headerOf(incoming, names.HEADER.tokens) === "") {
       outgoing.writeHead(200, { ...headers, "Content-Type": "application/json" }).end(JSON.stringify({ by: this.id }));
       return;
--- a/src/experiment/launcher.ts
+++ b/src/experiment/launcher.ts
@@ -18,8 +18,8 @@
     readonly name: string,
     private readonly child: childProcess.ChildProcess,
   ) {
-    child.on("message", this.onMessage.bind(this));
-    child.on("exit", this.onExit.bind(this));
+    child.on("message", (message) => this.onMessage(message));
+    child.on("exit", () => this.onExit());
   }
 
   request(command: hosts.HostCommand): Promise<unknown> {
--- a/src/experiment/routers.ts
+++ b/src/experiment/routers.ts
@@ -81,8 +81,8 @@
       await program.root.start();
     }
     this.timers.push(
-      timers.runPeriodically(this.clock, SAMPLE_INTERVAL_MS, this.sample.bind(this)),
-      timers.runPeriodically(this.clock, RECORD_USE_INTERVAL_MS, this.recordUse.bind(this)),
+      timers.runPeriodically(this.clock, SAMPLE_INTERVAL_MS, () => this.sample()),
+      timers.runPeriodically(this.clock, RECORD_USE_INTERVAL_MS, () => this.recordUse()),
     );
   }
 
--- a/src/experiment/run.ts
+++ b/src/experiment/run.ts
@@ -91,7 +91,7 @@
       listChangesPerS: options.listChangesPerS,
     });
     for (let index = 0; index < options.controls; index += 1) this.controls.push(await this.startControl(index, true));
-    await this.waitUntil("the control nodes reach a majority", SETTLE_TIMEOUT_MS, this.isSettled.bind(this));
+    await this.waitUntil("the control nodes reach a majority", SETTLE_TIMEOUT_MS, () => this.isSettled());
     const workers = experiment.workersOf(options);
     for (let worker = 0; worker < workers; worker += 1) {
       const routers: routers.HollowRouterOptions[] = [];
@@ -113,7 +113,7 @@
   private async settle(): Promise<void> {
     const failure = await this.changes.first();
     if (failure) throw failure;
-    await this.waitUntil("the first configuration is in force at all routers", SETTLE_TIMEOUT_MS, this.isInForce.bind(this));
+    await this.waitUntil("the first configuration is in force at all routers", SETTLE_TIMEOUT_MS, () => this.isInForce());
     await timers.sleep(this.clock, QUIET_MS);
   }
 
@@ -136,7 +136,7 @@
   }
 
   private async isSettled(): Promise<boolean> {
-    const all = await Promise.all(this.controls.map(this.statusAt.bind(this)));
+    const all = await Promise.all(this.controls.map((control, index) => this.statusAt(control, index)));
     return all.every(isSettledStatus);
   }
 
@@ -193,7 +193,7 @@
     await this.changes.play(this.options.seconds);
     const controlsAfter = await this.readControls();
     const after = await this.readRouters();
-    await this.waitUntil("the last change is in force at all routers", SETTLE_TIMEOUT_MS, this.isInForce.bind(this));
+    await this.waitUntil("the last change is in force at all routers", SETTLE_TIMEOUT_MS, () => this.isInForce());
     const rest = await this.routerReports();
     for (const [index, control] of this.controls.entries())
       this.add({ role: "control", node: control.name, sharedBy: 1 }, controlsBefore[index], controlsAfter[index]);
@@ -230,7 +230,7 @@
     await timers.sleep(this.clock, RETURN_MS);
     const accounts = await this.routerReports();
     this.outcome.losses.push(losses.lossRow(this.point, manner, lost.name, atMs, followers, accounts));
-    await this.waitUntil("the control nodes reach a majority again", SETTLE_TIMEOUT_MS, this.isSettled.bind(this));
+    await this.waitUntil("the control nodes reach a majority again", SETTLE_TIMEOUT_MS, () => this.isSettled());
   }
 }
 
--- a/src/experiment/runners.ts
+++ b/src/experiment/runners.ts
@@ -18,7 +18,7 @@
 export class RunnerGroup {
   private readonly platform = new platform.StandInPlatform(PAGE);
   private readonly idAt = new Map<string, string>();
-  private readonly front = nodeHttp.createServer({ keepAliveTimeout: 20_000 }, this.onRequest.bind(this));
+  private readonly front = nodeHttp.createServer({ keepAliveTimeout: 20_000 }, (incoming, outgoing) => this.onRequest(incoming, outgoing));
   private readonly sockets = new Set<net.Socket>();
   private readonly listeners: net.Server[] = [];
   private reports = 0;
@@ -30,14 +30,14 @@
   /** Listens at each runner's address, then at the platform's. */
   async start(platformAddress: string, instances: platform.Listed[], listChangesPerS: number): Promise<void> {
     for (const instance of instances) {
-      const server = net.createServer(this.opened.bind(this));
+      const server = net.createServer((socket) => this.opened(socket));
       await listen.listen(server, instance.address);
       this.idAt.set(instance.address, instance.instance_id);
       this.listeners.push(server);
     }
     this.platform.instances = instances;
     await this.platform.start(platformAddress);
-    if (listChangesPerS > 0) this.timer = timers.runPeriodically(this.clock, 1000 / listChangesPerS, this.changeList.bind(this));
+    if (listChangesPerS > 0) this.timer = timers.runPeriodically(this.clock, 1000 / listChangesPerS, () => this.changeList());
   }
 
   private opened(socket: net.Socket): void {
--- a/src/whatif/batch-day.ts
+++ b/src/whatif/batch-day.ts
@@ -74,8 +74,8 @@
   /** Plays the learning days, then every submission to the end of its batch. */
   async play(): Promise<BatchRecord[]> {
     const learningMs = this.scenario.learning_days * loads.DAY_MS;
-    this.world.schedule(0, this.second.bind(this, 0));
-    this.world.schedule(0, this.report.bind(this));
+    this.world.schedule(0, () => this.second(0));
+    this.world.schedule(0, () => this.report());
     const planned: { atMs: number; kind: batchScenario.BatchScenario["batches"][number] }[] = [];
     for (const kind of this.scenario.batches) {
       for (let turn = 0; turn < kind.times; turn += 1)
@@ -156,7 +156,7 @@
     const outcome = steps.submit(this.table, submission);
     if (outcome.isErr) throw outcome.error;
     this.table = outcome.value;
-    this.world.schedule(CHANGE_MS, this.work.bind(this));
+    this.world.schedule(CHANGE_MS, () => this.work());
   }
 
   /** Interactive load over all places. */
@@ -224,6 +224,6 @@
 
   private report(): void {
     for (const cell of this.cells) cell.reportedUse = cell.interactive + cell.batchItems;
-    this.world.schedule(REPORT_MS, this.report.bind(this));
+    this.world.schedule(REPORT_MS, () => this.report());
   }
 }
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -109,7 +109,7 @@
     choice.runner.inflight += 1;
     const tripMs = router.region === model.region ? SAME_REGION_TRIP_MS : this.scenario.trip_ms;
     const send: Send = { router, runner: choice.runner, model, ticket: choice.observer, request, tried, tripMs };
-    this.fleet.clock.schedule(tripMs, this.submit.bind(this, send));
+    this.fleet.clock.schedule(tripMs, () => this.submit(send));
   }
 
   private submit(send: Send): void {
@@ -172,6 +172,6 @@
     const left = this.deadline - world.now();
     const waitMs = Math.min(retryAfterS * 1000, left * HONOURED_SHARE);
     if (this.record.tries >= MAX_TRIES || left - waitMs < MIN_TIME_LEFT_MS) this.record.outcome = "refused";
-    else world.schedule(waitMs, this.start.bind(this));
+    else world.schedule(waitMs, () => this.start());
   }
 }
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -60,8 +60,8 @@
     this.deal();
     this.report();
     this.onTimer();
-    for (const fault of this.scenario.faults) this.clock.schedule(fault.at_s * 1000, this.injectFault.bind(this, fault));
-    for (const kind of this.scenario.kinds) this.clock.schedule(this.gap(kind), this.arrive.bind(this, kind));
+    for (const fault of this.scenario.faults) this.clock.schedule(fault.at_s * 1000, () => this.injectFault(fault));
+    for (const kind of this.scenario.kinds) this.clock.schedule(this.gap(kind), () => this.arrive(kind));
     this.clock.play(this.scenario.length_s * 1000);
     // What is at work at the end is played to its end; nobody new arrives.
     this.clock.play(this.scenario.length_s * 2000 + 60_000);
@@ -77,7 +77,7 @@
       router.share.setRouterCount(this.routers.length);
       this.owner.serve(`router-${index}`, router.share);
     }
-    this.clock.schedule(DEAL_MS, this.deal.bind(this));
+    this.clock.schedule(DEAL_MS, () => this.deal());
   }
 
   private report(): void {
@@ -91,12 +91,12 @@
         router.chooser.admission.applyReport({ region: region.name, reports });
       }
     }
-    this.clock.schedule(REPORT_MS, this.report.bind(this));
+    this.clock.schedule(REPORT_MS, () => this.report());
   }
 
   private onTimer(): void {
     for (const [router, ms] of this.lags) router.chooser.admission.recordLag(ms);
-    this.clock.schedule(TIMER_MS, this.onTimer.bind(this));
+    this.clock.schedule(TIMER_MS, () => this.onTimer());
   }
 
   private injectFault(fault: scenarios.Fault): void {
@@ -139,7 +139,7 @@
 
   private arrive(kind: scenarios.Kind): void {
     if (this.isOver()) return;
-    this.clock.schedule(this.gap(kind), this.arrive.bind(this, kind));
+    this.clock.schedule(this.gap(kind), () => this.arrive(kind));
     const session = `${kind.name}-${Math.floor(this.chance.random() * kind.sessions)}`;
     const size = Math.min(LONGEST_SIZE, 0.5 - 0.5 * Math.log(1 - this.chance.random()));
     const parts: promptParts.PromptPart[] = [
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -75,8 +75,8 @@
   play(): RequestRecord[] {
     this.pushList();
     this.deal();
-    for (const fault of this.scenario.faults) this.world.schedule(fault.at_s * 1000, this.injectFault.bind(this, fault));
-    for (const kind of this.scenario.kinds) this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
+    for (const fault of this.scenario.faults) this.world.schedule(fault.at_s * 1000, () => this.injectFault(fault));
+    for (const kind of this.scenario.kinds) this.world.schedule(this.gap(kind), () => this.arrive(kind));
     this.world.play(this.scenario.length_s * 1000);
     return this.records;
   }
@@ -92,7 +92,7 @@
       router.share.setRouterCount(this.routers.length);
       this.owner.serve(`router-${index}`, router.share);
     }
-    this.world.schedule(DEAL_MS, this.deal.bind(this));
+    this.world.schedule(DEAL_MS, () => this.deal());
   }
 
   private injectFault(fault: scenarios.Fault): void {
@@ -106,11 +106,11 @@
     for (const runner of [...this.runners.values()]) {
       if (runner.region !== fault.region || !runner.isUp) continue;
       runner.lose();
-      this.world.schedule(end, this.replaceRunner.bind(this, runner));
+      this.world.schedule(end, () => this.replaceRunner(runner));
       if (fault.kind === "lose_runner") break;
     }
     // Routers hear of it when the report stays out; until then sends there fail and go on.
-    this.world.schedule(LOSS_DETECTED_MS, this.pushList.bind(this));
+    this.world.schedule(LOSS_DETECTED_MS, () => this.pushList());
   }
 
   private takeBack(region: string): void {
@@ -134,7 +134,7 @@
   }
 
   private arrive(kind: scenarios.Kind): void {
-    this.world.schedule(this.gap(kind), this.arrive.bind(this, kind));
+    this.world.schedule(this.gap(kind), () => this.arrive(kind));
     const session = `${kind.name}-${Math.floor(this.world.random() * kind.sessions)}`;
     const router = this.routers[Math.floor(this.world.random() * this.routers.length)];
     this.requests += 1;
@@ -161,7 +161,7 @@
     if (!model.isUp || model.isFull()) {
       tried.add(model.id);
       choice.runner.recordSilence(this.world.now());
-      this.world.schedule(2 * this.tripMs(router, model), this.send.bind(this, turn));
+      this.world.schedule(2 * this.tripMs(router, model), () => this.send(turn));
       return;
     }
     system.publishReading(this.world, this.routers, router, model.id, request);
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -1,4 +1,7 @@
-// A link between two of the system's own processes: framed, and ended by its own silence (design 3.1).
+/**
+ * A link between two of the system's own processes (design 3.1): one TCP connection with framed one-way messages, calls and
+ * replies. Whoever holds it sends heartbeats and ends it when nothing arrived for `LINK_TIMEOUT_MS`.
+ */
 import * as events from "node:events";
 import * as net from "node:net";
 import * as calls from "./calls.js";
@@ -9,9 +12,9 @@
 import * as log from "../runtime/log.js";
 
 const HEADER_BYTES = 10; // length u32, kind u8, code u8, call id u32
-/** The bound on a frame's body. */
+/** Bound on the body of a frame, in bytes. */
 export const MAX_FRAME_BYTES = 24 * 1024 * 1024;
-/** Each side beats so often, and ends a link that was silent for so long. */
+/** Interval of the heartbeats that each side sends. */
 export const HEARTBEAT_INTERVAL_MS = 300;
 /** A link that was silent for so long is ended. */
 export const LINK_TIMEOUT_MS = 1800;
@@ -20,13 +23,14 @@
 const CALL = 1;
 const REPLY = 2;
 
-type Handler = (link: Link, ask: never) => unknown;
+type Handler = (link: Link, request: never) => unknown;
 
 /** The one table of what a process replies to (design 3.3). */
 export class Handlers {
   private readonly table = new Map<number, Handler>();
-  on<Ask, Reply>(pair: calls.Call<Ask, Reply>, run: (link: Link, ask: Ask) => Promise<Reply | null> | Reply | null): void {
-    this.table.set(pair.code, run);
+  /** Sets the handler of a call; null is no reply. */
+  on<Ask, Reply>(call: calls.Call<Ask, Reply>, run: (link: Link, request: Ask) => Promise<Reply | null> | Reply | null): void {
+    this.table.set(call.code, run);
   }
   get(code: number): Handler | undefined {
     return this.table.get(code);
@@ -34,7 +38,7 @@
 }
 
 interface PendingCall {
-  pair: calls.Call<unknown, unknown>;
+  call: calls.Call<unknown, unknown>;
   resolve(reply: unknown): void;
   timer: types.Timer;
 }
@@ -66,12 +70,13 @@
     this.lastCallId = (firstCallId - 1) >>> 0;
     this.lastReceivedAt = clock.now();
     socket.setNoDelay(true);
-    this.opening = new release.ReleaseHandshake(clock, socket, LINK_TIMEOUT_MS, this.close.bind(this));
-    socket.on("data", this.read.bind(this));
+    this.opening = new release.ReleaseHandshake(clock, socket, LINK_TIMEOUT_MS, (cause) => this.close(cause));
+    socket.on("data", (bytes) => this.read(bytes));
     socket.on("error", (cause) => this.end(cause.message));
     socket.on("close", () => this.end("closed"));
   }
 
+  /** Closes the connection; pending calls resolve with null. */
   end(cause: string): void {
     if (this.isOpen) this.socket.destroy();
     this.close(cause);
@@ -89,6 +94,7 @@
     this.emit("end", cause);
   }
 
+  /** Milliseconds since the last byte arrived. */
   idleMs(): number {
     return this.clock.now() - this.lastReceivedAt;
   }
@@ -108,30 +114,27 @@
     this.socket.write(Buffer.concat([head, body]));
   }
 
-  send<Ask, Reply>(pair: calls.Call<Ask, Reply>, ask: Ask): void {
-    this.writeFrame(ONE_WAY, pair.code, 0, pair.request.toBuffer(ask));
+  /** Sends one way: no reply comes back. */
+  send<Ask, Reply>(call: calls.Call<Ask, Reply>, request: Ask): void {
+    this.writeFrame(ONE_WAY, call.code, 0, call.request.toBuffer(request));
   }
 
-  /** Null when no reply came in time or the link ended: nothing is known then. */
-  call<Ask, Reply>(pair: calls.Call<Ask, Reply>, ask: Ask, withinMs: number): Promise<Reply | null> {
+  /** Resolves with null when no reply came in time or the link ended: whether the call was handled is not known then. */
+  call<Ask, Reply>(call: calls.Call<Ask, Reply>, request: Ask, timeoutMs: number): Promise<Reply | null> {
     if (!this.isOpen) return Promise.resolve(null);
-    const { pendingCalls: waiting, clock: world } = this;
-    const nextCallId = this.nextCallId.bind(this);
-    const write = this.writeFrame.bind(this);
-    return new Promise(function start(resolve) {
-      const body = pair.request.toBuffer(ask);
-      const id = nextCallId();
-      function late(): void {
-        waiting.delete(id);
+    return new Promise((resolve) => {
+      const body = call.request.toBuffer(request);
+      const id = this.nextCallId();
+      const timer = this.clock.schedule(timeoutMs, () => {
+        this.pendingCalls.delete(id);
         resolve(null);
-      }
-      const tick = world.schedule(withinMs, late);
-      waiting.set(id, { pair, resolve, timer: tick });
-      write(CALL, pair.code, id, body);
+      });
+      this.pendingCalls.set(id, { call, resolve, timer });
+      this.writeFrame(CALL, call.code, id, body);
     });
   }
 
-  /** An id that no waiting call of this link has; ids wrap after 2^32 calls. */
+  /** An id that no pending call of this link has; ids wrap after 2^32 calls. */
   private nextCallId(): number {
     do {
       this.lastCallId = (this.lastCallId + 1) >>> 0;
@@ -172,17 +175,17 @@
   }
 
   private take(kind: number, code: number, id: number, body: Buffer): void {
-    const pair = calls.byCode(code);
-    if (!pair || kind > REPLY) {
+    const call = calls.byCode(code);
+    if (!call || kind > REPLY) {
       this.rejectFrame(`unknown frame ${kind}/${code}`);
       return;
     }
     counts.recordReceived(code, body.length);
     try {
-      if (kind === REPLY) this.resolveCall(pair, id, body);
-      else void this.runHandler(pair, kind, id, pair.request.fromBuffer(body));
+      if (kind === REPLY) this.resolveCall(call, id, body);
+      else void this.runHandler(call, kind, id, call.request.fromBuffer(body));
     } catch {
-      this.rejectFrame(`unreadable ${pair.name}`);
+      this.rejectFrame(`unreadable ${call.name}`);
     }
   }
 
@@ -190,55 +193,53 @@
    * A reply whose call was given up, or that was there already, is dropped. A reply of another kind than its call, or
    * one that can't be read, ends the link, and with it the call, which still waits.
    */
-  private resolveCall(pair: calls.Call<unknown, unknown>, id: number, body: Buffer): void {
+  private resolveCall(call: calls.Call<unknown, unknown>, id: number, body: Buffer): void {
     const item = this.pendingCalls.get(id);
     if (!item) {
       log.count("link.late_reply");
       return;
     }
-    if (item.pair.code !== pair.code) {
-      this.rejectFrame(`a reply of ${pair.name} to a call of ${item.pair.name}`);
+    if (item.call.code !== call.code) {
+      this.rejectFrame(`a reply of ${call.name} to a call of ${item.call.name}`);
       return;
     }
-    const reply = pair.reply.fromBuffer(body);
+    const reply = call.reply.fromBuffer(body);
     this.pendingCalls.delete(id);
     item.timer.stop();
     item.resolve(reply);
   }
 
-  private async runHandler(pair: calls.Call<unknown, unknown>, kind: number, id: number, ask: unknown): Promise<void> {
-    const run = this.handlers.get(pair.code);
+  private async runHandler(call: calls.Call<unknown, unknown>, kind: number, id: number, request: unknown): Promise<void> {
+    const run = this.handlers.get(call.code);
     if (!run) return;
     try {
-      const reply = await run(this, ask as never);
-      if (kind === CALL && reply !== null) this.writeFrame(REPLY, pair.code, id, pair.reply.toBuffer(reply));
+      const reply = await run(this, request as never);
+      if (kind === CALL && reply !== null) this.writeFrame(REPLY, call.code, id, call.reply.toBuffer(reply));
     } catch (cause) {
       log.count("link.handler_failed");
-      log.state(`${pair.name} failed: ${errors.messageOf(cause)}`);
+      log.state(`${call.name} failed: ${errors.messageOf(cause)}`);
     }
   }
 }
 
-/** Dials; null where nothing came up in time. */
-export function connect(clock: types.Clock, address: string, handlers: Handlers, withinMs: number): Promise<Link | null> {
+/** Opens a connection; resolves with null where none came up in time. */
+export function connect(clock: types.Clock, address: string, handlers: Handlers, timeoutMs: number): Promise<Link | null> {
   log.count("link.dials");
-  return new Promise(function start(resolve) {
+  return new Promise((resolve) => {
     const socket = net.connect({ host: types.hostOf(address), port: types.portOf(address) });
-    function giveUp(): void {
+    const timer = clock.schedule(timeoutMs, () => {
       socket.destroy();
       resolve(null);
-    }
-    const tick = clock.schedule(withinMs, giveUp);
-    function failed(): void {
-      tick.stop();
+    });
+    function onError(): void {
+      timer.stop();
       resolve(null);
     }
-    function opened(): void {
-      tick.stop();
-      socket.removeListener("error", failed);
+    socket.once("error", onError);
+    socket.once("connect", () => {
+      timer.stop();
+      socket.removeListener("error", onError);
       resolve(new Link(clock, socket, handlers));
-    }
-    socket.once("error", failed);
-    socket.once("connect", opened);
+    });
   });
 }
--- a/src/wire/release.ts
+++ b/src/wire/release.ts
@@ -47,7 +47,7 @@
     private readonly deny: (cause: string) => void,
   ) {
     this.host = socket.remoteAddress ?? "an unknown host";
-    this.timer = clock.schedule(withinMs, this.onTimeout.bind(this));
+    this.timer = clock.schedule(withinMs, () => this.onTimeout());
     socket.write(preamble(schema.RELEASE));
   }
 
