--- a/tests/client-cancellation.test.ts
+++ b/tests/client-cancellation.test.ts
@@ -18,7 +18,7 @@
 }
 
 test.each<["reset" | "end"]>([["reset"], ["end"]])(
-  "a request that waits at a start is dropped when its client leaves by %s",
+  "a request that waits for the first configuration is dropped when its client closes by %s",
   async (how) => {
     edge.isReady = false;
     const client = net.connect(edge.server.port, "127.0.0.1");
@@ -35,7 +35,7 @@
   },
 );
 
-test("a request that waits is served once the router is ready", async () => {
+test("a request that waits for the first configuration is served once the router is ready", async () => {
   edge.isReady = false;
   const told = edge.send(REQUEST.replace("Host: h", "Host: h\r\nConnection: close"));
   await until(() => edge.server.activeCount === 1);
--- a/tests/header-rules.test.ts
+++ b/tests/header-rules.test.ts
@@ -26,7 +26,7 @@
   ["X-Cranewind-Tenant", "somebody-else", false],
 ];
 
-test.each(HEADERS)("header %s: %s is passed on: %s", function header(name, value, isKept) {
+test.each(HEADERS)("header %s: %s is forwarded: %s", (name, value, isKept) => {
   const raw = ["Connection", CONNECTION, name, value];
   const made = headerRules.buildRequestHeaders(raw, CONNECTION, { target: "i-1", budgetMs: 12, rank: 1, lastEventId: null, tenant: null });
   expect(made.includes(value) && made.includes(name)).toBe(isKept);
--- a/tests/idle-timeout.test.ts
+++ b/tests/idle-timeout.test.ts
@@ -8,8 +8,8 @@
 let clock: sim.SimWorld;
 beforeEach(() => (clock = new sim.SimWorld()));
 
-describe("the limit of a service", () => {
-  test("nothing is learned at first, and nothing from short idle times or late resets", () => {
+describe("the learned idle limit of a service", () => {
+  test("learns nothing from short idle times or late resets", () => {
     const limit = new idleTimeout.IdleTimeout(clock, USUAL);
     expect(limit.maxIdleMs()).toBe(Infinity);
     limit.recordReset(249, 5);
@@ -17,7 +17,7 @@
     expect(limit.maxIdleMs()).toBe(Infinity);
   });
 
-  test("four fifths of the least time count, and go back up over a minute", () => {
+  test("is four fifths of the shortest idle time that was reset, and rises to the default over a minute", () => {
     const limit = new idleTimeout.IdleTimeout(clock, USUAL);
     limit.recordReset(2000, 50);
     expect(limit.maxIdleMs()).toBe(1600);
@@ -35,7 +35,7 @@
     expect(limit.maxIdleMs()).toBe(Infinity);
   });
 
-  test("services learn for themselves", () => {
+  test("is learned for each service apart", () => {
     const limits = new idleTimeout.IdleTimeouts(clock, USUAL);
     limits.ofService("a").recordReset(1000, 1);
     expect([limits.ofService("a").maxIdleMs(), limits.ofService("b").maxIdleMs()]).toEqual([800, Infinity]);
@@ -90,14 +90,14 @@
 describe("connections", () => {
   useConnections();
 
-  test("by default the freshest is reused, whatever the request", () => {
+  test("the connection used last is reused by default, for any request", () => {
     const [first, second] = two(500, 3000);
     expect(kept.acquire(4, false)).toBe(second);
     expect(kept.acquire(4, true)).toBe(first);
     expect([second.idleMs, first.idleMs]).toEqual([3000, 3500]);
   });
 
-  test("with a learned limit, what may not run twice leaves older ones to the rest", () => {
+  test("with a learned limit, requests that are not repeatable leave older connections to the others", () => {
     const [first, second] = two(500, 1000);
     limit.recordReset(1000, 10);
     const fresh = kept.acquire(4, false)!;
@@ -109,7 +109,7 @@
     expect(kept.acquire(4, false)).toBe(fresh);
   });
 
-  test("at the bound, the one idle for longest gives its place to a new one", () => {
+  test("at the maximum, the connection that was idle for longest is closed for a new one", () => {
     const [first, second] = two(500, 1000);
     limit.recordReset(1000, 10);
     const fresh = kept.acquire(2, false)!;
@@ -122,7 +122,7 @@
 describe("connections", () => {
   useConnections();
 
-  test("what the runner told bounds the reuse for all", () => {
+  test("the Keep-Alive of the runner limits the reuse for all requests", () => {
     const made = kept.acquire(4)!;
     kept.release(made, true, "timeout=3");
     clock.skip(2000);
@@ -133,7 +133,7 @@
     expect(made.isClosed).toBe(true);
   });
 
-  test("a break teaches only on a kept connection", () => {
+  test("only a reset of a reused connection is learned from", () => {
     const made = kept.acquire(4)!;
     clock.skip(2000);
     kept.recordReset(made);
@@ -147,7 +147,7 @@
   });
 });
 
-describe("with a runner that forgets connections idle for over 1.5 s", () => {
+describe("a runner that closes connections idle for over 1.5 s", () => {
   let edge: routerEdge.Edge;
   let asked = 0;
   beforeEach(async () => {
@@ -165,7 +165,7 @@
     return reply.slice(9, 12);
   }
 
-  test("one send is lost, the next ones open connections of their own; none runs twice", async () => {
+  test("loses one request; the next ones open new connections, and none runs twice", async () => {
     expect(await ask("once", 0)).toBe("200");
     expect(await ask("once", 1000)).toBe("200");
     expect(edge.runners[0].opened).toBe(1);
@@ -179,7 +179,7 @@
     expect(ids).not.toContain("q3");
   });
 
-  test("what is repeatable goes on reusing, and teaches what is not", async () => {
+  test("is still reached over reused connections by repeatable requests, from which the others learn", async () => {
     expect(await ask("once", 0)).toBe("200");
     await ask("read", 2000);
     expect(edge.seen()).toHaveLength(1); // reset unread; the only runner was tried
--- a/tests/outlier-detection.test.ts
+++ b/tests/outlier-detection.test.ts
@@ -47,14 +47,14 @@
   const played = new simulatedRunners.RunnersSim({ ...SHAPE, play });
   beforeAll(() => played.play(END_S + 11));
 
-  test("requests go elsewhere after a second or two", () => {
+  test("requests go to other runners after a second or two", () => {
     const before = played.sentShare(0, ONSET_S, isBad);
     expect(before).toBeGreaterThan(0.07);
     expect(played.sentShare(ONSET_S + 2, END_S, isBad)).toBeLessThan(before * 0.25);
     expect(played.badShare(ONSET_S + 2, END_S)).toBeLessThan(bound);
   });
 
-  test("good runners stay, recovered ones are back to full within seconds, and states settle", () => {
+  test("good runners stay in use, recovered ones are fully used within seconds, and states settle", () => {
     expect(played.changes.filter(([, , id, to]) => isGood(id) && to === "ejected").length).toBeLessThanOrEqual(2);
     expect(played.changes.some(([, , id, to]) => isBad(id) && to === "ejected")).toBe(true);
     expect(played.sentShare(END_S + 6, END_S + 11, isBad)).toBeGreaterThan(played.sentShare(0, ONSET_S, isBad) * 0.75);
@@ -66,7 +66,7 @@
   });
 });
 
-test("trouble of a whole region ejects at most a third of it, and no good runner elsewhere", () => {
+test("a fault of a whole region ejects at most a third of its runners, and no good runner elsewhere", () => {
   const play: simulatedRunners.Play = (runner, _router, now, chance) =>
     runner.region === "r1" && during(now) && chance < 0.5 ? "error" : "fine";
   const played = new simulatedRunners.RunnersSim({ ...SHAPE, play });
@@ -80,7 +80,7 @@
   }
 });
 
-test("a few failures all over the fleet eject next to nothing", () => {
+test("a few failures all over the fleet eject hardly any runner", () => {
   const play: simulatedRunners.Play = (_runner, _router, _now, chance) => (chance < 0.03 ? "cut" : "fine");
   const played = new simulatedRunners.RunnersSim({ ...SHAPE, play });
   played.play(20);
@@ -89,7 +89,7 @@
   expect(outs).toBeLessThan(12 * 24 * 0.1);
 });
 
-test("reports that call good runners ill leave them in use at lower preference", () => {
+test("good runners that are reported as failing stay in use at lower preference", () => {
   const isSpeaking = (id: string, now: number): boolean => !(isBad(id) && during(now));
   const played = new simulatedRunners.RunnersSim({ ...SHAPE, play: () => "fine", isSpeaking });
   played.play(END_S + 3);
@@ -101,7 +101,7 @@
   expect(played.sentShare(END_S + 1, END_S + 3, isBad)).toBeGreaterThan(usual * 0.7);
 });
 
-test("a way that is silent from one router alone is left there, and nobody else hears of it", () => {
+test("a network path that fails from one router alone is avoided there, and other routers are not told", () => {
   const play: simulatedRunners.Play = (runner, router, now) => (router === 0 && isBad(runner.id) && during(now) ? "unreached" : "fine");
   const played = new simulatedRunners.RunnersSim({ ...SHAPE, play });
   played.play(END_S + 8);
@@ -111,7 +111,7 @@
   expect(played.states(isBad).filter((state) => state !== "good")).toEqual([]);
 });
 
-function cohortOf(count: number): outlierDetection.OutlierDetector[] {
+function peersOf(count: number): outlierDetection.OutlierDetector[] {
   const cohort = new peerGroup.PeerGroup();
   return Array.from({ length: count }, (_item, index) => {
     const made = new outlierDetection.OutlierDetector(types.small(`i-${index}`));
@@ -128,25 +128,25 @@
   [9, 3],
   [10, 3],
 ])("of %s runners at most %s are ejected", (count, most) => {
-  const all = cohortOf(count);
+  const all = peersOf(count);
   for (let at = 0; at < 2000; at += 100) for (const [index, item] of all.entries()) item.recordFailure("error", at + index * 3, false);
   expect(all.filter((item) => item.update(2000) === "ejected").length).toBeLessThanOrEqual(most);
 });
 
-test.each([...failureKind.FAILURE_WEIGHTS.keys()])("one sign of %s alone ejects nobody", (sign) => {
-  const [first] = cohortOf(9);
-  first.recordFailure(sign, 10, false);
+test.each([...failureKind.FAILURE_WEIGHTS.keys()])("one failure of kind %s alone ejects nobody", (kind) => {
+  const [first] = peersOf(9);
+  first.recordFailure(kind, 10, false);
   expect(["good", "suspected"]).toContain(first.update(11));
 });
 
-test.each([...failureKind.LOAD_RELATED_FAILURES])("%s of a runner with much to do says nothing", (sign) => {
-  const [first] = cohortOf(9);
-  for (let at = 0; at < 3000; at += 100) first.recordFailure(sign, at, true);
+test.each([...failureKind.LOAD_RELATED_FAILURES])("a failure of kind %s is ignored for a runner under load", (kind) => {
+  const [first] = peersOf(9);
+  for (let at = 0; at < 3000; at += 100) first.recordFailure(kind, at, true);
   expect([first.update(3000), first.rates(3000).score]).toEqual(["good", 0]);
 });
 
-test("one telling ejects nobody, two of different routers do, and many good replies of its own outweigh them", () => {
-  const [told, alone, known] = cohortOf(9);
+test("one report ejects nobody, two of different routers do, and many successes of its own outweigh them", () => {
+  const [told, alone, known] = peersOf(9);
   alone.recordRemoteReport(0);
   alone.recordRemoteReport(1000);
   expect(alone.update(1001)).toBe("suspected");
@@ -158,8 +158,8 @@
   expect(known.update(80)).toBe("suspected");
 });
 
-test("each ejection within a while is longer, probation comes by steps, repeatable requests first", () => {
-  const [first] = cohortOf(9);
+test("each ejection within a while is longer, and probation admits by steps, repeatable requests first", () => {
+  const [first] = peersOf(9);
   const lengths: number[] = [];
   let now = 0;
   for (let turn = 0; turn < 5; turn += 1) {
@@ -186,8 +186,8 @@
   expect(first.update(now + 2500)).toBe("good");
 });
 
-test("an answer of the runner's own failure clears no suspicion, a whole success does", () => {
-  const [first] = cohortOf(9);
+test("a success ends the backoff after a failure", () => {
+  const [first] = peersOf(9);
   first.recordFailure("error", 10, false);
   expect(first.isFailing(20)).toBe(true);
   first.recordSuccess(30);
--- a/tests/request-validation.test.ts
+++ b/tests/request-validation.test.ts
@@ -137,7 +137,7 @@
   ],
 ];
 
-test.each(TAKEN)("%s reaches one runner as it should", async (_name, text, expected) => {
+test.each(TAKEN)("%s reaches one runner in the expected form", async (_name, text, expected) => {
   const { host, ...same } = expected;
   const reply = await edge.send(text);
   expect(reply).toMatch(/^HTTP\/1\.1 200 /);
@@ -161,7 +161,7 @@
   expect(edge.seen().map((seen) => seen.requestId)).toEqual(["q1"]);
 });
 
-test("more bytes after a request that closes do not take the place of its reply", async () => {
+test("more bytes after a request that closes do not replace its response", async () => {
   const reply = await edge.send(
     request(POST, `Host: h\r\n${CLOSE}${ID}Content-Length: 0\r\n`) + request(POST, `Host: h\r\nX-Cranewind-Request-Id: q2\r\n`),
   );
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -15,7 +15,7 @@
 import * as schema from "../src/wire/schema.js";
 import * as sim from "./sim/world.js";
 
-test("whole events only, whatever the pieces", function cutter() {
+test("only complete events are forwarded, whatever the chunks", () => {
   const text = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\nid: 3\ndata: c";
   for (let size = 1; size < 9; size += 1) {
     const cut = new eventSplitter.EventSplitter();
@@ -53,7 +53,7 @@
   { id: 2, kind: leaseSchema.COLD, key: "i-1", amount: 1, lifeMs: 900 },
 ];
 
-test("leases expire from when they were asked for: a cut-off or new router sends nothing to cold runners and repeats only its own part", async function expired() {
+test("leases expire counted from their request: a partitioned or new router sends nothing to runners that warm up and retries only within its own share", async function expired() {
   const clock = new sim.SimWorld(1);
   const share = new leasedLimits.LeasedLimits(clock, BOUNDS);
   expect([share.takeWarmUpSend("i-1", 9.8), share.takeRetry("s"), share.canRetry("s")]).toEqual([false, false, false]);
@@ -83,7 +83,7 @@
   expect([share.takeRetry("s"), share.takeRetry("s"), share.takeRetry("s")]).toEqual([true, true, false]);
 });
 
-test("a try given back can be taken again, and is told as unused; once its lease's end is told it is gone", async function back() {
+test("a returned retry can be taken again and is reported as unused; after the end of its lease it is lost", async () => {
   const clock = new sim.SimWorld(1);
   const share = new leasedLimits.LeasedLimits(clock, BOUNDS);
   share.grant({ life: "o", isGranting: true, grants: GRANTS.slice(0, 1) }, 0);
@@ -99,7 +99,7 @@
   expect([share.canRetry("s"), share.takeRetry("s"), share.takeRetry("s")]).toEqual([true, true, false]);
 });
 
-test("a zone drains in steps well inside the bound and comes back in steps", async function steps() {
+test("a zone is drained in steps well within the bound and comes back in steps", async () => {
   const clock = new sim.SimWorld(1);
   const rotation = new zoneRotation.ZoneRotation(clock);
   const seen: number[] = [];
@@ -118,7 +118,7 @@
   expect(back).toEqual([10, 25, 50, 75, 100]);
 });
 
-test("a restarted router takes an evacuated zone as out from the start", function first() {
+test("a restarted router sends nothing to an evacuated zone from the start", () => {
   const rotation = new zoneRotation.ZoneRotation(new sim.SimWorld(1));
   rotation.applyEvacuations(["z"], true);
   expect(rotation.percentOf("z")).toBe(0);
@@ -138,7 +138,7 @@
   };
 }
 
-test("a runner never goes back from draining or gone, however old the next list is", function never() {
+test("a runner never returns from draining or gone, however old the next membership is", () => {
   const fleet = new runnerFleet.RunnerFleet(new sim.SimWorld(1), new Map([["z", "r"]]));
   fleet.applySnapshot([instance("i-1"), instance("i-2")]);
   fleet.applySnapshot([instance("i-1", { isDraining: true })]);
@@ -146,7 +146,7 @@
   expect(fleet.ofService("s").map((runner) => [runner.id, runner.status])).toEqual([["i-1", "draining"]]);
 });
 
-test("changes of the list are acted on at once; others' runners stay as they are", async () => {
+test("changes of the membership take effect at once; runners of other services stay as they are", async () => {
   const clock = new sim.SimWorld(1);
   const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
   const seen = (): string[] => fleet.ofService("s").map((runner) => `${runner.id} ${runner.status}`);
@@ -166,7 +166,7 @@
   expect(seen()).toEqual(["i-1 draining", "i-2 ready", "i-3 ready"]);
 });
 
-test("a runner that is gone twice does not come back", async () => {
+test("a runner that was removed twice does not come back", async () => {
   const clock = new sim.SimWorld(1);
   const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
   fleet.applyChanges([instance("i-1")], []);
@@ -178,7 +178,7 @@
   expect([...fleet.all()]).toEqual([]);
 });
 
-test("a cell past its threshold is tried last; back after a while it comes in by steps, after a short doubt at once", () => {
+test("a cell past its threshold is used last; after a long absence it comes back by steps, after a short one at once", () => {
   const fleet = new runnerFleet.RunnerFleet(
     new sim.SimWorld(1),
     new Map([
@@ -215,7 +215,7 @@
   expect([8100, 8700, 9200, 9700, 10_200].map(share)).toEqual([10, 30, 50, 70, 100]);
 });
 
-test("a lost cell moves only its own keys", function rendezvous() {
+test("a lost cell moves only its own keys", () => {
   const all = new Map([
     ["a", 6],
     ["b", 4],
@@ -263,14 +263,14 @@
   return { node: item, isConfirmed: true };
 }
 
-test("the directory: near and ready first, others when there are none, and never empty", function nearest() {
+test("the directory lists near and ready routers first, others when there are none, and is never empty", () => {
   const all = [node("a", "r", true), node("b", "r", false), node("c", "q", true)].map(heard);
   expect(directory.nearestRouters(all, { region: "r", zone: "r-1" }).map((item) => item.name)).toEqual(["a"]);
   expect(directory.nearestRouters(all, { region: "p", zone: "p-1" }).map((item) => item.name)).toEqual(["a", "c"]);
   expect(directory.nearestRouters([heard(node("b", "r", false))], { region: "q", zone: "q-1" }).map((item) => item.name)).toEqual(["b"]);
 });
 
-test("who votes: two joiners grow an odd core at once, one alone waits, an even core sheds a silent voter", function voters() {
+test("two learners join an odd set of voters at once, one alone waits, and an even set removes a silent voter", () => {
   const value = registerValue.initialValue(["a:1", "b:1", "c:1"]);
   const joiner = { disk: "d", node: "d", address: "d:1", isCounted: true, isReady: true };
   const other = { disk: "e", node: "e", address: "e:1", isCounted: true, isReady: true };
