--- a/tests/contact-random.test.ts
+++ b/tests/contact-random.test.ts
@@ -1,7 +1,7 @@
 // Random cuts, freezes and changes: no node says that it is confirmed with a configuration that is older than any change
 // acknowledged before the bound (design/hardening/1-cut-off).
 import * as quorumConfirmation from "../src/register/quorum-confirmation.js";
-import * as members from "./sim/members.js";
+import * as simControlNode from "./sim/sim-control-node.js";
 import * as networks from "./sim/network.js";
 import * as sim from "./sim/world.js";
 
@@ -14,16 +14,16 @@
 
 interface Seen {
   acknowledged: Acknowledged[];
-  said: (members.Said & { name: string })[];
+  said: (simControlNode.PublishedHeartbeat & { name: string })[];
 }
 
-async function play(seed: number, count: number, broken: members.Broken): Promise<Seen> {
+async function play(seed: number, count: number, broken: simControlNode.Broken): Promise<Seen> {
   const clock = new sim.SimWorld(seed * 7919 + 17);
   const network = new networks.SimNetwork(clock);
   const names = ["a", "b", "c", "d", "e"].slice(0, count);
-  const nodes = names.map((name) => new members.ControlNode(network, name, { seeds: names, region: name, broken }));
+  const nodes = names.map((name) => new simControlNode.ControlNode(network, name, { seeds: names, region: name, broken }));
   const acknowledged: Acknowledged[] = [];
-  const zones = [...members.ZONES];
+  const zones = [...simControlNode.ZONES];
   function pick<T>(all: readonly T[]): T {
     return all[Math.floor(clock.random() * all.length)];
   }
@@ -50,12 +50,12 @@
     } else void change();
     await clock.play(500);
   }
-  const said = nodes.flatMap((node) => node.said.map((word) => ({ ...word, name: node.name })));
+  const said = nodes.flatMap((node) => node.publishedHeartbeats.map((word) => ({ ...word, name: node.name })));
   return { acknowledged, said };
 }
 
 /** What was said as confirmed though an older acknowledged change is missing in it. */
-function stale({ acknowledged, said }: Seen): members.Said[] {
+function stale({ acknowledged, said }: Seen): simControlNode.PublishedHeartbeat[] {
   return said.filter((word) => {
     const isMissed = (item: Acknowledged): boolean => item.at <= word.at - quorumConfirmation.MAX_ANSWER_AGE_MS && item.epoch > word.epoch;
     return word.isSettled && acknowledged.some(isMissed);
@@ -78,8 +78,11 @@
   expect(confirmed).toBeGreaterThan(50 * SEEDS.length);
 });
 
-test.each<members.Broken>(["always_confirmed", "no_bound", "any_epoch"])("the guard %s is seen when it is broken", async (broken) => {
-  let found = 0;
-  for (const seed of SEEDS) if (found === 0) found += stale(await play(seed, 3, broken)).length;
-  expect(found).toBeGreaterThan(0);
-});
+test.each<simControlNode.Broken>(["always_confirmed", "no_bound", "any_epoch"])(
+  "the guard %s is seen when it is broken",
+  async (broken) => {
+    let found = 0;
+    for (const seed of SEEDS) if (found === 0) found += stale(await play(seed, 3, broken)).length;
+    expect(found).toBeGreaterThan(0);
+  },
+);
--- a/tests/contact.test.ts
+++ b/tests/contact.test.ts
@@ -3,7 +3,7 @@
 import * as quorumConfirmation from "../src/register/quorum-confirmation.js";
 import type * as serve from "../src/wire/serve.js";
 import * as serveGate from "../src/router/serve-gate.js";
-import * as members from "./sim/members.js";
+import * as simControlNode from "./sim/sim-control-node.js";
 import * as routerNode from "./sim/router-node.js";
 import * as systems from "./sim/system.js";
 
@@ -14,11 +14,11 @@
 test("at a first start of all, each node is confirmed within a few beats and routers start at once", async () => {
   const system = await systems.start();
   for (const node of system.controls.values()) {
-    const first = node.said.find((word) => word.isSettled);
+    const first = node.publishedHeartbeats.find((word) => word.isSettled);
     expect(first?.at).toBeLessThan(2000);
     expect(node.contact.isConfirmed()).toBe(true);
   }
-  const confirmedAt = Math.max(...[...system.controls.values()].map((node) => node.said.find((word) => word.isSettled)!.at));
+  const confirmedAt = Math.max(...[...system.controls.values()].map((node) => node.publishedHeartbeats.find((word) => word.isSettled)!.at));
   for (const { openedAt } of system.routers) {
     expect(openedAt).toBeGreaterThan(0);
     expect(openedAt).toBeLessThan(confirmedAt + 400);
@@ -26,7 +26,7 @@
 });
 
 /** Cut off for 20 s while the majority takes changes, then healed: whatever is not as it should be. */
-async function cutFaults(broken: members.Broken): Promise<string[]> {
+async function cutFaults(broken: simControlNode.Broken): Promise<string[]> {
   const system = await systems.start({ broken });
   const { clock, network } = system;
   const faults = new Set<string>();
@@ -43,7 +43,7 @@
     if (near.main === "a" || near.epoch !== b.epoch) faults.add("its router stays behind");
   }
   await clock.play(cutAt + CUT_MS - clock.now());
-  if (a.said.some((word) => word.isSettled && word.at > cutAt + BOUND_MS)) faults.add("it says that it is confirmed");
+  if (a.publishedHeartbeats.some((word) => word.isSettled && word.at > cutAt + BOUND_MS)) faults.add("it says that it is confirmed");
   for (const [method, path] of [
     ["POST", "/-/Evacuations.Start/z4"],
     ["GET", "/-/Config.Describe"],
@@ -57,9 +57,9 @@
     await clock.play(5);
     if (a.contact.isConfirmed() && a.epoch !== b.epoch) faults.add("it counts as confirmed before it caught up");
   }
-  const again = a.said.find((word) => word.isSettled && word.at > cutAt + CUT_MS);
+  const again = a.publishedHeartbeats.find((word) => word.isSettled && word.at > cutAt + CUT_MS);
   if (!again || again.at > cutAt + CUT_MS + 3000) faults.add("it isn't confirmed again in time");
-  if (a.core.chosen?.evacuations.join() !== changes.join()) faults.add("it holds other evacuations");
+  if (a.replica.chosen?.evacuations.join() !== changes.join()) faults.add("it holds other evacuations");
   if (near.main !== "a") faults.add("its router doesn't come back");
   return [...faults];
 }
@@ -69,7 +69,7 @@
 });
 
 // The third guard, any_epoch, is seen by contact-random.test.ts: here a node catches up before its first answers come.
-test.each<[members.Broken, string]>([
+test.each<[simControlNode.Broken, string]>([
   ["always_confirmed", "it says that it is confirmed"],
   ["no_bound", "it counts as confirmed"],
 ])("the guard %s is seen when it is broken", async (broken, fault) => {
@@ -220,7 +220,7 @@
   await clock.play(400);
   expect([307, 503]).toContain(reply!.status);
   await clock.play(4000);
-  const first = a.said.find((word) => word.isSettled && word.at >= thawedAt);
+  const first = a.publishedHeartbeats.find((word) => word.isSettled && word.at >= thawedAt);
   expect(first?.epoch).toBe(systems.get(system, "b").epoch);
-  expect(a.core.chosen?.evacuations).toContain("z1");
+  expect(a.replica.chosen?.evacuations).toContain("z1");
 });
--- a/tests/leaving.test.ts
+++ b/tests/leaving.test.ts
@@ -2,10 +2,10 @@
 import * as singletonRole from "../src/control/platform/singleton-role.js";
 import * as calls from "../src/wire/calls.js";
 import type * as leaseSchema from "../src/wire/lease-schema.js";
-import type * as members from "./sim/members.js";
+import type * as simControlNode from "./sim/sim-control-node.js";
 import * as systems from "./sim/system.js";
 
-function isGranting(node: members.ControlNode): boolean {
+function isGranting(node: simControlNode.ControlNode): boolean {
   const ask: leaseSchema.LeaseAsk = { router: "r", life: "", needs: [], done: [] };
   const reply = node.handlers.get(calls.lease.code)!(null as never, ask as never) as leaseSchema.LeaseReply;
   return reply.isGranting;
@@ -17,7 +17,7 @@
   const [a, b] = [systems.get(system, "a"), systems.get(system, "b")];
   expect(b.fitness(a)).toBe(singletonRole.CONFIRMED);
   expect(isGranting(a)).toBe(true);
-  a.leave();
+  a.drain();
   expect([isGranting(a), isGranting(b)]).toEqual([false, true]);
   await clock.play(20);
   expect(b.fitness(a)).toBe(singletonRole.DRAINING);
--- a/tests/orders-faults.test.ts
+++ b/tests/orders-faults.test.ts
@@ -2,7 +2,7 @@
 // (design/hardening/2-orders).
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
-import * as cores from "./sim/core.js";
+import * as simRegister from "./sim/sim-register.js";
 import * as operators from "./sim/operators.js";
 import * as sim from "./sim/world.js";
 
@@ -23,7 +23,7 @@
   return promise;
 }
 
-function mend(core: cores.SimCore): void {
+function mend(core: simRegister.SimRegister): void {
   core.cuts.clear();
   for (const node of core.nodes.values()) {
     node.isUp = true;
@@ -32,7 +32,7 @@
 }
 
 /** One fault at a time, so that a majority is left; restarts may be of all. */
-function fault(core: cores.SimCore): void {
+function fault(core: simRegister.SimRegister): void {
   const { clock } = core;
   const nodes = [...core.nodes.values()];
   const node = nodes[Math.floor(clock.random() * nodes.length)];
@@ -63,7 +63,7 @@
 
 async function playSeed(seed: number): Promise<{ faults: string[]; answered: Answered[] }> {
   const clock = new sim.SimWorld(seed);
-  const core = new cores.SimCore(clock, ADDRESSES);
+  const core = new simRegister.SimRegister(clock, ADDRESSES);
   const desk = new operators.Operators(core);
   const answered: Answered[] = [];
   core.lossShare = 0.05;
--- a/tests/orders.test.ts
+++ b/tests/orders.test.ts
@@ -1,7 +1,7 @@
 // Orders of operators: races, orders sent again, answers lost, restarts (design/hardening/2-orders).
 import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import * as registerValue from "../src/register/register-value.js";
-import * as cores from "./sim/core.js";
+import * as simRegister from "./sim/sim-register.js";
 import * as operators from "./sim/operators.js";
 import * as sim from "./sim/world.js";
 
@@ -9,13 +9,13 @@
 
 interface Scene {
   clock: sim.SimWorld;
-  core: cores.SimCore;
+  core: simRegister.SimRegister;
   desk: operators.Operators;
 }
 
 function sceneOf(seed: number, addresses = ADDRESSES): Scene {
   const clock = new sim.SimWorld(seed);
-  const core = new cores.SimCore(clock, addresses);
+  const core = new simRegister.SimRegister(clock, addresses);
   return { clock, core, desk: new operators.Operators(core) };
 }
 
--- a/tests/register-faults.test.ts
+++ b/tests/register-faults.test.ts
@@ -6,8 +6,8 @@
 import * as orderHistory from "../src/register/order-history.js";
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
-import * as core from "./sim/core.js";
-import * as membership from "./sim/membership.js";
+import * as simRegister from "./sim/sim-register.js";
+import * as voterFleet from "./sim/voter-fleet.js";
 import * as sim from "./sim/world.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
@@ -29,9 +29,9 @@
 
 class Play {
   private readonly clock: sim.SimWorld;
-  private readonly fleet: membership.Fleet;
+  private readonly fleet: voterFleet.Fleet;
   private readonly acknowledged: Acknowledged[] = [];
-  private lost: membership.Member | null = null;
+  private lost: voterFleet.Member | null = null;
   private isOver = false;
   /** No new changes while the core comes back to full strength. */
   private isPaused = false;
@@ -39,7 +39,7 @@
 
   constructor(seed: number) {
     this.clock = new sim.SimWorld(seed * 7919);
-    this.fleet = new membership.Fleet(new core.SimCore(this.clock, ADDRESSES));
+    this.fleet = new voterFleet.Fleet(new simRegister.SimRegister(this.clock, ADDRESSES));
     for (let spare = 0; spare < seed % 3; spare += 1) this.fleet.join(`${"de"[spare]}:1`);
     this.fleet.made.lossShare = [0.02, 0.1, 0.3][seed % 3];
   }
@@ -60,7 +60,7 @@
     return this.verdict();
   }
 
-  private pick(): membership.Member {
+  private pick(): voterFleet.Member {
     return this.fleet.members[Math.floor(this.clock.random() * this.fleet.members.length)];
   }
 
--- a/tests/register-joint.test.ts
+++ b/tests/register-joint.test.ts
@@ -8,22 +8,22 @@
 import * as registerValue from "../src/register/register-value.js";
 import * as acceptor from "../src/register/acceptor.js";
 import * as schema from "../src/wire/schema.js";
-import * as core from "./sim/core.js";
+import * as simRegister from "./sim/sim-register.js";
 import * as sim from "./sim/world.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
-type Nodes = Record<"a" | "b" | "c" | "d" | "e", core.SimNode>;
+type Nodes = Record<"a" | "b" | "c" | "d" | "e", simRegister.SimNode>;
 
 interface Made {
   clock: sim.SimWorld;
-  made: core.SimCore;
+  made: simRegister.SimRegister;
   nodes: Nodes;
 }
 
 /** Voters a, b and c hold revision 1; d and e have blank disks. */
 async function start(seed: number): Promise<Made> {
   const clock = new sim.SimWorld(seed);
-  const made = new core.SimCore(clock, ADDRESSES);
+  const made = new simRegister.SimRegister(clock, ADDRESSES);
   const [a, b, c] = [...made.nodes.values()];
   await ended(clock, a.proposer.change(setTo(0, 1, "first"), 3000));
   await clock.play(1000);
@@ -51,27 +51,27 @@
   return promise;
 }
 
-function voterOf(node: core.SimNode): schema.Voter {
+function voterOf(node: simRegister.SimNode): schema.Voter {
   return { disk: node.voter!.disk, node: node.address, address: node.address };
 }
 
-function valueAt(node: core.SimNode): schema.Value {
+function valueAt(node: simRegister.SimNode): schema.Value {
   return node.voter!.accepted!.value;
 }
 
 /** A proposer prepares at all former voters and ends once its accept has reached one voter alone. */
-async function acceptAlone(all: Made, node: core.SimNode, value: schema.Value, isSetChosen = false): Promise<schema.Vote> {
+async function acceptAlone(all: Made, node: simRegister.SimNode, value: schema.Value, isSetChosen = false): Promise<schema.Vote> {
   const { a, b, c } = all.nodes;
   const ballot = { n: Math.max(...[a, b, c].map(ballotAt)) + 1, by: "lost" };
   for (const { voter } of [a, b, c]) await ended(all.clock, voter!.prepare({ disk: voter!.disk, ballot }));
   return (await ended(all.clock, node.voter!.accept({ disk: node.voter!.disk, ballot, isSetChosen, value })))!;
 }
 
-function ballotAt(node: core.SimNode): number {
+function ballotAt(node: simRegister.SimNode): number {
   return acceptor.Acceptor.restore(node.stored!).promised.n;
 }
 
-function split({ made }: Made, left: core.SimNode[], right: core.SimNode[]): void {
+function split({ made }: Made, left: simRegister.SimNode[], right: simRegister.SimNode[]): void {
   for (const one of left) {
     for (const other of right) {
       made.cuts.add(`${one.address}>${other.address}`);
@@ -81,7 +81,7 @@
 }
 
 /** A proposer of the node whose accepts reach the node itself alone. */
-function lonelyProposer({ clock, made }: Made, node: core.SimNode): proposer.Proposer {
+function lonelyProposer({ clock, made }: Made, node: simRegister.SimNode): proposer.Proposer {
   const reach = made.reach(node);
   function accept(voter: schema.Voter, ask: schema.Accept): Promise<schema.Vote | null> {
     return voter.address === node.address ? reach.accept(voter, ask) : Promise.resolve(null);
--- a/tests/register-membership.test.ts
+++ b/tests/register-membership.test.ts
@@ -6,9 +6,9 @@
 import type * as registerStep from "../src/register/register-step.js";
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
-import * as core from "./sim/core.js";
+import * as simRegister from "./sim/sim-register.js";
 import * as orderHistory from "../src/register/order-history.js";
-import * as membership from "./sim/membership.js";
+import * as voterFleet from "./sim/voter-fleet.js";
 import * as sim from "./sim/world.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
@@ -37,9 +37,9 @@
 }
 
 /** A core of three or five voters in full strength that holds revision 1, with further spares. */
-async function start(seed: number, voters: 3 | 5, spares: string[] = []): Promise<membership.Fleet> {
+async function start(seed: number, voters: 3 | 5, spares: string[] = []): Promise<voterFleet.Fleet> {
   const clock = new sim.SimWorld(seed * 7919);
-  const fleet = new membership.Fleet(new core.SimCore(clock, ADDRESSES));
+  const fleet = new voterFleet.Fleet(new simRegister.SimRegister(clock, ADDRESSES));
   await change(fleet, 0, "a:1");
   if (voters === 5) for (const address of SPARES) fleet.join(address);
   expect(await fleet.untilStrong(voters, 6000)).toBeLessThan(Infinity);
@@ -48,19 +48,19 @@
   return fleet;
 }
 
-async function change(fleet: membership.Fleet, base: number, address: string): Promise<void> {
+async function change(fleet: voterFleet.Fleet, base: number, address: string): Promise<void> {
   const outcome = await ended(fleet.made.clock, fleet.at(address).change(setTo(base, base + 1), 4000));
   expect(outcome.isErr ? outcome.error.code : "ok").toBe("ok");
 }
 
-function addresses(fleet: membership.Fleet): string[] {
+function addresses(fleet: voterFleet.Fleet): string[] {
   return fleet
     .newest()
     .voters.map((voter) => voter.address)
     .sort();
 }
 
-async function lose(fleet: membership.Fleet, address: string): Promise<void> {
+async function lose(fleet: voterFleet.Fleet, address: string): Promise<void> {
   fleet.at(address).node.isUp = false;
   await fleet.made.clock.play(voterPolicy.MAX_SILENT_MS + 2000);
 }
@@ -69,7 +69,7 @@
   const fleet = await start(seed, 3);
   const sizes = new Set<number>();
   for (const member of fleet.members) member.node.onChosen = keep(member);
-  function keep(member: membership.Member) {
+  function keep(member: voterFleet.Member) {
     const next = member.node.onChosen;
     return function chosen(value: schema.Value): void {
       sizes.add(value.voters.length);
--- a/tests/register.test.ts
+++ b/tests/register.test.ts
@@ -4,7 +4,7 @@
 import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
-import * as core from "./sim/core.js";
+import * as simRegister from "./sim/sim-register.js";
 import * as sim from "./sim/world.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
@@ -38,12 +38,12 @@
 }
 
 /** Two racing operators and random faults; every acknowledged change must be found in the end, none twice. */
-async function playSeed(seed: number, broken: core.Broken): Promise<string | null> {
+async function playSeed(seed: number, broken: simRegister.Broken): Promise<string | null> {
   const clock = new sim.SimWorld(seed);
-  const made = new core.SimCore(clock, ADDRESSES, broken);
+  const made = new simRegister.SimRegister(clock, ADDRESSES, broken);
   const acked: Acked[] = [];
   const nodes = [...made.nodes.values()];
-  let down: core.SimNode | null = null;
+  let down: simRegister.SimNode | null = null;
   made.lossShare = 0.05;
   for (let round = 0; round < 14; round += 1) {
     fault();
@@ -89,7 +89,7 @@
     } else if (kind === 4) for (const other of nodes) made.cuts.add(`${node.address}>${other.address}`);
     else if (nodes.every(isVoting)) node.wipe();
   }
-  function isVoting(node: core.SimNode): boolean {
+  function isVoting(node: simRegister.SimNode): boolean {
     const newest = made.newestChosen() ?? made.first;
     return newest.former.length === 0 && newest.voters.some(isThis);
     function isThis(voter: schema.Voter): boolean {
@@ -123,7 +123,7 @@
   }
 }
 
-function aliveOf(node: core.SimNode): voterPolicy.ReachableDisk {
+function aliveOf(node: simRegister.SimNode): voterPolicy.ReachableDisk {
   return { disk: node.voter?.disk ?? "", node: node.address, address: node.address, isCounted: true, isReady: true };
 }
 
@@ -147,8 +147,8 @@
 
 test("a replaced machine at a new address takes the place of the silent voter", async () => {
   const clock = new sim.SimWorld(5);
-  const made = new core.SimCore(clock, ADDRESSES);
-  const [a, b, c] = [...made.nodes.values()] as [core.SimNode, core.SimNode, core.SimNode];
+  const made = new simRegister.SimRegister(clock, ADDRESSES);
+  const [a, b, c] = [...made.nodes.values()] as [simRegister.SimNode, simRegister.SimNode, simRegister.SimNode];
   expect((await done(clock, a.proposer.change(setTo(0, 3, "x"), 3000))).isOk).toBe(true);
   c.isUp = false;
   const d = made.join("d:1");
@@ -175,8 +175,8 @@
 
 test("a node without a majority never acknowledges and never rejects", async () => {
   const clock = new sim.SimWorld(9);
-  const made = new core.SimCore(clock, ADDRESSES);
-  const [a, b, c] = [...made.nodes.values()] as [core.SimNode, core.SimNode, core.SimNode];
+  const made = new simRegister.SimRegister(clock, ADDRESSES);
+  const [a, b, c] = [...made.nodes.values()] as [simRegister.SimNode, simRegister.SimNode, simRegister.SimNode];
   b.isUp = c.isUp = false;
   const outcome = await done(clock, a.proposer.change(setTo(7, 8, "x"), 2000));
   expect(outcome.isErr && outcome.error.code).toBe("no_majority");
@@ -184,7 +184,7 @@
 
 test("a wiped voter does not count with a ballot prepared before the wipe", async () => {
   const clock = new sim.SimWorld(3);
-  const made = new core.SimCore(clock, ADDRESSES);
+  const made = new simRegister.SimRegister(clock, ADDRESSES);
   const a = made.nodes.get("a:1")!;
   const before = a.voter!.disk;
   a.wipe();
@@ -195,7 +195,7 @@
 
 test("a core of five grows from three voters, tolerates the loss of two, and takes changes with three", async () => {
   const clock = new sim.SimWorld(11);
-  const made = new core.SimCore(clock, ADDRESSES);
+  const made = new simRegister.SimRegister(clock, ADDRESSES);
   const a = made.nodes.get("a:1")!;
   expect((await done(clock, a.proposer.change(setTo(0, 2, "x"), 3000))).isOk).toBe(true);
   made.join("d:1");
@@ -217,8 +217,8 @@
 
 test("a suspended voter that resumes rejects old ballots and accepts new ones", async () => {
   const clock = new sim.SimWorld(13);
-  const made = new core.SimCore(clock, ADDRESSES);
-  const [a, b, c] = [...made.nodes.values()] as [core.SimNode, core.SimNode, core.SimNode];
+  const made = new simRegister.SimRegister(clock, ADDRESSES);
+  const [a, b, c] = [...made.nodes.values()] as [simRegister.SimNode, simRegister.SimNode, simRegister.SimNode];
   c.isFrozen = true;
   const old = a.proposer.change(setTo(0, 2, "x"), 3000);
   expect((await done(clock, old)).isOk).toBe(true);
--- a/tests/second-loss.test.ts
+++ b/tests/second-loss.test.ts
@@ -4,8 +4,8 @@
 import * as voterPolicy from "../src/control/voters/voter-policy.js";
 import type * as registerStep from "../src/register/register-step.js";
 import * as registerValue from "../src/register/register-value.js";
-import * as core from "./sim/core.js";
-import * as membership from "./sim/membership.js";
+import * as simRegister from "./sim/sim-register.js";
+import * as voterFleet from "./sim/voter-fleet.js";
 import * as sim from "./sim/world.js";
 
 /** MEMBERSHIP_SEEDS plays more of them; the page has the figures of 1,000. */
@@ -21,7 +21,7 @@
   return (value) => result.ok(registerValue.withConfig(value, revision, Buffer.alloc(10), `${revision}`));
 }
 
-async function change(fleet: membership.Fleet, revision: number, address: string): Promise<boolean> {
+async function change(fleet: voterFleet.Fleet, revision: number, address: string): Promise<boolean> {
   let isDone = false;
   void fleet
     .at(address)
@@ -31,8 +31,8 @@
   return isDone;
 }
 
-async function five(clock: sim.SimWorld): Promise<membership.Fleet> {
-  const fleet = new membership.Fleet(new core.SimCore(clock, ["a:1", "b:1", "c:1"]));
+async function five(clock: sim.SimWorld): Promise<voterFleet.Fleet> {
+  const fleet = new voterFleet.Fleet(new simRegister.SimRegister(clock, ["a:1", "b:1", "c:1"]));
   await change(fleet, 1, "a:1");
   for (const address of ["d:1", "e:1"]) fleet.join(address);
   expect(await fleet.untilStrong(VOTERS, WITHIN_MS)).toBeLessThan(Infinity);
@@ -40,7 +40,7 @@
 }
 
 /** Every machine that is up loses power; all come back one by one, one of them with an empty disk. */
-async function darkWithALoss(fleet: membership.Fleet, lost: membership.Member): Promise<void> {
+async function darkWithALoss(fleet: voterFleet.Fleet, lost: voterFleet.Member): Promise<void> {
   const { clock } = fleet.made;
   const up = fleet.members.filter((member) => member.node.isUp);
   for (const member of up) member.node.isUp = false;
--- a/tests/sim/operators.ts
+++ b/tests/sim/operators.ts
@@ -7,7 +7,7 @@
 import * as registerValue from "../../src/register/register-value.js";
 import type * as schema from "../../src/wire/schema.js";
 import * as result from "true-myth/result";
-import type * as cores from "./core.js";
+import type * as simRegister from "./sim-register.js";
 import type * as sim from "./world.js";
 
 export const ZONES = ["north", "south", "east", "west"];
@@ -72,9 +72,9 @@
   answerLossShare = 0;
   private readonly apis = new Map<proposer.Proposer, operatorApi.OperatorApi>();
 
-  constructor(private readonly core: cores.SimCore) {}
+  constructor(private readonly core: simRegister.SimRegister) {}
 
-  private apiOf(node: cores.SimNode): operatorApi.OperatorApi {
+  private apiOf(node: simRegister.SimNode): operatorApi.OperatorApi {
     let api = this.apis.get(node.proposer);
     if (!api) {
       const register = new NodeRegister(this.core.clock, node.proposer);
--- a/tests/sim/order-load.ts
+++ b/tests/sim/order-load.ts
@@ -1,7 +1,7 @@
 // Operators' orders against whole control nodes over a simulated network: paced callers at several nodes at once, and
 // how long each order waits for its answer.
 import type * as serve from "../../src/wire/serve.js";
-import * as members from "./members.js";
+import * as simControlNode from "./sim-control-node.js";
 import * as networks from "./network.js";
 import * as quantile from "./quantile.js";
 import * as sim from "./world.js";
@@ -40,15 +40,15 @@
 interface Stage {
   clock: sim.SimWorld;
   network: networks.SimNetwork;
-  nodes: Map<string, members.ControlNode>;
+  nodes: Map<string, simControlNode.ControlNode>;
 }
 
 async function start({ seed, syncMs }: Load): Promise<Stage> {
   const clock = new sim.SimWorld(seed);
   const network = new networks.SimNetwork(clock);
-  const nodes = new Map<string, members.ControlNode>();
+  const nodes = new Map<string, simControlNode.ControlNode>();
   for (const name of NAMES) {
-    const node = new members.ControlNode(network, name, { seeds: NAMES, region: name });
+    const node = new simControlNode.ControlNode(network, name, { seeds: NAMES, region: name });
     node.syncMs = syncMs;
     nodes.set(name, node);
   }
--- a/tests/sim/pace.ts
+++ b/tests/sim/pace.ts
@@ -4,7 +4,7 @@
 import type * as registerStep from "../../src/register/register-step.js";
 import * as registerValue from "../../src/register/register-value.js";
 import type * as schema from "../../src/wire/schema.js";
-import * as cores from "./core.js";
+import * as simRegister from "./sim-register.js";
 import * as quantile from "./quantile.js";
 import * as sim from "./world.js";
 
@@ -46,7 +46,7 @@
 function callersOf(setting: Setting): Callers {
   const clock = new sim.SimWorld(setting.seed);
   const addresses = Array.from({ length: setting.nodes }, (_, index) => `n${index}:1`);
-  const core = new cores.SimCore(clock, addresses);
+  const core = new simRegister.SimRegister(clock, addresses);
   core.diskFactor = setting.diskFactor;
   const changes: Change[] = [];
   for (const node of core.nodes.values()) {
--- a/tests/sim/router-node.ts
+++ b/tests/sim/router-node.ts
@@ -7,12 +7,12 @@
 import type * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import * as simulatedNodes from "./simulated-nodes.js";
-import * as members from "./members.js";
+import * as simControlNode from "./sim-control-node.js";
 import * as networks from "./network.js";
 
 export class RouterNode implements feedSubscriber.FeedListener {
   readonly handlers = new link.Handlers();
-  readonly dial: members.MemberDialer;
+  readonly dial: simControlNode.MemberDialer;
   readonly follower: feedSubscriber.FeedSubscriber;
   readonly gate: serveGate.ServeGate;
   readonly epochs: { at: number; epoch: number }[] = [];
@@ -29,7 +29,7 @@
     const world = new networks.NodeWorld(network, name);
     const selector = new sessionSelector.SessionSelector(world, { name, region });
     const describe = (): schema.NodeInfo => ({ ...simulatedNodes.nodeOf(name, "router", region, ""), isReady: this.gate.allows() });
-    this.dial = new members.MemberDialer(world, "", this.handlers, describe, link.LINK_TIMEOUT_MS, selector);
+    this.dial = new simControlNode.MemberDialer(world, "", this.handlers, describe, link.LINK_TIMEOUT_MS, selector);
     this.dial.reach = (address) => network.connect(name, address, this.handlers, world);
     this.gate = new serveGate.ServeGate(world, this.dial.controls, unconfirmedMs, () => (this.openedAt = network.clock.now()));
     this.dial.on("heartbeat", () => this.judge());
@@ -38,9 +38,9 @@
       this.dial.addControls(told.controls);
       return null;
     });
-    this.dial.addAddresses(seeds.map(members.addressOf));
-    members.every(world, link.HEARTBEAT_INTERVAL_MS, () => this.beat());
-    members.every(world, 100, () => this.turn());
+    this.dial.addAddresses(seeds.map(simControlNode.addressOf));
+    simControlNode.every(world, link.HEARTBEAT_INTERVAL_MS, () => this.beat());
+    simControlNode.every(world, 100, () => this.turn());
   }
 
   get main(): string {
--- a/tests/sim/members.ts
+++ b/tests/sim/sim-control-node.ts
@@ -72,8 +72,8 @@
   broken?: Broken;
 }
 
-/** What the node did that the outside could see, with the time. */
-export interface Said {
+/** What one heartbeat of the node said, with the time. */
+export interface PublishedHeartbeat {
   at: number;
   isSettled: boolean;
   epoch: types.Epoch;
@@ -85,14 +85,14 @@
   readonly dial: MemberDialer;
   readonly members: membership.Membership;
   readonly feed: feedPublisher.FeedPublisher;
-  readonly core: registerReplica.RegisterReplica;
+  readonly replica: registerReplica.RegisterReplica;
   readonly leaseServer: leaseServer.LeaseServer;
   readonly contact: quorumContact.QuorumContact;
   private readonly reply: serve.RequestHandler;
-  readonly said: Said[] = [];
+  readonly publishedHeartbeats: PublishedHeartbeat[] = [];
   private readonly region: string;
   syncMs = 3;
-  isLeaving = false;
+  isDraining = false;
 
   constructor(
     readonly network: networks.SimNetwork,
@@ -108,22 +108,22 @@
     this.members = new membership.Membership(world, link.LINK_TIMEOUT_MS, `${name}/1`);
     this.feed = new feedPublisher.FeedPublisher(`${name}/1`);
     const first = registerValue.initialValue(seeds);
-    this.core = new registerReplica.RegisterReplica(
+    this.replica = new registerReplica.RegisterReplica(
       world,
       { incarnation: `${name}/1`, address: addressOf(name), initialValue: first },
       this.dial,
     );
-    this.leaseServer = new leaseServer.LeaseServer(world, `${name}/1`, BOUNDS, this.core);
+    this.leaseServer = new leaseServer.LeaseServer(world, `${name}/1`, BOUNDS, this.replica);
     const confirmation = new BrokenConfirmation(world, options.broken ?? "none");
     this.contact = new quorumContact.QuorumContact(
       world,
-      this.core,
+      this.replica,
       this.dial,
       this.leaseServer.recordFenceReply.bind(this.leaseServer),
       confirmation,
     );
-    const operator = new operatorApi.OperatorApi(this.core, ZONES, () => ({ contact: this.contact.status() }));
-    const { handlers, dial, core, contact } = this;
+    const operator = new operatorApi.OperatorApi(this.replica, ZONES, () => ({ contact: this.contact.status() }));
+    const { handlers, dial, replica: core, contact } = this;
     this.reply = operatorChain.createOperatorHandler({ clock: world, handlers, dial, core, contact }, operator.handle.bind(operator));
     this.handle();
     if (options.isVoter !== false) this.vote(first);
@@ -131,7 +131,7 @@
   }
 
   private handle(): void {
-    const { handlers, members, dial, core, contact, feed } = this;
+    const { handlers, members, dial, replica: core, contact, feed } = this;
     const splitter = new parts.Splitter();
     core.registerHandlers(handlers);
     this.leaseServer.registerHandlers(handlers, contact);
@@ -151,8 +151,8 @@
       return null;
     });
     dial.on("up", () => members.publishControls(this.controls()));
-    contact.on("confirmed", () => this.tell());
-    contact.on("lost", () => this.tell());
+    contact.on("confirmed", () => this.publishHeartbeats());
+    contact.on("lost", () => this.publishHeartbeats());
     core.on("chosen", (value) => feed.publishSnapshot(feedTopics.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch)));
     this.network.listen(this.name, handlers);
   }
@@ -161,53 +161,53 @@
     const accepted = { ballot: registerValue.NO_BALLOT, value: first };
     const state = { disk: registerValue.initialDisk(addressOf(this.name)), promised: registerValue.NO_BALLOT, accepted };
     const write = (): Promise<void> => new Promise((resolve) => this.world.schedule(this.syncMs, resolve));
-    this.core.attachVoter(new acceptor.Acceptor({ write }, state));
+    this.replica.attachVoter(new acceptor.Acceptor({ write }, state));
   }
 
   private run(): void {
-    every(this.world, link.HEARTBEAT_INTERVAL_MS, () => this.beat());
-    every(this.world, 100, () => this.turn());
+    every(this.world, link.HEARTBEAT_INTERVAL_MS, () => this.sendHeartbeats());
+    every(this.world, 100, () => this.runPeriodically());
   }
 
   private describe(): schema.NodeInfo {
-    const disk = this.core?.disk ?? "";
+    const disk = this.replica?.disk ?? "";
     return { ...simulatedNodes.nodeOf(this.name, "control", this.region, addressOf(this.name)), disk, epoch: this.epoch };
   }
 
   get epoch(): types.Epoch {
-    return this.core?.chosen?.epoch ?? types.NO_EPOCH;
+    return this.replica?.chosen?.epoch ?? types.NO_EPOCH;
   }
 
   private controls(): schema.ControlInfo[] {
     return [{ address: addressOf(this.name), name: this.name, zone: this.region, region: this.region }, ...this.dial.connectedControls()];
   }
 
-  private beat(): void {
+  private sendHeartbeats(): void {
     this.contact.requestConfirmations();
-    this.tell();
+    this.publishHeartbeats();
   }
 
-  private tell(): void {
+  private publishHeartbeats(): void {
     const isSettled = this.contact.isConfirmed();
-    this.said.push({ at: this.world.now(), isSettled, epoch: this.epoch });
-    const { epoch, isLeaving } = this;
+    this.publishedHeartbeats.push({ at: this.world.now(), isSettled, epoch: this.epoch });
+    const { epoch, isDraining: isLeaving } = this;
     const base = { isReady: !isLeaving, epoch, isSettled, silentRegions: this.dial.silentRegions(), index: features.OWN_FEATURES };
     this.members.sendHeartbeats(base);
     this.dial.sendHeartbeats({ ...base, members: 1 });
     this.members.publishRoster(this.describe(), this.dial.links(), this.controls());
   }
 
-  private turn(): void {
+  private runPeriodically(): void {
     this.dial.maintainLinks();
     this.members.expireSilent();
-    this.core.runPeriodically();
+    this.replica.runPeriodically();
     this.contact.runPeriodically();
   }
 
-  leave(): void {
-    this.isLeaving = true;
+  drain(): void {
+    this.isDraining = true;
     this.contact.withdraw();
-    this.tell();
+    this.publishHeartbeats();
   }
 
   fitness(of: ControlNode): singletonRole.Eligibility | null {
@@ -227,11 +227,11 @@
   resolve(region: string): string[] {
     const routers = (): ReturnType<membership.Membership["routers"]> =>
       this.contact.isConfirmed() ? this.members.routers() : this.members.ownRouters();
-    const told = directory.resolve(
+    const response = directory.resolve(
       { routers, stillServes: (node) => this.members.stillServes(node), homeRegionsOf: () => new Set(), maxTtlS: 2 },
       new URLSearchParams({ region, zone: region }),
     );
-    return (told.json as { addresses?: string[] }).addresses ?? [];
+    return (response.json as { addresses?: string[] }).addresses ?? [];
   }
 }
 
--- a/tests/sim/core.ts
+++ b/tests/sim/sim-register.ts
@@ -1,4 +1,4 @@
-// A core of voters and proposers over a simulated network and disks, with faults by seed.
+// A register of voters and proposers over a simulated network and disks, with faults by seed.
 import * as proposer from "../../src/register/proposer.js";
 import type * as acceptorClient from "../../src/register/acceptor-client.js";
 import * as registerValue from "../../src/register/register-value.js";
@@ -22,7 +22,7 @@
   proposer: proposer.Proposer;
 
   constructor(
-    private readonly core: SimCore,
+    private readonly core: SimRegister,
     readonly address: string,
     first: schema.Value,
   ) {
@@ -34,8 +34,8 @@
       this.chosen.push(value);
       this.onChosen?.(value);
     };
-    this.core.lives += 1;
-    return new proposer.Proposer(this.core.clock, `life-${this.core.lives}`, this.core.reach(this), first, recordChosen);
+    this.core.incarnations += 1;
+    return new proposer.Proposer(this.core.clock, `life-${this.core.incarnations}`, this.core.reach(this), first, recordChosen);
   }
 
   boot(first: schema.Disk | null): void {
@@ -61,7 +61,7 @@
     this.boot(null);
   }
 
-  /** The disk comes back empty: a new identity, and nothing but what others tell. */
+  /** The disk comes back empty: a new identity, and nothing but what others send. */
   wipe(): void {
     this.stored = null;
     this.wipes += 1;
@@ -79,12 +79,12 @@
   }
 }
 
-export class SimCore {
-  lives = 0;
+export class SimRegister {
+  incarnations = 0;
   readonly nodes = new Map<string, SimNode>();
   readonly cuts = new Set<string>();
   lossShare = 0;
-  /** How many times slower than usual the disks are. */
+  /** Factor by which the disks are slowed down. */
   diskFactor = 1;
   readonly first: schema.Value;
 
@@ -143,17 +143,17 @@
     if (from.address !== to) await this.wait(delay);
     const node = this.nodes.get(to);
     const isLost = from.address !== to && (this.isCut(from.address, to) || this.clock.random() < this.lossShare);
-    if (!node || !node.isUp || isLost) return this.silence();
+    if (!node || !node.isUp || isLost) return this.awaitTimeout();
     while (node.isFrozen) await this.wait(100);
     const { voter } = node;
-    if (!voter) return this.silence();
+    if (!voter) return this.awaitTimeout();
     const reply = await run(voter);
-    if (voter !== node.voter || !node.isUp) return this.silence();
+    if (voter !== node.voter || !node.isUp) return this.awaitTimeout();
     if (from.address !== to) await this.wait(delay);
-    return this.isCut(to, from.address) || this.clock.random() < this.lossShare ? this.silence() : reply;
+    return this.isCut(to, from.address) || this.clock.random() < this.lossShare ? this.awaitTimeout() : reply;
   }
 
-  private async silence(): Promise<null> {
+  private async awaitTimeout(): Promise<null> {
     await this.wait(400);
     return null;
   }
--- a/tests/sim/system.ts
+++ b/tests/sim/system.ts
@@ -1,6 +1,6 @@
 // A small deployment over the simulated network: control nodes a, b, c ..., each in a region of its own, a router in each.
 import type * as serve from "../../src/wire/serve.js";
-import * as members from "./members.js";
+import * as simControlNode from "./sim-control-node.js";
 import * as networks from "./network.js";
 import * as routerNode from "./router-node.js";
 import * as sim from "./world.js";
@@ -8,7 +8,7 @@
 export interface System {
   clock: sim.SimWorld;
   network: networks.SimNetwork;
-  controls: Map<string, members.ControlNode>;
+  controls: Map<string, simControlNode.ControlNode>;
   routers: routerNode.RouterNode[];
 }
 
@@ -16,15 +16,15 @@
 
 /** Each control node in a region of its own name; one router in each. */
 export async function start(
-  options: { seed?: number; names?: string[]; broken?: members.Broken; withRouters?: boolean; cut?: [string[], string[]] } = {},
+  options: { seed?: number; names?: string[]; broken?: simControlNode.Broken; withRouters?: boolean; cut?: [string[], string[]] } = {},
 ): Promise<System> {
   const { seed = 7, names = NAMES, broken = "none", withRouters = true } = options;
   const clock = new sim.SimWorld(seed);
   const network = new networks.SimNetwork(clock);
   if (options.cut) network.cut(...options.cut);
-  const controls = new Map<string, members.ControlNode>();
+  const controls = new Map<string, simControlNode.ControlNode>();
   for (const name of names) {
-    controls.set(name, new members.ControlNode(network, name, { seeds: names, region: name, broken }));
+    controls.set(name, new simControlNode.ControlNode(network, name, { seeds: names, region: name, broken }));
   }
   const system: System = { clock, network, controls, routers: [] };
   if (withRouters) for (const name of names) system.routers.push(new routerNode.RouterNode(network, `r${name}`, name, names));
@@ -32,7 +32,7 @@
   return system;
 }
 
-export function get(system: System, name: string): members.ControlNode {
+export function get(system: System, name: string): simControlNode.ControlNode {
   return system.controls.get(name)!;
 }
 
--- a/tests/sim/membership.ts
+++ b/tests/sim/voter-fleet.ts
@@ -1,5 +1,5 @@
-// Control nodes over the simulated core that run the real membership policy: news of chosen values, heartbeats,
-// driving of values not known to be chosen, and the voterManager.
+// Control nodes over the simulated register that run the real membership policy: heartbeats with the newest chosen value,
+// recovery of values not known to be chosen, and the voter manager.
 import * as voterManager from "../../src/control/voters/voter-manager.js";
 import * as recovery from "../../src/register/recovery.js";
 import type * as registerStep from "../../src/register/register-step.js";
@@ -7,15 +7,15 @@
 import * as result from "true-myth/result";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as core from "./core.js";
+import * as simRegister from "./sim-register.js";
 
 const STEP_MS = 100;
-const BEAT_MS = 300;
-/** A link with no word for so long is down. */
-const SILENT_MS = 1800;
+const HEARTBEAT_INTERVAL_MS = 300;
+/** A link on which nothing was received for so long is down. */
+const LINK_TIMEOUT_MS = 1800;
 
-/** The newest word of another node: when it came, and whether the node said that it leaves. */
-interface Heard {
+/** The newest heartbeat of another node: when it came, and whether the node is draining. */
+interface LastHeartbeat {
   at: number;
   isLeaving: boolean;
 }
@@ -23,14 +23,14 @@
 export class Member implements voterManager.Register, recovery.RecoverableRegister {
   chosen: schema.Value | null = null;
   private voterManager: voterManager.VoterManager;
-  private readonly heard = new Map<Member, Heard>();
+  private readonly lastHeartbeats = new Map<Member, LastHeartbeat>();
   private recovery: recovery.Recovery;
-  private nextBeat = 0;
+  private nextHeartbeatAt = 0;
   isLeaving = false;
 
   constructor(
     private readonly fleet: Fleet,
-    readonly node: core.SimNode,
+    readonly node: simRegister.SimNode,
   ) {
     this.recovery = new recovery.Recovery(fleet.made.clock, this);
     this.voterManager = new voterManager.VoterManager(fleet.made.clock, this, this.nodesInTouch.bind(this));
@@ -57,14 +57,14 @@
     return this.fleet.members.filter((other) => other.node.address < this.node.address && this.isInTouch(other)).length;
   }
 
-  read(withinMs: number): Promise<registerStep.Outcome> {
-    return this.change(unchanged, withinMs);
+  read(timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.change(unchanged, timeoutMs);
   }
 
-  /** A new life of the process on the disk as it is now. */
+  /** A new incarnation of the process on the disk as it is now. */
   begin(): void {
     this.chosen = null;
-    this.heard.clear();
+    this.lastHeartbeats.clear();
     const accepted = this.node.voter?.accepted;
     if (accepted) this.node.proposer.learnAccepted(accepted.value);
     this.voterManager = new voterManager.VoterManager(this.fleet.made.clock, this, this.nodesInTouch.bind(this));
@@ -77,17 +77,17 @@
     this.node.proposer.learnChosen(value);
   }
 
-  hear(from: Member, isLeaving: boolean): void {
-    this.heard.set(from, { at: this.fleet.made.clock.now(), isLeaving });
+  receiveHeartbeat(from: Member, isLeaving: boolean): void {
+    this.lastHeartbeats.set(from, { at: this.fleet.made.clock.now(), isLeaving });
     if (from.chosen) this.learn(from.chosen);
   }
 
   private isInTouch(other: Member): boolean {
-    return other === this || this.fleet.made.clock.now() - (this.heard.get(other)?.at ?? -Infinity) < SILENT_MS;
+    return other === this || this.fleet.made.clock.now() - (this.lastHeartbeats.get(other)?.at ?? -Infinity) < LINK_TIMEOUT_MS;
   }
 
   private nodesInTouch(): schema.NodeInfo[] {
-    const { heard } = this;
+    const { lastHeartbeats: heard } = this;
     return this.fleet.members.filter(this.isInTouch.bind(this)).map(nodeInTouch);
     function nodeInTouch(member: Member): schema.NodeInfo {
       return nodeOf(member, heard.get(member)?.isLeaving ?? member.isLeaving);
@@ -111,34 +111,34 @@
     return this.votersInTouch(this.chosen.voters).filter((voter) => voter.address < address).length;
   }
 
-  change(step: registerStep.Step, withinMs: number): Promise<registerStep.Outcome> {
-    return this.node.proposer.change(step, withinMs);
+  change(step: registerStep.Step, timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.node.proposer.change(step, timeoutMs);
   }
 
-  transferSnapshot(joiner: schema.Voter): Promise<boolean> {
-    return this.node.proposer.transferSnapshot(joiner);
+  transferSnapshot(learner: schema.Voter): Promise<boolean> {
+    return this.node.proposer.transferSnapshot(learner);
   }
 
   refuseToJoin(): void {
     this.node.voter?.rejectMembership();
   }
 
-  repair(withinMs: number): Promise<registerStep.Outcome> {
-    return this.node.proposer.repair(withinMs);
+  repair(timeoutMs: number): Promise<registerStep.Outcome> {
+    return this.node.proposer.repair(timeoutMs);
   }
 
   /** It says in its heartbeats that it leaves, and hands its vote over. */
-  handOver(withinMs: number): Promise<void> {
+  handOver(timeoutMs: number): Promise<void> {
     this.isLeaving = true;
-    return this.voterManager.handOver(withinMs);
+    return this.voterManager.handOver(timeoutMs);
   }
 
-  turn(): void {
+  runPeriodically(): void {
     if (!this.node.isUp || this.node.isFrozen || !this.node.voter) return;
     const now = this.fleet.made.clock.now();
-    if (now >= this.nextBeat) {
-      this.nextBeat = now + BEAT_MS;
-      this.fleet.tell(this);
+    if (now >= this.nextHeartbeatAt) {
+      this.nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MS;
+      this.fleet.publish(this);
     }
     this.recovery.recoverIfNeeded();
     this.voterManager.runPeriodically();
@@ -148,17 +148,17 @@
 export class Fleet {
   readonly members: Member[] = [];
 
-  constructor(readonly made: core.SimCore) {
+  constructor(readonly made: simRegister.SimRegister) {
     for (const node of made.nodes.values()) this.enter(node);
     this.step();
   }
 
-  private enter(node: core.SimNode): Member {
+  private enter(node: simRegister.SimNode): Member {
     const member = new Member(this, node);
     this.members.push(member);
     node.onChosen = (value) => {
       member.learn(value);
-      this.tell(member);
+      this.publish(member);
     };
     return member;
   }
@@ -183,20 +183,20 @@
     member.begin();
   }
 
-  /** Heartbeat and news in one: the newest chosen value goes to all that can be reached. */
-  tell(from: Member): void {
+  /** Heartbeat and publication in one: the newest chosen value goes to all that can be reached. */
+  publish(from: Member): void {
     const { clock, lossShare } = this.made;
     const { isLeaving } = from;
     for (const to of this.members) {
       if (to === from || this.made.isCut(from.node.address, to.node.address) || clock.random() < lossShare) continue;
       clock.schedule(10 + clock.random() * 60, () => {
-        if (to.node.isUp && from.node.isUp && !to.node.isFrozen) to.hear(from, isLeaving);
+        if (to.node.isUp && from.node.isUp && !to.node.isFrozen) to.receiveHeartbeat(from, isLeaving);
       });
     }
   }
 
   private step(): void {
-    for (const member of this.members) member.turn();
+    for (const member of this.members) member.runPeriodically();
     this.made.clock.schedule(STEP_MS, this.step.bind(this));
   }
 
@@ -208,7 +208,7 @@
     );
   }
 
-  /** Whether so many voters stand settled, each up with the newest value on its synced disk. */
+  /** Whether so many voters are in force, none of them joint, each with the newest value on its synced disk. */
   isStrong(voters: number): boolean {
     const newest = this.newest();
     if (newest.former.length > 0 || newest.voters.length !== voters) return false;
@@ -219,11 +219,11 @@
     });
   }
 
-  /** Plays until so many voters stand in full; the time it took, or Infinity after the bound. */
-  async untilStrong(voters: number, withinMs: number): Promise<number> {
+  /** Plays until so many voters are in force in full; the time it took, or Infinity after the bound. */
+  async untilStrong(voters: number, timeoutMs: number): Promise<number> {
     const { clock } = this.made;
     const from = clock.now();
-    while (clock.now() - from < withinMs) {
+    while (clock.now() - from < timeoutMs) {
       if (this.isStrong(voters)) return clock.now() - from;
       await clock.play(20);
     }
