--- a/tests/config-parts.test.ts
+++ b/tests/config-parts.test.ts
@@ -7,7 +7,7 @@
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as links from "./sim/links.js";
+import * as feedLinks from "./sim/feed-links.js";
 import * as sim from "./sim/world.js";
 
 type Item = Record<string, unknown>;
@@ -54,7 +54,7 @@
 /** A router that keeps its configuration from simulated links, and control nodes that split what is chosen. */
 async function setUp(names = ["a"]) {
   const clock = new sim.SimWorld(3);
-  const router = new links.SimRouter(clock);
+  const router = new feedLinks.SimRouter(clock);
   const config = new parts.ConfigParts();
   let done = 0;
   const sources = names.map((name) => ({ feed: new feedPublisher.FeedPublisher(`life-${name}`), splitter: new parts.Splitter() }));
@@ -159,7 +159,7 @@
   const { choose, config, router, clock } = await setUp(["a", "b"]);
   await choose(valueOf(1, docOf(3)), 1);
   await choose(valueOf(2, docOf(3, { revision: 2 })), 0);
-  router.cut("a");
+  router.disconnect("a");
   await clock.play(1000);
   await choose(valueOf(1, docOf(3)), 1);
   expect([router.epochs.at(-1), config.revision]).toEqual([2, 2]);
--- a/tests/parts-fuzz.test.ts
+++ b/tests/feed-subscriber-random.test.ts
@@ -2,15 +2,15 @@
 // always holds what some control node had at that epoch, never goes back, and ends at the newest (design/parts 1, 4).
 import * as feedPublisher from "../src/feed/feed-publisher.js";
 import * as feedTopics from "../src/feed/feed-topics.js";
-import * as links from "./sim/links.js";
+import * as feedLinks from "./sim/feed-links.js";
 import * as sim from "./sim/world.js";
 
 const NAMES = ["a", "b", "c"];
-const { items, stampOf, LIST } = links;
+const { items, stampOf, LIST } = feedLinks;
 
 class Day {
   readonly clock: sim.SimWorld;
-  readonly router: links.SimRouter;
+  readonly router: feedLinks.SimRouter;
   /** What was chosen, by epoch. */
   readonly chosen: Record<string, string>[] = [{}];
   private readonly known = new Map<string, number>();
@@ -20,7 +20,7 @@
 
   constructor(seed: number) {
     this.clock = new sim.SimWorld(seed);
-    this.router = new links.SimRouter(this.clock);
+    this.router = new feedLinks.SimRouter(this.clock);
     for (const name of NAMES) this.start(name);
   }
 
@@ -57,7 +57,7 @@
     const name = NAMES[this.pick(3)];
     const session = this.router.sessions.get(name);
     const kind = this.pick(5);
-    if (kind === 0) this.router.cut(name);
+    if (kind === 0) this.router.disconnect(name);
     else if (kind === 1 && session) session.down.isLosing = !session.down.isLosing;
     else if (kind === 2 && session) session.down.garble = !session.down.garble;
     else if (kind === 3 && session) session.up.isLosing = !session.up.isLosing;
@@ -66,7 +66,7 @@
 
   calm(): void {
     for (const name of NAMES) {
-      this.router.cut(name);
+      this.router.disconnect(name);
       this.start(name);
       this.publish(name, this.chosen.length - 1);
     }
@@ -74,7 +74,7 @@
 
   /** What the router shows must be an epoch as it was chosen, and none lower than before. */
   check(): void {
-    const { epochs, follower } = this.router;
+    const { epochs, subscriber: follower } = this.router;
     for (const [index, epoch] of epochs.entries())
       if (index > 0 && epoch <= epochs[index - 1]) throw new Error(`back from ${epochs[index - 1]} to ${epoch}`);
     if (!follower.replica.has(feedTopics.REGISTER_TOPIC)) return;
@@ -90,14 +90,14 @@
     if (day.clock.random() < 0.5) day.change();
     if (day.clock.random() < 0.3) day.trouble();
     await day.clock.play(day.pick(300));
-    day.router.follower.selectPrimary();
+    day.router.subscriber.selectPrimary();
     day.check();
   }
   day.calm();
   await day.clock.play(2000);
   day.check();
   expect(day.router.epochs.at(-1)).toBe(day.chosen.length - 1);
-  expect(day.router.held(LIST)).toEqual({ at: String(day.chosen.length - 1), of: day.router.follower.primary!.node.name });
+  expect(day.router.held(LIST)).toEqual({ at: String(day.chosen.length - 1), of: day.router.subscriber.primary!.node.name });
 });
 
 test("the checker sees a router that shows what was never chosen, and one that goes back", async () => {
--- a/tests/parts-router.test.ts
+++ b/tests/feed-subscriber.test.ts
@@ -1,16 +1,16 @@
-// A router that follows the feeds of several control nodes (design/parts 4).
+// A router that subscribes to the feeds of several control nodes (design/parts 4).
 import * as feedPublisher from "../src/feed/feed-publisher.js";
 import * as feedTopics from "../src/feed/feed-topics.js";
 import * as schema from "../src/wire/schema.js";
-import * as links from "./sim/links.js";
+import * as feedLinks from "./sim/feed-links.js";
 import * as sim from "./sim/world.js";
 import { keysOf } from "./sim/changes.js";
 
-const { changes, items, stampOf, LIST } = links;
+const { changes, items, stampOf, LIST } = feedLinks;
 
 async function routerWith(...regions: string[]) {
   const clock = new sim.SimWorld(7);
-  const router = new links.SimRouter(clock);
+  const router = new feedLinks.SimRouter(clock);
   const sources = regions.map((region) => new feedPublisher.FeedPublisher(`life-${region}`));
   for (const feed of sources) feed.publishSnapshot(feedTopics.REGISTER_TOPIC, items({ a: "1", b: "1" }), stampOf(1));
   for (const [index, feed] of sources.entries()) router.join(regions[index], regions[index], feed);
@@ -18,7 +18,7 @@
   return { clock, router, sources };
 }
 
-function sentBy(router: links.SimRouter, name: string): string[] {
+function sentBy(router: feedLinks.SimRouter, name: string): string[] {
   return router.sessions
     .get(name)!
     .down.frames.splice(0)
@@ -46,7 +46,7 @@
 
 test("a follower that moves between control nodes and back gets only the difference", async () => {
   const { clock, router, sources } = await routerWith("a", "b");
-  router.cut("a");
+  router.disconnect("a");
   for (const feed of sources) feed.publishChanges(feedTopics.REGISTER_TOPIC, changes({ b: "2" }), stampOf(2));
   sentBy(router, "b");
   await clock.play(200);
@@ -68,14 +68,18 @@
   await clock.play(100);
   expect([router.held(LIST), router.held("list:b")]).toEqual([{ i: "1" }, {}]);
   router.topics = ["list:b"];
-  router.follower.updateSubscriptions();
+  router.subscriber.updateSubscriptions();
   sources[0].publishChanges(LIST, changes({ i: "2" }), stampOf(2));
   await clock.play(100);
-  expect([router.held(LIST), router.follower.replica.has(LIST), router.held("list:b")]).toEqual([{}, false, { j: "1" }]);
-  expect(router.left.splice(0)).toEqual([[LIST, ["i"]]]);
-  router.cut("a"); // what is no longer wanted when the next control node is found is left as well
+  expect([router.held(LIST), router.subscriber.replica.has(LIST), router.held("list:b")]).toEqual([{}, false, { j: "1" }]);
+  expect(router.unsubscribed.splice(0)).toEqual([[LIST, ["i"]]]);
+  router.disconnect("a"); // what is no longer wanted when the next control node is found is left as well
   router.topics = [LIST];
   router.join("a", "a", sources[0]);
   await clock.play(100);
-  expect([router.left, router.held(LIST), router.follower.replica.has("list:b")]).toEqual([[["list:b", ["j"]]], { i: "2" }, false]);
+  expect([router.unsubscribed, router.held(LIST), router.subscriber.replica.has("list:b")]).toEqual([
+    [["list:b", ["j"]]],
+    { i: "2" },
+    false,
+  ]);
 });
--- a/tests/sim/links.ts
+++ b/tests/sim/feed-links.ts
@@ -1,4 +1,4 @@
-// Feeds and a follower joined by links that a test delays, cuts and garbles; no sockets.
+// Feed publishers and a subscriber joined by links that a test delays, disconnects and garbles; no sockets.
 import * as events from "node:events";
 import type * as controlNode from "../../src/feed/control-node.js";
 import type * as dialer from "../../src/feed/dialer.js";
@@ -72,8 +72,8 @@
   readonly sessions = new Map<string, Session>();
   readonly epochs: number[] = [];
   readonly applied: feedReplica.AppliedChange[] = [];
-  readonly left: [string, readonly string[]][] = [];
-  readonly follower: feedSubscriber.FeedSubscriber;
+  readonly unsubscribed: [string, readonly string[]][] = [];
+  readonly subscriber: feedSubscriber.FeedSubscriber;
   private readonly handlers = new link.Handlers();
   topics: string[] = [LIST];
 
@@ -82,8 +82,8 @@
     region = "a",
   ) {
     super();
-    this.follower = new feedSubscriber.FeedSubscriber(clock, region, this as unknown as dialer.Dialer, this.handlers, () => this.topics, {
-      onUnsubscribe: (topic, keys) => this.left.push([topic, keys]),
+    this.subscriber = new feedSubscriber.FeedSubscriber(clock, region, this as unknown as dialer.Dialer, this.handlers, () => this.topics, {
+      onUnsubscribe: (topic, keys) => this.unsubscribed.push([topic, keys]),
       onChange: (applied) => {
         this.applied.push(applied);
         if (applied.topic === feedTopics.REGISTER_TOPIC) this.epochs.push(applied.stamp);
@@ -120,7 +120,7 @@
     return session;
   }
 
-  cut(name: string): void {
+  disconnect(name: string): void {
     const session = this.sessions.get(name);
     if (!session) return;
     session.down.end("cut");
@@ -131,7 +131,7 @@
   }
 
   held(topic: string): Record<string, string> {
-    return Object.fromEntries([...this.follower.replica.bodies(topic)].map(([key, body]) => [key, body.toString()]).sort());
+    return Object.fromEntries([...this.subscriber.replica.bodies(topic)].map(([key, body]) => [key, body.toString()]).sort());
   }
 }
 
--- a/tests/sim/usage.ts
+++ b/tests/sim/usage.ts
@@ -7,7 +7,7 @@
 import * as loadReader from "../../src/load/load-reader.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as links from "./links.js";
+import * as feedLinks from "./feed-links.js";
 import * as sims from "./world.js";
 
 export const PERIOD_MS = 600;
@@ -86,27 +86,27 @@
 export class Router {
   readonly fleet: runnerFleet.RunnerFleet;
   readonly reader: loadReader.LoadReader;
-  readonly made: links.SimRouter;
-  readonly session: links.Session;
+  readonly made: feedLinks.SimRouter;
+  readonly session: feedLinks.Session;
 
   constructor(system: System, region: string) {
     this.fleet = new runnerFleet.RunnerFleet(system.clock, new Map(system.regions.map(({ name }) => [name, name])));
     this.reader = new loadReader.LoadReader(system.clock, this.fleet, region, () => undefined);
     this.fleet.applySnapshot(system.instances());
-    this.made = new links.SimRouter(system.clock, region);
+    this.made = new feedLinks.SimRouter(system.clock, region);
     this.made.topics = this.reader.followedTopics();
     this.made.applied.push = (...applied: feedReplica.AppliedChange[]) => {
       for (const item of applied) this.reader.applyUpdate(item);
       return applied.length;
     };
-    this.reader.refresh(this.made.follower.replica);
+    this.reader.refresh(this.made.subscriber.replica);
     this.session = this.made.join("c", region, system.feed);
   }
 
   watch(): void {
     this.made.topics = this.reader.followedTopics();
-    this.made.follower.updateSubscriptions();
-    this.reader.refresh(this.made.follower.replica);
+    this.made.subscriber.updateSubscriptions();
+    this.reader.refresh(this.made.subscriber.replica);
   }
 
   /** Bytes on the way to this router since the last time it was asked. */
