--- a/src/admission/admission-decider.ts
+++ b/src/admission/admission-decider.ts
@@ -190,9 +190,9 @@
    * enough for requests that were rejected before and for sizes that are admitted less often.
    */
   private slackFractionOf(plan: routePlan.RoutePlan): number {
-    const isHeldBack = this.known.sizeClassesOf(plan.entry.route.name).isHeldBack(sizeOf(plan));
+    const isDisadvantaged = this.known.sizeClassesOf(plan.entry.route.name).isDisadvantaged(sizeOf(plan));
     const fraction = SLACK_FRACTION_BY_RANK[Math.min(SLACK_FRACTION_BY_RANK.length - 1, plan.rank)];
-    return this.wasRejectedLately(plan) || isHeldBack ? Math.sqrt(fraction) : fraction;
+    return this.wasRejectedLately(plan) || isDisadvantaged ? Math.sqrt(fraction) : fraction;
   }
 
   private reject(plan: routePlan.RoutePlan, excessMs: number): routePlan.Rejection {
--- a/src/admission/prediction.ts
+++ b/src/admission/prediction.ts
@@ -70,16 +70,17 @@
   const prefillDoneMs = aheadMs + demand.prefillTokens / conditions.prefillTokensPerMs;
   // A plain response arrives when all work is done; the first event of a stream before that.
   const workMs = demand.outputTokens > 0 ? demand.outputTokens * conditions.tokenMs : conditions.occupancyMs;
-  const firstMs = conditions.lagMs + conditions.slowdown.first * (prefillDoneMs + (demand.outputTokens > 0 ? conditions.tokenMs : workMs));
-  const endMs = demand.outputTokens > 0 ? firstMs + conditions.slowdown.stream * workMs : firstMs;
+  const firstEventMs =
+    conditions.lagMs + conditions.slowdown.first * (prefillDoneMs + (demand.outputTokens > 0 ? conditions.tokenMs : workMs));
+  const completionMs = demand.outputTokens > 0 ? firstEventMs + conditions.slowdown.stream * workMs : firstEventMs;
   const isMemoryFree = usage.kvCapacity === 0 || demand.prefillTokens + demand.outputTokens <= usage.kvCapacity - usage.kvUsed;
-  const hasPlace = usage.used < usage.capacity && usage.waiting === 0 && isMemoryFree && conditions.fullForMs === 0;
+  const hasFreeSlot = usage.used < usage.capacity && usage.waiting === 0 && isMemoryFree && conditions.fullForMs === 0;
   return {
     waitMs,
     delayMs: conditions.slowdown.first * aheadMs,
-    firstEventMs: firstMs,
-    completionMs: endMs,
-    hasFreeSlot: hasPlace,
+    firstEventMs,
+    completionMs,
+    hasFreeSlot,
     neverFits: usage.kvCapacity > 0 && demand.totalTokens > usage.kvCapacity,
   };
 }
--- a/src/admission/size-classes.ts
+++ b/src/admission/size-classes.ts
@@ -9,7 +9,7 @@
 const OUTPUT_WEIGHT = 10;
 const DECAY = 0.995;
 const MIN_RECORDS = 10;
-const HELD_BACK_RATIO = 0.9;
+const DISADVANTAGED_RATIO = 0.9;
 /** Below this ratio, the limit on inter-token gaps is ignored (ours). */
 const STARVED_RATIO = 0.65;
 
@@ -42,8 +42,8 @@
   }
 
   /** Whether requests of this size were admitted less often than all of the route. */
-  isHeldBack(size: number): boolean {
-    return this.isAdmittedBelow(HELD_BACK_RATIO, size);
+  isDisadvantaged(size: number): boolean {
+    return this.isAdmittedBelow(DISADVANTAGED_RATIO, size);
   }
 
   /** Whether requests of this size were admitted far less often than all of the route. */
--- a/src/control/platform/assignment.ts
+++ b/src/control/platform/assignment.ts
@@ -24,9 +24,9 @@
 /** Readers of the region first, by name; then the others, least loaded first, ties broken by rendezvous hash. */
 function sortByPreference(region: string, loads: AssignedWeight[]): AssignedWeight[] {
   return loads.sort((left, right) => {
-    const isLeftLocal = left.reader.region === region;
-    if (isLeftLocal !== (right.reader.region === region)) return isLeftLocal ? -1 : 1;
-    if (isLeftLocal) return left.reader.name < right.reader.name ? -1 : 1;
+    const isFirstLocal = left.reader.region === region;
+    if (isFirstLocal !== (right.reader.region === region)) return isFirstLocal ? -1 : 1;
+    if (isFirstLocal) return left.reader.name < right.reader.name ? -1 : 1;
     return (
       left.weight - right.weight || textHash.hashText(`${region}|${left.reader.name}`) - textHash.hashText(`${region}|${right.reader.name}`)
     );
--- a/src/control/platform/fleet-observer.ts
+++ b/src/control/platform/fleet-observer.ts
@@ -150,12 +150,12 @@
   }
 
   private watcherRank(): number {
-    return singletonRole.rankOf(this.startup.node_name, singletonRole.mostEligible(this.candidates()));
+    return singletonRole.rankOf(this.startup.node_name, singletonRole.bestCandidates(this.candidates()));
   }
 
   /** This node's rank among those that may poll the load reports of the region. */
   rankIn(region: string): number {
-    const readers = assignment.assignReaders(region, singletonRole.mostEligible(this.candidates()), this.reportingCounts());
+    const readers = assignment.assignReaders(region, singletonRole.bestCandidates(this.candidates()), this.reportingCounts());
     return singletonRole.rankOf(this.startup.node_name, readers);
   }
 
--- a/src/control/platform/singleton-role.ts
+++ b/src/control/platform/singleton-role.ts
@@ -30,7 +30,7 @@
  * The candidates of the highest eligibility present, by name. While no candidate is confirmed, a partitioned side
  * still has its roles filled.
  */
-export function mostEligible(candidates: readonly Candidate[]): Candidate[] {
+export function bestCandidates(candidates: readonly Candidate[]): Candidate[] {
   let best: Eligibility = DRAINING;
   for (const { eligibility } of candidates) if (eligibility > best) best = eligibility;
   return candidates
--- a/tests/relay.test.ts
+++ b/tests/hint-relay.test.ts
@@ -5,22 +5,22 @@
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sim from "./sim/world.js";
-import * as signs from "./sim/signs.js";
+import * as hints from "./sim/hints.js";
 
 function relayTo(
   clock: sim.SimWorld,
   routers = 3,
-): { relay: hintRelay.HintRelay; links: Map<string, signs.FakeLink>; hear(name: string, told: schema.Signs): void } {
-  const links = new Map(["r1", "r2", "r3", "s1", "s2"].map((name) => [name, new signs.FakeLink()]));
+): { relay: hintRelay.HintRelay; links: Map<string, hints.FakeLink>; hear(name: string, told: schema.Signs): void } {
+  const links = new Map(["r1", "r2", "r3", "s1", "s2"].map((name) => [name, new hints.FakeLink()]));
   // r1 and r2 follow north, r3 follows both cells.
   const followers = new Map([
     ["north", ["r1", "r2", "r3"]],
     ["south", ["r3"]],
   ]);
   const relay = new hintRelay.HintRelay(clock, {
-    peers: () => ["s1", "s2"].map((name) => signs.ear(links.get(name)!)),
+    peers: () => ["s1", "s2"].map((name) => hints.linkOf(links.get(name)!)),
     routerCount: () => routers,
-    followersOf: (region) => (followers.get(region) ?? []).map((name) => signs.ear(links.get(name)!)),
+    followersOf: (region) => (followers.get(region) ?? []).map((name) => hints.linkOf(links.get(name)!)),
   });
   relay.setRegions(
     new Map([
@@ -29,15 +29,15 @@
       [types.small("s"), "south"],
     ]),
   );
-  return { relay, links, hear: (name, told) => relay.receive(signs.ear(links.get(name)!), told) };
+  return { relay, links, hear: (name, told) => relay.receive(hints.linkOf(links.get(name)!), told) };
 }
 
 test("a relay tells siblings once, followers of the runner's cell, and nobody what came from him", async () => {
   const clock = new sim.SimWorld(1);
   const { links, hear } = relayTo(clock);
-  hear("r1", signs.signs(signs.reading("n", 1000)));
-  hear("r2", signs.signs(signs.reading("n", 3000), signs.reading("s", 500)));
-  hear("s1", { ...signs.signs(signs.reading("m", 700)), isRelayed: true });
+  hear("r1", hints.hintsOf(hints.prefillHint("n", 1000)));
+  hear("r2", hints.hintsOf(hints.prefillHint("n", 3000), hints.prefillHint("s", 500)));
+  hear("s1", { ...hints.hintsOf(hints.prefillHint("m", 700)), isRelayed: true });
   await clock.play(200);
   const seen = new Map([...links].map(([name, made]) => [name, made.entries()]));
   const [n, m, s] = ["n", "m", "s"].map(runnerHash.runnerHash);
@@ -56,7 +56,7 @@
       [m, 700],
     ]),
   );
-  for (const sibling of ["s1", "s2"]) expect(links.get(sibling)!.told.every((told) => told.isRelayed)).toBe(true);
+  for (const sibling of ["s1", "s2"]) expect(links.get(sibling)!.sent.every((told) => told.isRelayed)).toBe(true);
   // What a sibling told is relayed to no sibling.
   for (const sibling of ["s1", "s2"]) expect(new Map(seen.get(sibling)).has(m)).toBe(false);
   expect(seen.get("s1")!.reduce((sum, [, unread]) => sum + unread, 0)).toBe(4500);
@@ -66,19 +66,19 @@
   const clock = new sim.SimWorld(1);
   const { links, hear } = relayTo(clock);
   for (let index = 0; index < perS; index += 1)
-    clock.schedule((index * 1000) / perS, () => hear("r1", signs.signs(signs.reading("n", 1000, [index]))));
+    clock.schedule((index * 1000) / perS, () => hear("r1", hints.hintsOf(hints.prefillHint("n", 1000, [index]))));
   await clock.play(1100);
   const most = Math.ceil(1000 / throttle.PERIOD_MS) + 1;
-  for (const name of ["r2", "r3", "s1", "s2"]) expect(links.get(name)!.told.length).toBeLessThanOrEqual(most);
-  expect(links.get("r1")!.told).toEqual([]);
+  for (const name of ["r2", "r3", "s1", "s2"]) expect(links.get(name)!.sent.length).toBeLessThanOrEqual(most);
+  expect(links.get("r1")!.sent).toEqual([]);
 });
 
 test("silences are relayed like readings; a mark of no listed runner, or of two, goes nowhere", async () => {
   const clock = new sim.SimWorld(1);
   const { links, hear } = relayTo(clock);
-  hear("r1", { isRelayed: false, silent: [runnerHash.runnerHash("n"), 77], readings: [signs.reading("nobody")] });
+  hear("r1", { isRelayed: false, silent: [runnerHash.runnerHash("n"), 77], readings: [hints.prefillHint("nobody")] });
   await clock.play(100);
-  expect(links.get("r2")!.told).toEqual([{ isRelayed: true, silent: [runnerHash.runnerHash("n")], readings: [] }]);
+  expect(links.get("r2")!.sent).toEqual([{ isRelayed: true, silent: [runnerHash.runnerHash("n")], readings: [] }]);
 });
 
 test.each([
@@ -94,19 +94,21 @@
 test.each([[100], [20]])("one of %d routers is told no more bytes of readings than its bound, silences always", async (routers) => {
   const clock = new sim.SimWorld(1);
   const { relay, links } = relayTo(clock, routers);
-  const dropped = signs.counted("signs.dropped");
+  const dropped = hints.counterValue("signs.dropped");
   const names = Array.from({ length: 5000 }, (_item, index) => `i-${index}`);
-  relay.setRegions(new Map(signs.ids(...names).map((id) => [id, "north"])));
+  relay.setRegions(new Map(hints.ids(...names).map((id) => [id, "north"])));
   for (const [index, name] of names.entries())
-    clock.schedule(index * 2, () => relay.receive(signs.ear(links.get("r1")!), signs.signs(signs.reading(name, 1000, [index, ~index]))));
+    clock.schedule(index * 2, () =>
+      relay.receive(hints.linkOf(links.get("r1")!), hints.hintsOf(hints.prefillHint(name, 1000, [index, ~index]))),
+    );
   clock.schedule(9000, () =>
-    relay.receive(signs.ear(links.get("r1")!), { isRelayed: false, silent: [runnerHash.runnerHash("i-3")], readings: [] }),
+    relay.receive(hints.linkOf(links.get("r1")!), { isRelayed: false, silent: [runnerHash.runnerHash("i-3")], readings: [] }),
   );
   await clock.play(10_100);
-  const bytes = links.get("r2")!.told.reduce((sum, told) => sum + schema.signs.toBuffer(told).length, 0);
+  const bytes = links.get("r2")!.sent.reduce((sum, told) => sum + schema.signs.toBuffer(told).length, 0);
   const perS = hintRelay.routerBytesPerS(routers);
   expect(bytes).toBeLessThan(perS * (hintRelay.BURST_S + 10.1));
   expect(bytes).toBeGreaterThan(perS * 5);
-  expect(signs.counted("signs.dropped")).toBeGreaterThan(dropped);
-  expect(links.get("r2")!.told.some((told) => told.silent.length === 1)).toBe(true);
+  expect(hints.counterValue("signs.dropped")).toBeGreaterThan(dropped);
+  expect(links.get("r2")!.sent.some((told) => told.silent.length === 1)).toBe(true);
 });
--- a/tests/leaving.test.ts
+++ b/tests/leaving.test.ts
@@ -34,7 +34,7 @@
   const { DRAINING, UNCONFIRMED, CONFIRMED } = singletonRole;
   function order(...eligibilities: singletonRole.Eligibility[]): string[] {
     const all = eligibilities.map((eligibility, index) => ({ name: "abc"[index], region: "", eligibility }));
-    return singletonRole.mostEligible(all).map((item) => item.name);
+    return singletonRole.bestCandidates(all).map((item) => item.name);
   }
   expect(order(CONFIRMED, CONFIRMED, CONFIRMED)).toEqual(["a", "b", "c"]);
   expect(order(UNCONFIRMED, CONFIRMED, CONFIRMED)).toEqual(["b", "c"]);
--- a/tests/pictures.test.ts
+++ b/tests/load-publisher.test.ts
@@ -7,14 +7,14 @@
 import type * as schema from "../src/wire/schema.js";
 import type * as types from "../src/wire/types.js";
 import * as sims from "./sim/world.js";
-import * as usage from "./sim/usage.js";
+import * as load from "./sim/load.js";
 
 interface Node {
   publisher: loadPublisher.LoadPublisher;
   told: [string, string[], number][];
 }
 
-function nodeOf(clock: sims.SimWorld, region: usage.Region): Node {
+function nodeOf(clock: sims.SimWorld, region: load.Region): Node {
   const told: Node["told"] = [];
   const feed = {
     publishSnapshot: (topic: string, items: ReadonlyMap<string, Buffer>, stamp: types.Stamp) =>
@@ -34,9 +34,9 @@
 function setUp(
   count: number,
   seed: number,
-): { clock: sims.SimWorld; region: usage.Region; reader: Node; sibling: Node; turn(isLost?: boolean): schema.Report[] } {
+): { clock: sims.SimWorld; region: load.Region; reader: Node; sibling: Node; turn(isLost?: boolean): schema.Report[] } {
   const clock = new sims.SimWorld(seed);
-  const region = new usage.Region(clock, "r", count, 16, 1);
+  const region = new load.Region(clock, "r", count, 16, 1);
   const [reader, sibling] = [nodeOf(clock, region), nodeOf(clock, region)];
   return {
     clock,
@@ -44,7 +44,7 @@
     reader,
     sibling,
     turn(isLost = false) {
-      clock.skip(usage.PERIOD_MS);
+      clock.skip(load.PERIOD_MS);
       const told = { region: "r", reports: reader.publisher.selectChanges("r", region.reports) };
       reader.publisher.applyReport(told);
       if (!isLost) sibling.publisher.applyReport(told);
@@ -80,7 +80,7 @@
   const first = reader.told.at(-1)!;
   turn();
   const second = reader.told.at(-1)!;
-  expect([second[0], second[2] - first[2]]).toEqual(["cell:r", usage.PERIOD_MS]);
+  expect([second[0], second[2] - first[2]]).toEqual(["cell:r", load.PERIOD_MS]);
   clock.skip(5000);
   const regions = new Map(region.instances.slice(1).map((item): [types.RunnerId, string] => [item.id, "r"]));
   reader.publisher.setInstances(region.instances.slice(1), regions);
@@ -110,7 +110,7 @@
   const dial = {
     controls: new Map([["s", { link: { send: (_pair: unknown, ask: schema.CellReport) => told.push(ask) } }]]),
   } as unknown as dialer.Dialer;
-  const news = [usage.report("x")];
+  const news = [load.report("x")];
   const view = { reportingRunners: () => [], rankIn: (region: string) => (region === "r" ? 0 : 1), selectChanges: () => news };
   const heard: schema.CellReport[] = [];
   const orchestrator = new regionOrchestrator.RegionOrchestrator(clock, ["r", "q"], view, dial, (report) => heard.push(report));
--- a/tests/usage.test.ts
+++ b/tests/load-reader.test.ts
@@ -6,9 +6,9 @@
 import * as runnerHash from "../src/hints/runner-hash.js";
 import * as loadPublisher from "../src/load/load-publisher.js";
 import * as types from "../src/wire/types.js";
-import * as usage from "./sim/usage.js";
+import * as load from "./sim/load.js";
 
-const { report, instance } = usage;
+const { report, instance } = load;
 
 test.each([
   [1, 1],
@@ -96,8 +96,8 @@
 });
 
 test("a router's picture after differences equals the full reports within the quantum", async () => {
-  const system = new usage.System(["a", "b"], 20, 16, 1);
-  const router = new usage.Router(system, "a");
+  const system = new load.System(["a", "b"], 20, 16, 1);
+  const router = new load.Router(system, "a");
   for (let turn = 0; turn < 150; turn += 1) {
     await system.turn(router);
     const region = system.regions[0];
@@ -112,8 +112,8 @@
 }, 20_000);
 
 test("a router follows its own region, those it sends to, and no longer those it left", async () => {
-  const system = new usage.System(["a", "b", "c"], 4, 16, 1);
-  const router = new usage.Router(system, "a");
+  const system = new load.System(["a", "b", "c"], 4, 16, 1);
+  const router = new load.Router(system, "a");
   await system.turn(router);
   expect(router.cells()).toEqual(["cell:a"]);
   router.reader.recordSend("b");
@@ -122,7 +122,7 @@
   expect(router.cells()).toEqual(["cell:a", "cell:b", "cell:c"]);
   const runner = [...router.fleet.all()].find((item) => item.region === "b")!;
   expect(runner.kvCapacity).toBe(100_000);
-  for (let turn = 0; turn < regionInterest.RETENTION_MS / usage.PERIOD_MS + 1; turn += 1) {
+  for (let turn = 0; turn < regionInterest.RETENTION_MS / load.PERIOD_MS + 1; turn += 1) {
     router.reader.recordSend("c");
     await system.turn(router);
   }
@@ -134,8 +134,8 @@
 }, 20_000);
 
 test("a region whose reports stand still fades at the router, and counts again whole when they come again", async () => {
-  const system = new usage.System(["a"], 4, 16, 1);
-  const router = new usage.Router(system, "a");
+  const system = new load.System(["a"], 4, 16, 1);
+  const router = new load.Router(system, "a");
   for (let turn = 0; turn < 5; turn += 1) await system.turn(router);
   const used = (): number => [...router.fleet.all()].reduce((sum, runner) => sum + runner.requestCount(), 0);
   const before = used();
@@ -166,8 +166,8 @@
   expect(["a", "b", "c"].map((id) => loadPublisher.reportKey(made, types.small(id)))).toEqual(["=a", "=b", "14"]);
 });
 
-async function bytesPerS(system: usage.System, region: string, alsoSent: readonly string[]): Promise<number> {
-  const router = new usage.Router(system, region);
+async function bytesPerS(system: load.System, region: string, alsoSent: readonly string[]): Promise<number> {
+  const router = new load.Router(system, region);
   const turns = 40;
   for (let turn = 0; turn < 10 + turns; turn += 1) {
     if (turn === 10) router.bytes();
@@ -184,7 +184,7 @@
     if (truth.isSpeaking && reportResolution.measureDeviation(report(runner.id, runner), truth, 64) >= 2) far += 1;
   }
   expect(far).toBeLessThanOrEqual(own.reports.length * 0.02);
-  return (router.bytes() * 1000) / (turns * usage.PERIOD_MS);
+  return (router.bytes() * 1000) / (turns * load.PERIOD_MS);
 }
 
 const THIRTEEN = Array.from({ length: 13 }, (_item, index) => `region-${index}`);
@@ -196,7 +196,7 @@
 ] as const)(
   "bytes a second to one router: %s",
   async (name, regions, perRegion, alsoSent, bound) => {
-    const system = new usage.System(regions, perRegion, 64, 2.7);
+    const system = new load.System(regions, perRegion, 64, 2.7);
     const measured = await bytesPerS(system, regions[0], alsoSent);
     if (process.env["SHOW_BYTES"]) process.stdout.write(`${name}: ${Math.round(measured)} B/s\n`);
     expect(measured).toBeLessThan(bound);
--- a/tests/summary.test.ts
+++ b/tests/load-summary.test.ts
@@ -1,12 +1,12 @@
 // Summaries of regions: what they count, when they are fresh, and how routers judge a region by them (design/usage 4).
-import * as usage from "./sim/usage.js";
+import * as load from "./sim/load.js";
 import * as cellPolicy from "../src/router/policies/cell-policy.js";
 import * as regionReports from "../src/load/region-reports.js";
 import * as loadSummary from "../src/load/load-summary.js";
 import * as schema from "../src/wire/schema.js";
 import * as sims from "./sim/world.js";
 
-const { report, instance } = usage;
+const { report, instance } = load;
 
 test("a summary counts good runners, usage and room; a stale region's says nothing", () => {
   const picture = new regionReports.RegionReports("r");
--- a/tests/sim/signs.ts
+++ b/tests/sim/hints.ts
@@ -7,30 +7,30 @@
 export const ids = (...names: string[]): types.RunnerId[] => names.map((name) => types.small(name));
 
 export class FakeLink {
-  readonly told: schema.Signs[] = [];
+  readonly sent: schema.Signs[] = [];
   readonly ends: (() => void)[] = [];
   send(_pair: unknown, ask: unknown): void {
-    this.told.push(ask as schema.Signs);
+    this.sent.push(ask as schema.Signs);
   }
   once(_event: string, run: () => void): this {
     this.ends.push(run);
     return this;
   }
   entries(): [number, number][] {
-    return this.told.flatMap((told) => told.readings.map((item): [number, number] => [item.runner, item.unread]));
+    return this.sent.flatMap((told) => told.readings.map((item): [number, number] => [item.runner, item.unread]));
   }
 }
 
-export const ear = (made: FakeLink): never => made as unknown as never;
+export const linkOf = (made: FakeLink): never => made as unknown as never;
 
-export function reading(runner: string, unread = 1000, keys: number[] = [1]): schema.ReadingSign {
+export function prefillHint(runner: string, unread = 1000, keys: number[] = [1]): schema.ReadingSign {
   return { runner: runnerHash.runnerHash(runner), unread, keys };
 }
 
-export function signs(...told: schema.ReadingSign[]): schema.Signs {
+export function hintsOf(...told: schema.ReadingSign[]): schema.Signs {
   return { isRelayed: false, silent: [], readings: told };
 }
 
-export function counted(name: string): number {
+export function counterValue(name: string): number {
   return log.counted().get(name) ?? 0;
 }
