--- a/src/router/transaction-context.ts
+++ b/src/router/transaction-context.ts
@@ -9,7 +9,7 @@
   picker: runnerPicker.RunnerPicker;
   /** Called once, when the transaction is done. */
   onFinished(): void;
-  /** A request goes to this runner, and other routers are told of its prefill; returns the prompt's tokens that the runner has not cached. */
+  /** A request goes to this runner, and other routers are notified of its prefill; returns the prompt's tokens that the runner has not cached. */
   recordSend(request: routeRequest.RouteRequest, runner: types.RunnerId): number;
   /** Whether the router shuts down: each response is then the last on its connection. */
   readonly isDraining: () => boolean;
--- a/src/runners/outlier-detection.ts
+++ b/src/runners/outlier-detection.ts
@@ -124,7 +124,7 @@
 
   /**
    * A request of this router failed. `isLoaded`: the runner is under load, which excuses some kinds of failure. `isLocal`:
-   * the network path from here may be at fault, so that other routers are not told.
+   * the network path from here may be at fault, so that other routers are not notified.
    */
   recordFailure(kind: failureKind.FailureKind, now: number, isLoaded: boolean, isLocal = false): void {
     log.count(`runner.failure_${kind}`);
@@ -220,7 +220,7 @@
     return score * PENALTY_MS * (isRepeatable ? 1 : NON_REPEATABLE_FACTOR);
   }
 
-  /** Whether other routers are to be told now that it fails, or is silent. Called a few times a second. */
+  /** Whether other routers are to be notified now that it fails, or is silent. Called a few times a second. */
   takeReport(now: number, isSilent: boolean): boolean {
     return this.reports.takeDue(now, isSilent, () => this.peers.isWidespread());
   }
--- a/src/runners/runner-endpoint.ts
+++ b/src/runners/runner-endpoint.ts
@@ -151,7 +151,7 @@
     return this.outliers.update(now) === "ejected" || this.outliers.isFailing(now) || this.isSilent(now) || this.isUnconfirmed(now);
   }
 
-  /** Whether other routers are to be told now of what this router found. Called a few times a second. */
+  /** Whether other routers are to be notified now of what this router found. Called a few times a second. */
   takeSuspicion(now: number): boolean {
     this.recordOverdue(now);
     this.outliers.update(now);
--- a/src/runners/runner-fleet.ts
+++ b/src/runners/runner-fleet.ts
@@ -154,7 +154,7 @@
     for (const runner of this.inRegion(region)) runner.recordUnreachable(now);
   }
 
-  /** Runners that other routers are to be told of now. Called a few times a second. */
+  /** Runners that other routers are to be notified of now. Called a few times a second. */
   takeNewSuspects(): types.RunnerId[] {
     const now = this.clock.now();
     const ids: types.RunnerId[] = [];
