--- a/src/control/control-program.ts
+++ b/src/control/control-program.ts
@@ -152,7 +152,7 @@
     const heartbeat = { isReady, epoch, isSettled, silentRegions: dial.silentRegions(), index: features.OWN_FEATURES };
     members.sendHeartbeats(heartbeat);
     dial.sendHeartbeats({ ...heartbeat, members: 1 });
-    members.publishRoster(this.describe(), dial.links(), this.controls());
+    members.publishToPeers(this.describe(), dial.links(), this.controls());
   }
 
   private runPeriodically(): void {
--- a/src/control/members/roster-exchange.ts
+++ b/src/control/members/membership-exchange.ts
@@ -1,29 +1,29 @@
-/** Exchanges rosters between control nodes: deltas to each peer, a snapshot after a gap (design/members 1). */
+/** Exchanges memberships between control nodes: deltas to each peer, a snapshot after a gap (design/members 1). */
 import * as calls from "../../wire/calls.js";
 import type * as link from "../../wire/link.js";
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
 import * as log from "../../runtime/log.js";
-import * as peerRoster from "./peer-roster.js";
-import * as roster from "./roster.js";
+import * as peerMembership from "./peer-membership.js";
+import * as publishedMembership from "./published-membership.js";
 
 /** A peer is asked for a snapshot no more often than this. */
 const SNAPSHOT_REQUEST_INTERVAL_MS = 600;
 
 /** What one peer published. */
 interface PeerReport {
-  readonly roster: peerRoster.PeerRoster;
+  readonly membership: peerMembership.PeerMembership;
   /** When its last update came. */
   receivedAt: number;
   /** When a snapshot of it was requested last. */
   requestedAt: number;
 }
 
-/** Publishes the own roster to peers and keeps a replica of theirs. */
-export class RosterExchange {
+/** Publishes the own membership to peers and keeps a replica of theirs. */
+export class MembershipExchange {
   private readonly reports = new Map<string, PeerReport>();
-  private readonly roster: roster.Roster;
-  /** The number of the own roster up to which each peer was sent it, by its link. */
+  private readonly ownMembership: publishedMembership.PublishedMembership;
+  /** The number of the own membership up to which each peer was sent it, by its link. */
   private readonly offsets = new Map<link.Link, number>();
   private controls: schema.ControlInfo[] = [];
 
@@ -31,21 +31,21 @@
     private readonly clock: types.Clock,
     incarnation: string,
   ) {
-    this.roster = new roster.Roster(incarnation);
+    this.ownMembership = new publishedMembership.PublishedMembership(incarnation);
   }
 
-  /** Publishes the own roster: to each peer what changed since the last update it was sent. */
+  /** Publishes the own membership: to each peer what changed since the last update it was sent. */
   publish(nodes: readonly schema.NodeInfo[], draining: Iterable<string>, peers: Iterable<link.Link>, controls: schema.ControlInfo[]): void {
-    this.roster.update(nodes, draining);
+    this.ownMembership.update(nodes, draining);
     const haveControlsChanged = this.updateControls(controls);
     for (const to of peers) {
       const offset = this.offsets.get(to);
-      const update = this.roster.deltaSince(offset ?? -1);
+      const update = this.ownMembership.deltaSince(offset ?? -1);
       if (update.isWhole) log.count("members.snapshots");
       log.count("members.entries", update.nodes.length + update.gone.length);
       to.send(calls.sessions, haveControlsChanged || update.isWhole ? { ...update, controls } : update);
       if (offset === undefined) to.once("end", () => this.forgetOffset(to));
-      this.offsets.set(to, this.roster.newestNumber);
+      this.offsets.set(to, this.ownMembership.newestNumber);
     }
   }
 
@@ -66,19 +66,19 @@
     const now = this.clock.now();
     report.receivedAt = now;
     this.reports.set(peer, report);
-    if (report.roster.applyUpdate(update) || now - report.requestedAt < SNAPSHOT_REQUEST_INTERVAL_MS) return;
+    if (report.membership.applyUpdate(update) || now - report.requestedAt < SNAPSHOT_REQUEST_INTERVAL_MS) return;
     report.requestedAt = now;
     log.count("members.gap");
     from.send(calls.whole, { _: false });
   }
 
   private newReport(): PeerReport {
-    return { roster: new peerRoster.PeerRoster(), receivedAt: 0, requestedAt: -SNAPSHOT_REQUEST_INTERVAL_MS };
+    return { membership: new peerMembership.PeerMembership(), receivedAt: 0, requestedAt: -SNAPSHOT_REQUEST_INTERVAL_MS };
   }
 
   /** The members that peers published; a node may be there more than once. */
   *peerNodes(): Generator<schema.NodeInfo> {
-    for (const report of this.reports.values()) yield* report.roster.all();
+    for (const report of this.reports.values()) yield* report.membership.all();
   }
 
   /** Forgets peers that published nothing for so long. */
--- a/src/control/members/membership.ts
+++ b/src/control/members/membership.ts
@@ -1,5 +1,5 @@
 /**
- * The membership as one control node knows it (design 4.1, design/members): its own sessions, the rosters that its peers
+ * The membership as one control node knows it (design 4.1, design/members): its own sessions, the memberships that its peers
  * publish, and the routers that follow from both.
  */
 import * as calls from "../../wire/calls.js";
@@ -7,7 +7,7 @@
 import type * as schema from "../../wire/schema.js";
 import type * as types from "../../wire/types.js";
 import * as drainNotices from "./drain-notices.js";
-import * as rosterExchange from "./roster-exchange.js";
+import * as membershipExchange from "./membership-exchange.js";
 import * as sessions from "./sessions.js";
 import * as shrinkGuard from "./shrink-guard.js";
 
@@ -24,7 +24,7 @@
 export class Membership {
   private readonly sessions: sessions.Sessions;
   private readonly drainNotices: drainNotices.DrainNotices;
-  private readonly rosterExchange: rosterExchange.RosterExchange;
+  private readonly exchange: membershipExchange.MembershipExchange;
   private readonly shrinkGuard: shrinkGuard.ShrinkGuard;
   /** Null: something changed since it was computed. */
   private routerView: RouterView | null = null;
@@ -37,7 +37,7 @@
   ) {
     this.sessions = new sessions.Sessions(timeoutMs, () => this.invalidateView());
     this.drainNotices = new drainNotices.DrainNotices(clock);
-    this.rosterExchange = new rosterExchange.RosterExchange(clock, incarnation);
+    this.exchange = new membershipExchange.MembershipExchange(clock, incarnation);
     this.shrinkGuard = new shrinkGuard.ShrinkGuard(clock);
   }
 
@@ -62,26 +62,26 @@
     this.invalidateView();
   }
 
-  /** A snapshot or delta of a peer's roster; after a gap a snapshot is requested from it. */
-  receiveRoster(from: link.Link, update: schema.Sessions): void {
+  /** A snapshot or delta of a peer's membership; after a gap a snapshot is requested from it. */
+  receivePeerMembership(from: link.Link, update: schema.Sessions): void {
     const session = this.sessions.ofLink(from);
     if (!session) return;
     const peer = session.node.name;
     for (const node of update.nodes) if (node.name === peer) session.node = node;
     for (const incarnation of update.leaving) this.drainNotices.recordFromPeer(incarnation);
     if (update.nodes.length > 0 || update.gone.length > 0 || update.leaving.length > 0) this.invalidateView();
-    this.rosterExchange.receive(peer, from, update);
+    this.exchange.receive(peer, from, update);
   }
 
   /** A peer noticed a gap: the next update to it is a full snapshot. */
   forgetOffset(to: link.Link): void {
-    this.rosterExchange.forgetOffset(to);
+    this.exchange.forgetOffset(to);
   }
 
   /** With each heartbeat, to each peer: what changed since the last update it was sent. */
-  publishRoster(self: schema.NodeInfo, peers: Iterable<link.Link>, controls: schema.ControlInfo[]): void {
+  publishToPeers(self: schema.NodeInfo, peers: Iterable<link.Link>, controls: schema.ControlInfo[]): void {
     const nodes = [self, ...this.sessions.nodes("router")];
-    this.rosterExchange.publish(nodes, this.drainNotices.incarnations(), peers, controls);
+    this.exchange.publish(nodes, this.drainNotices.incarnations(), peers, controls);
   }
 
   /** Sends the known control nodes to the routers that have sessions here. */
@@ -105,7 +105,7 @@
   /** Ends silent sessions and forgets peers and drain notices that are out of date. */
   expireSilent(): void {
     this.sessions.closeSilent();
-    this.rosterExchange.expire(2 * this.timeoutMs);
+    this.exchange.expire(2 * this.timeoutMs);
     this.drainNotices.expire();
     this.routers();
   }
@@ -158,7 +158,7 @@
   /** The members of a role by name: own sessions go before what peers published, and of that a ready one first. */
   private observedNodes(role: string): schema.NodeInfo[] {
     const all = new Map<string, schema.NodeInfo>();
-    for (const node of this.rosterExchange.peerNodes()) {
+    for (const node of this.exchange.peerNodes()) {
       if (node.role !== role || (all.get(node.name)?.isReady && !node.isReady)) continue;
       all.set(node.name, this.drainNotices.has(node.life) ? { ...node, isReady: false } : node);
     }
--- a/src/control/members/peer-roster.ts
+++ b/src/control/members/peer-membership.ts
@@ -1,12 +1,12 @@
-/** The receiving side of a roster: what one peer published of its members, as far as its updates arrived (design/members 1). */
+/** The receiving side of a membership: what one peer published of its members, as far as its updates arrived (design/members 1). */
 import type * as schema from "../../wire/schema.js";
-import * as roster from "./roster.js";
+import * as publishedMembership from "./published-membership.js";
 
 /** Number of a replica that is incomplete: no delta begins there, so that only a snapshot is accepted. */
 const INCOMPLETE = -1;
 
-/** Replica of one peer's roster. */
-export class PeerRoster {
+/** Replica of one peer's membership. */
+export class PeerMembership {
   private readonly nodes = new Map<string, schema.NodeInfo>();
   private incarnation = "";
   private number = INCOMPLETE;
@@ -32,9 +32,9 @@
 
   private set(name: string, node: schema.NodeInfo | null): void {
     const previous = this.nodes.get(name);
-    if (previous) this.digest -= roster.hashNode(previous);
+    if (previous) this.digest -= publishedMembership.hashNode(previous);
     if (node) {
-      this.digest += roster.hashNode(node);
+      this.digest += publishedMembership.hashNode(node);
       this.nodes.set(name, node);
     } else this.nodes.delete(name);
   }
--- a/src/control/members/roster.ts
+++ b/src/control/members/published-membership.ts
@@ -1,5 +1,5 @@
 /**
- * The publishing side of a control node's roster: its members, numbered by change, so that each peer gets a delta since the
+ * The publishing side of a control node's own membership: its members, numbered by change, so that each peer gets a delta since the
  * number it was sent last, or a snapshot when that is unknown or too old (design/members 1).
  */
 import type * as schema from "../../wire/schema.js";
@@ -32,8 +32,8 @@
   return textHash.hashText([name, role, life, zone, region, address, outside, disk, isCounted, isReady].join("\n"));
 }
 
-/** The own roster. Numbers count changes within one incarnation of this process. */
-export class Roster {
+/** The own membership. Numbers count changes within one incarnation of this process. */
+export class PublishedMembership {
   private readonly entries = new Map<string, Entry>();
   /** Incarnations of draining routers, with the number of the change that added them. */
   private readonly draining = new Map<string, number>();
--- a/src/control/members/session-handlers.ts
+++ b/src/control/members/session-handlers.ts
@@ -1,4 +1,4 @@
-/** Answers what nodes send about themselves: hellos, heartbeats, and other control nodes' rosters (design 4.1). */
+/** Answers what nodes send about themselves: hellos, heartbeats, and other control nodes' memberships (design 4.1). */
 import * as calls from "../../wire/calls.js";
 import type * as link from "../../wire/link.js";
 import type * as schema from "../../wire/schema.js";
@@ -22,7 +22,7 @@
   feedIncarnation: string;
 }
 
-/** Registers the handlers of hellos, heartbeats and rosters. */
+/** Registers the handlers of hellos, heartbeats and membership updates. */
 export function registerHandlers(parts: SessionHandlerParts): void {
   const { handlers, members, dial, replica, contact } = parts;
   handlers.on(calls.hello, (from, hello) => {
@@ -37,7 +37,7 @@
     return null;
   });
   handlers.on(calls.sessions, (from, update) => {
-    members.receiveRoster(from, update);
+    members.receivePeerMembership(from, update);
     dial.addControls(update.controls);
     return null;
   });
--- a/src/control/members/sessions.ts
+++ b/src/control/members/sessions.ts
@@ -8,7 +8,7 @@
 
 /** A node that sent a hello to this one, and its link. */
 export interface Session {
-  /** As its last heartbeat or roster says. */
+  /** As its last heartbeat or membership update says. */
   node: schema.NodeInfo;
   readonly link: link.Link;
 }
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -1,7 +1,7 @@
 // Silence takes a router out of the directory, then out of the membership (design 4.1, 4.3).
 import * as directory from "../src/control/directory/directory.js";
 import * as membership from "../src/control/members/membership.js";
-import * as roster from "../src/control/members/roster.js";
+import * as publishedMembership from "../src/control/members/published-membership.js";
 import type * as link from "../src/wire/link.js";
 import * as types from "../src/wire/types.js";
 import * as schema from "../src/wire/schema.js";
@@ -47,7 +47,7 @@
 }
 
 function snapshotOf(nodes: schema.NodeInfo[]): schema.Sessions {
-  const peer = new roster.Roster("peer");
+  const peer = new publishedMembership.PublishedMembership("peer");
   peer.update(nodes, []);
   return peer.deltaSince(-1);
 }
@@ -107,9 +107,9 @@
     const peer = fixture.open(node("s", "control"));
     members.receiveHeartbeat(a.asLink(), heartbeat(false));
     a.end("closed");
-    members.receiveRoster(peer.asLink(), snapshotOf([router("a")]));
+    members.receivePeerMembership(peer.asLink(), snapshotOf([router("a")]));
     expect(fixture.resolve()).toEqual(["c"]);
-    members.receiveRoster(peer.asLink(), snapshotOf([router("a", { life: "a/2" })]));
+    members.receivePeerMembership(peer.asLink(), snapshotOf([router("a", { life: "a/2" })]));
     expect(fixture.resolve()).toEqual(["a", "c"]);
   });
 
@@ -147,7 +147,7 @@
     const fixture = new MembershipFixture();
     const b = fixture.open(router("b"));
     const peer = fixture.open(node("s", "control"));
-    fixture.members.receiveRoster(peer.asLink(), snapshotOf([router("a"), router("c")]));
+    fixture.members.receivePeerMembership(peer.asLink(), snapshotOf([router("a"), router("c")]));
     fixture.members.sendHeartbeats({ isReady: true, epoch: types.small(1), isSettled: true, silentRegions: [], index: 0 });
     expect(b.sent).toEqual([{ isReady: true, epoch: 1, isSettled: true, index: 1, members: 3, silentRegions: [] }]);
   });
--- a/tests/roster.test.ts
+++ b/tests/published-membership.test.ts
@@ -1,6 +1,6 @@
-// Rosters that control nodes publish to each other as deltas (design/members 1).
-import * as peerRoster from "../src/control/members/peer-roster.js";
-import * as roster from "../src/control/members/roster.js";
+// Memberships that control nodes publish to each other as deltas (design/members 1).
+import * as peerMembership from "../src/control/members/peer-membership.js";
+import * as publishedMembership from "../src/control/members/published-membership.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as world from "./sim/world.js";
@@ -40,10 +40,10 @@
   { description: "another digest", damage: (update) => ({ ...update, digest: update.digest + 1 }) },
 ];
 
-describe("roster", () => {
+describe("published membership", () => {
   test.each(CHANGES)("a delta holds what changed and no more: $description", ({ now, published, removed }) => {
-    const own = new roster.Roster("life");
-    const replica = new peerRoster.PeerRoster();
+    const own = new publishedMembership.PublishedMembership("life");
+    const replica = new peerMembership.PeerMembership();
     own.update([router("a"), router("b")], []);
     expect(replica.applyUpdate(own.deltaSince(UNKNOWN))).toBe(true);
     const offset = own.newestNumber;
@@ -55,7 +55,7 @@
   });
 
   test("of nodes of which only the epoch moved at most two are published a heartbeat, whatever the number of routers", () => {
-    const own = new roster.Roster("life");
+    const own = new publishedMembership.PublishedMembership("life");
     const all = Array.from({ length: 40 }, (_item, index) => router(`r${index}`));
     own.update(all, []);
     const moved = all.map((node) => ({ ...node, epoch: types.small<types.Epoch>(9) }));
@@ -74,8 +74,8 @@
   });
 
   test.each(GAPS)("a gap is noticed and a snapshot repairs it: $description", ({ damage }) => {
-    const own = new roster.Roster("life");
-    const replica = new peerRoster.PeerRoster();
+    const own = new publishedMembership.PublishedMembership("life");
+    const replica = new peerMembership.PeerMembership();
     own.update([router("a"), router("b")], []);
     replica.applyUpdate(own.deltaSince(UNKNOWN));
     const offset = own.newestNumber;
@@ -89,8 +89,8 @@
   test("by seed: deltas equal the snapshot after random changes and lost updates; a peer further behind than kept gets a snapshot", () => {
     for (let seed = 1; seed <= 12; seed += 1) {
       const clock = new world.SimWorld(seed);
-      const own = new roster.Roster("life");
-      const replica = new peerRoster.PeerRoster();
+      const own = new publishedMembership.PublishedMembership("life");
+      const replica = new peerMembership.PeerMembership();
       const now = new Map<string, schema.NodeInfo>();
       let offset = UNKNOWN;
       for (let heartbeat = 0; heartbeat < 100; heartbeat += 1) {
@@ -107,7 +107,7 @@
         expect(names(replica.all())).toEqual(names(now.values()));
       }
     }
-    const own = new roster.Roster("life");
+    const own = new publishedMembership.PublishedMembership("life");
     own.update([router("x")], []);
     const offset = own.newestNumber;
     own.update([router("x"), ...Array.from({ length: 1100 }, (_item, index) => router(`r${index}`))], []);
--- a/tests/quorum-contact.test.ts
+++ b/tests/quorum-contact.test.ts
@@ -68,7 +68,7 @@
   expect(await cutFaults("none")).toEqual([]);
 });
 
-// The third guard, any_epoch, is seen by contact-random.test.ts: here a node catches up before its first answers come.
+// The third guard, any_epoch, is seen by quorum-contact-random.test.ts: here a node catches up before its first answers come.
 test.each<[simControlNode.Broken, string]>([
   ["always_confirmed", "it says that it is confirmed"],
   ["no_bound", "it counts as confirmed"],
--- a/tests/sim/sim-control-node.ts
+++ b/tests/sim/sim-control-node.ts
@@ -194,7 +194,7 @@
     const base = { isReady: !isLeaving, epoch, isSettled, silentRegions: this.dial.silentRegions(), index: features.OWN_FEATURES };
     this.members.sendHeartbeats(base);
     this.dial.sendHeartbeats({ ...base, members: 1 });
-    this.members.publishRoster(this.describe(), this.dial.links(), this.controls());
+    this.members.publishToPeers(this.describe(), this.dial.links(), this.controls());
   }
 
   private runPeriodically(): void {
--- a/tests/sim/simulated-nodes.ts
+++ b/tests/sim/simulated-nodes.ts
@@ -68,7 +68,7 @@
       if (fleet.losesNews()) return null;
       if (told.isWhole) this.wholes += 1;
       else this.entries += told.nodes.length + told.gone.length;
-      this.members.receiveRoster(from, told);
+      this.members.receivePeerMembership(from, told);
       this.dial.addControls(told.controls);
       return null;
     });
@@ -86,7 +86,7 @@
     const base = { isReady: true, epoch: types.FIRST_EPOCH, isSettled: this.isSettled, silentRegions: this.dial.silentRegions(), index: 0 };
     this.members.sendHeartbeats(base);
     this.dial.sendHeartbeats({ ...base, members: 1 });
-    this.members.publishRoster(this.describe(), this.dial.links(), [this.info, ...this.dial.connectedControls()]);
+    this.members.publishToPeers(this.describe(), this.dial.links(), [this.info, ...this.dial.connectedControls()]);
   }
   turn(): void {
     if (!this.isUp) return;
