--- a/src/feed/dialer.ts
+++ b/src/feed/dialer.ts
@@ -60,8 +60,8 @@
 
   /** Registers the handler of announced control nodes. */
   registerHandlers(handlers: link.Handlers): void {
-    handlers.on(calls.controls, (_from, told) => {
-      this.addControls(told.controls);
+    handlers.on(calls.controls, (_from, announced) => {
+      this.addControls(announced.controls);
       return null;
     });
   }
@@ -166,10 +166,10 @@
 
   private async exchangeHello(address: string, target: DialTarget, made: link.Link): Promise<void> {
     target.state = "greeting";
-    const asked = this.clock.now();
+    const sentAt = this.clock.now();
     const known = await made.call(calls.hello, { node: this.describe() }, CONNECT_TIMEOUT_MS);
     if (known && made.isOpen && !this.isClosed) {
-      this.addControlNode(address, target, { link: made, known, roundTripMs: this.clock.now() - asked });
+      this.addControlNode(address, target, { link: made, known, roundTripMs: this.clock.now() - sentAt });
       return;
     }
     made.end("no hello");
--- a/src/tallies/counter-store.ts
+++ b/src/tallies/counter-store.ts
@@ -74,7 +74,7 @@
 
   /** Appends adds that follow the offset of the stream. Adds below it are skipped, and nothing is appended after a gap. */
   appendAdds(stream: string, from: number, adds: readonly TallyAdd[]): Promise<void> {
-    const taken: TallyRecord[] = [];
+    const added: TallyRecord[] = [];
     for (const [index, add] of adds.entries()) {
       const position = from + index;
       const offset = this.state.offsetOf(stream);
@@ -82,11 +82,11 @@
       if (position <= offset) continue;
       const counted = this.state.append(stream, add);
       if (counted !== "new") log.count(`tallies.${counted}`);
-      taken.push(logRecords.addRecord(stream, position, add));
+      added.push(logRecords.addRecord(stream, position, add));
     }
     const end = Math.min(from + adds.length - 1, this.state.offsetOf(stream));
-    if (taken.length === 0 && this.durableOffset(stream) >= end) return Promise.resolve();
-    return this.append(taken, [{ stream, position: end }]);
+    if (added.length === 0 && this.durableOffset(stream) >= end) return Promise.resolve();
+    return this.append(added, [{ stream, position: end }]);
   }
 
   /** From now on adds are accepted in this era. */
@@ -143,9 +143,9 @@
     await this.log?.close();
   }
 
-  private async append(taken: TallyRecord[], positions: StreamPosition[]): Promise<void> {
+  private async append(added: TallyRecord[], positions: StreamPosition[]): Promise<void> {
     if (!this.log) return new Promise(() => {});
-    await this.log.append(taken);
+    await this.log.append(added);
     this.recordDurable(positions);
   }
 
--- a/src/tallies/log-records.ts
+++ b/src/tallies/log-records.ts
@@ -82,9 +82,9 @@
   if (kind === KIND.id) state.restoreId(counterState.keyOf(tally, id), era, amount);
   if (kind === KIND.stream) state.restoreStream(stream, position);
   if (kind !== KIND.add) return true;
-  const held = state.offsetOf(stream);
-  if (position > held + 1) return false;
-  if (position === held + 1) state.append(stream, { tally, id, amount, era });
+  const offset = state.offsetOf(stream);
+  if (position > offset + 1) return false;
+  if (position === offset + 1) state.append(stream, { tally, id, amount, era });
   return true;
 }
 
@@ -96,9 +96,9 @@
   const state = new counterState.CounterState();
   for (const record of snapshot) if (!applyRecord(state, record)) return null;
   for (const stream of own.streamNames()) {
-    const held = state.offsetOf(stream);
-    if (held < own.compactedOffset(stream)) return null;
-    for (const add of own.addsAfter(stream, held, Infinity)) state.append(stream, add);
+    const offset = state.offsetOf(stream);
+    if (offset < own.compactedOffset(stream)) return null;
+    for (const add of own.addsAfter(stream, offset, Infinity)) state.append(stream, add);
   }
   state.era = Math.max(state.era, own.era);
   return state;
--- a/src/tallies/replicated-counters.ts
+++ b/src/tallies/replicated-counters.ts
@@ -59,15 +59,22 @@
     private readonly clock: types.Clock,
     private readonly host: CounterHost,
   ) {
-    const { incarnation: life, address, isCounted, dial } = host;
+    const { incarnation, address, isCounted, dial } = host;
     this.compactedAt = clock.now();
-    this.store = new counterStore.CounterStore(clock, host.newDiskId.bind(host));
+    this.store = new counterStore.CounterStore(clock, () => host.newDiskId());
     this.peers = new peerTable.PeerTable(clock);
     const { store, peers: known } = this;
-    this.replication = new replication.Replication({ clock, self: { address, isCounted }, ownStream: life, store, peers: known, dial });
-    const required = this.required.bind(this);
-    const expected = this.expected.bind(this);
-    const hearsZone = host.isZoneHeard.bind(host);
+    this.replication = new replication.Replication({
+      clock,
+      self: { address, isCounted },
+      ownStream: incarnation,
+      store,
+      peers: known,
+      dial,
+    });
+    const required = (): number => this.required();
+    const expected = (): string[] => this.expected();
+    const isZoneHeard = (zone: string): boolean => host.isZoneHeard(zone);
     this.acknowledgements = new acknowledgements.Acknowledgements({
       clock,
       store,
@@ -75,12 +82,12 @@
       isCounted,
       required,
       expected,
-      isZoneHeard: hearsZone,
+      isZoneHeard,
     });
     this.readiness = new totalsReadiness.TotalsReadiness({ clock, store, peers: known, required, expected });
     this.eras = new eraAdvancer.EraAdvancer(clock, store);
     this.replication.registerHandlers(host.handlers);
-    this.replication.on("progress", this.onProgress.bind(this));
+    this.replication.on("progress", () => this.onProgress());
   }
 
   /** Reads the disk; the loop never waits for it. */
@@ -150,7 +157,7 @@
       ids: store.state.ids,
       era: store.state.era,
       log: store.status(),
-      peers: [...this.peers.all()].map(this.peerStatus.bind(this)),
+      peers: [...this.peers.all()].map((peer) => this.peerStatus(peer)),
     };
   }
 
@@ -210,8 +217,8 @@
     this.eras.advanceIfDue(members);
     if (!members || !this.store.isComplete) return;
     const common = this.store.durablePositions().map(({ stream, position }) => {
-      const least = Math.min(position, ...members.map((peer) => peer.durableOffsets.get(stream) ?? 0));
-      return { stream, position: least };
+      const durableEverywhere = Math.min(position, ...members.map((peer) => peer.durableOffsets.get(stream) ?? 0));
+      return { stream, position: durableEverywhere };
     });
     this.store.compact(common);
   }
--- a/src/tallies/snapshot-transfer.ts
+++ b/src/tallies/snapshot-transfer.ts
@@ -40,7 +40,7 @@
     const snapshot = this.open.get(token);
     if (!snapshot || snapshot.next !== ask.part) return EXPIRED;
     snapshot.expiry.stop();
-    snapshot.expiry = this.clock.schedule(SNAPSHOT_EXPIRY_MS, this.end.bind(this, token));
+    snapshot.expiry = this.clock.schedule(SNAPSHOT_EXPIRY_MS, () => this.end(token));
     snapshot.next += 1;
     const records: TallyRecord[] = [];
     let isLast = false;
@@ -57,7 +57,7 @@
     if (this.open.size >= MAX_SNAPSHOTS || !this.store.isOpen) return "";
     this.lastToken += 1;
     const token = String(this.lastToken);
-    const expiry = this.clock.schedule(SNAPSHOT_EXPIRY_MS, this.end.bind(this, token));
+    const expiry = this.clock.schedule(SNAPSHOT_EXPIRY_MS, () => this.end(token));
     this.open.set(token, { records: this.store.beginSnapshot()[Symbol.iterator](), next: 0, expiry });
     return token;
   }
