--- a/tests/hint-relay.test.ts
+++ b/tests/hint-relay.test.ts
@@ -1,4 +1,4 @@
-// Signs relayed by control nodes (design/usage 2): to followers of the cell, once, within a bound of bytes.
+// Hints forwarded by control nodes (design/usage 2): once to the followers of the region, within a rate of bytes.
 import * as runnerHash from "../src/hints/runner-hash.js";
 import * as throttle from "../src/hints/throttle.js";
 import * as hintRelay from "../src/hints/hint-relay.js";
@@ -32,7 +32,7 @@
   return { relay, links, hear: (name, told) => relay.receive(hints.linkOf(links.get(name)!), told) };
 }
 
-test("a relay tells siblings once, followers of the runner's cell, and nobody what came from him", async () => {
+test("forwards hints once to peers and to the followers of the runner's region, never to the sender", async () => {
   const clock = new sim.SimWorld(1);
   const { links, hear } = relayTo(clock);
   hear("r1", hints.hintsOf(hints.prefillHint("n", 1000)));
@@ -56,13 +56,13 @@
       [m, 700],
     ]),
   );
-  for (const sibling of ["s1", "s2"]) expect(links.get(sibling)!.sent.every((told) => told.isRelayed)).toBe(true);
-  // What a sibling told is relayed to no sibling.
-  for (const sibling of ["s1", "s2"]) expect(new Map(seen.get(sibling)).has(m)).toBe(false);
+  for (const peer of ["s1", "s2"]) expect(links.get(peer)!.sent.every((told) => told.isRelayed)).toBe(true);
+  // What a peer told is relayed to no peer.
+  for (const peer of ["s1", "s2"]) expect(new Map(seen.get(peer)).has(m)).toBe(false);
   expect(seen.get("s1")!.reduce((sum, [, unread]) => sum + unread, 0)).toBe(4500);
 });
 
-test.each([20, 200, 2000])("frames of a relay do not grow with requests: %d signs a second", async (perS) => {
+test.each([20, 200, 2000])("the number of frames does not grow with the hints: %d a second", async (perS) => {
   const clock = new sim.SimWorld(1);
   const { links, hear } = relayTo(clock);
   for (let index = 0; index < perS; index += 1)
@@ -73,7 +73,7 @@
   expect(links.get("r1")!.sent).toEqual([]);
 });
 
-test("silences are relayed like readings; a mark of no listed runner, or of two, goes nowhere", async () => {
+test("forwards unresponsive runners, and drops hashes that identify no listed runner", async () => {
   const clock = new sim.SimWorld(1);
   const { links, hear } = relayTo(clock);
   hear("r1", { isRelayed: false, silent: [runnerHash.runnerHash("n"), 77], readings: [hints.prefillHint("nobody")] });
@@ -87,11 +87,11 @@
   [16, 4000],
   [100, 640],
   [400, 600],
-])("of %d routers each has %d bytes a second of readings", (routers, expected) => {
+])("of %d routers each is sent at most %d bytes of prefill hints a second", (routers, expected) => {
   expect(hintRelay.routerBytesPerS(routers)).toBe(expected);
 });
 
-test.each([[100], [20]])("one of %d routers is told no more bytes of readings than its bound, silences always", async (routers) => {
+test.each([[100], [20]])("limits the prefill hints to one of %d routers, and always forwards unresponsive runners", async (routers) => {
   const clock = new sim.SimWorld(1);
   const { relay, links } = relayTo(clock, routers);
   const dropped = hints.counterValue("signs.dropped");
--- a/tests/load-publisher.test.ts
+++ b/tests/load-publisher.test.ts
@@ -1,4 +1,4 @@
-// Control nodes among each other hold the same picture of a region, whoever reads it (design/usage 3.2).
+// All control nodes have the same reports of a region, whichever of them polls it (design/usage 3.2).
 import * as regionOrchestrator from "../src/control/platform/region-orchestrator.js";
 import type * as dialer from "../src/feed/dialer.js";
 import * as feedPublisher from "../src/feed/feed-publisher.js";
@@ -53,7 +53,7 @@
   };
 }
 
-test.each([1, 2, 3, 4, 5])("a sibling that misses some periods holds the same after one round of refreshing: seed %d", (seed) => {
+test.each([1, 2, 3, 4, 5])("a peer that misses updates has the same reports after one round of the refresh: seed %d", (seed) => {
   const { clock, region, reader, sibling, turn } = setUp(40, seed);
   for (let index = 0; index < 60; index += 1) {
     region.turn();
@@ -64,7 +64,7 @@
   expect(heldBy(sibling)).toHaveLength(40);
 });
 
-test("who takes a region over tells differences, not all again", () => {
+test("a node that takes a region over publishes changes, not all reports", () => {
   const { region, sibling, turn } = setUp(64, 9);
   for (let index = 0; index < 5; index += 1) {
     region.turn();
@@ -74,7 +74,7 @@
   expect(told.length).toBeLessThan(16);
 });
 
-test("each period moves the stamp of the cell, also when nothing did; a new list does not", () => {
+test("each period advances the stamp of the topic, also without a change; a new list does not", () => {
   const { clock, region, reader, turn } = setUp(3, 1);
   turn();
   const first = reader.told.at(-1)!;
@@ -88,7 +88,7 @@
   expect([topic, keys.length, stamp]).toEqual(["cell:r", 2, second[2]]);
 });
 
-test("summaries are told together, at most every 1.8 s, with a region gone stale marked", () => {
+test("publishes all summaries together, at most every 1.8 s, and marks stale regions", () => {
   const { clock, region, reader, turn } = setUp(8, 1);
   const summed = (): number => reader.told.filter(([topic]) => topic === "summary").length;
   for (let index = 0; index < 30; index += 1) {
@@ -104,7 +104,7 @@
   expect(reader.told.slice(before)).toEqual([["summary", ["r/s"], clock.now()]]);
 });
 
-test("an orchestrator tells what its view finds to be news, and knows which regions it reads", async () => {
+test("an orchestrator publishes the changes selected by its view, and knows which regions it polls", async () => {
   const clock = new sims.SimWorld(1);
   const told: schema.CellReport[] = [];
   const dial = {
--- a/tests/load-reader.test.ts
+++ b/tests/load-reader.test.ts
@@ -1,6 +1,5 @@
-// What is told of runners' usage, to whom, and how much it is (design/usage 3, 4).
+// How load reports reach routers, and how many bytes they take (design/usage 3, 4).
 import * as reportResolution from "../src/load/report-resolution.js";
-import * as regionReports from "../src/load/region-reports.js";
 import * as regionInterest from "../src/load/region-interest.js";
 import * as hintRelay from "../src/hints/hint-relay.js";
 import * as runnerHash from "../src/hints/runner-hash.js";
@@ -10,92 +9,7 @@
 
 const { report, instance } = load;
 
-test.each([
-  [1, 1],
-  [8, 1],
-  [16, 1],
-  [17, 2],
-  [32, 2],
-  [64, 4],
-  [200, 13],
-])("a runner of capacity %d is told to %d requests", (capacity, expected) => {
-  expect(reportResolution.resolutionOf(capacity)).toBe(expected);
-});
-
-test.each([
-  ["nothing", {}, {}, 8, false],
-  ["one request of 8", { active: 3 }, { active: 4 }, 8, true],
-  ["one request of 64", { active: 30 }, { active: 31 }, 64, false],
-  ["three of 64", { active: 30 }, { active: 27 }, 64, false],
-  ["four of 64", { active: 30 }, { active: 34 }, 64, true],
-  ["one waiting of 16", {}, { waiting: 1 }, 16, true],
-  ["a fortieth of the tokens", {}, { kvUsed: 2500 }, 8, false],
-  ["a thirtieth of the tokens", {}, { kvUsed: 3334 }, 8, true],
-  ["it fell silent", {}, { isSpeaking: false }, 64, true],
-  ["it speaks again", { isSpeaking: false }, {}, 64, true],
-  ["still silent, with other numbers", { isSpeaking: false }, { isSpeaking: false, active: 9 }, 8, false],
-  ["another memory", {}, { kvCapacity: 90_000 }, 64, true],
-])("material or not: %s", (_name, told, now, capacity, expected) => {
-  expect(reportResolution.measureDeviation(report("a", told), report("a", now), capacity) >= 1).toBe(expected);
-});
-
-test("a report travels as its item says, kept tokens to a sixty-fourth", () => {
-  for (const kvUsed of [0, 700, 800, 50_000, 100_000, 120_000]) {
-    const sent = report("a", { active: 5, waiting: 2, kvUsed });
-    const back = reportResolution.decodeReport(sent.id, reportResolution.encodeReport(sent));
-    expect(back).toEqual(reportResolution.quantized(sent));
-    expect(Math.abs(back.kvUsed - Math.min(100_000, kvUsed))).toBeLessThanOrEqual(100_000 / 128 + 1);
-  }
-  expect(reportResolution.decodeReport(types.small("a"), reportResolution.encodeReport(report("a", { kvCapacity: 0 }))).kvUsed).toBe(0);
-});
-
-const CAPACITY_64 = { get: () => 64 };
-
-test("at a border nothing flickers: to and fro within a quantum is told once", () => {
-  const picture = new regionReports.RegionReports("r");
-  let told = 0;
-  for (let turn = 0; turn < 100; turn += 1) {
-    const reports = [report("a", { active: turn % 2 === 0 ? 31 : 33 })];
-    const news = picture.selectChanges(reports, CAPACITY_64).filter((item) => picture.reports.get(item.id) !== item);
-    told += news.length;
-    picture.apply(news, turn);
-  }
-  expect(told).toBe(1);
-});
-
-test("each runner is told again within the rolling refresh, as it was told, so that lost knowledge heals", () => {
-  const picture = new regionReports.RegionReports("r");
-  const reports = Array.from({ length: 200 }, (_item, index) => report(`i-${index}`, { active: 20 }));
-  picture.apply(picture.selectChanges(reports, CAPACITY_64), 0);
-  const moved = reports.map((item) => ({ ...item, active: 21 }));
-  const seen = new Map<string, number>();
-  for (let turn = 0; turn < regionReports.REFRESH_PARTS; turn += 1) {
-    const told = picture.selectChanges(moved, CAPACITY_64);
-    expect(told.length).toBeLessThan(40);
-    for (const item of told) seen.set(item.id, item.active);
-  }
-  expect(seen).toEqual(new Map(reports.map((item) => [item.id, 20])));
-});
-
-test("past the bound of a period those that moved most go first, the others later, and status always", () => {
-  const picture = new regionReports.RegionReports("r");
-  const reports = Array.from({ length: 300 }, (_item, index) => report(`i-${index}`));
-  picture.apply(picture.selectChanges(reports, CAPACITY_64), 0);
-  const moved = reports.map((item, index) => report(item.id, { active: index < 10 ? 40 : 8, isSpeaking: index < 250 }));
-  const told = picture.selectChanges(moved, CAPACITY_64).filter((item) => item.active > 0);
-  expect(told.filter((item) => !item.isSpeaking)).toHaveLength(50);
-  expect(told).toHaveLength(50);
-  picture.apply(told, 1);
-  const next = picture.selectChanges(moved, CAPACITY_64).filter((item) => item.active > 0 && item.isSpeaking);
-  expect(next).toHaveLength(regionReports.MAX_CHANGED);
-  expect(next.slice(0, 10).every((item) => item.active === 40)).toBe(true);
-  let turns = 0;
-  for (; turns < 20 && [...picture.reports.values()].some((item) => item.active === 0); turns += 1)
-    picture.apply(picture.selectChanges(moved, CAPACITY_64), 2);
-  expect(turns).toBeLessThanOrEqual(8);
-});
-
-test("a router's picture after differences equals the full reports within the quantum", async () => {
+test("the load that a router has from changes equals the full reports within one step", async () => {
   const system = new load.System(["a", "b"], 20, 16, 1);
   const router = new load.Router(system, "a");
   for (let turn = 0; turn < 150; turn += 1) {
@@ -111,7 +25,7 @@
   }
 }, 20_000);
 
-test("a router follows its own region, those it sends to, and no longer those it left", async () => {
+test("a router follows its own region and those it sends to, for a time after the last request", async () => {
   const system = new load.System(["a", "b", "c"], 4, 16, 1);
   const router = new load.Router(system, "a");
   await system.turn(router);
@@ -133,7 +47,7 @@
   expect(router.fleet.summaries.summaryOf("c", "s")).toBeNull();
 }, 20_000);
 
-test("a region whose reports stand still fades at the router, and counts again whole when they come again", async () => {
+test("the load of a region with stale reports decays, and is complete again when reports resume", async () => {
   const system = new load.System(["a"], 4, 16, 1);
   const router = new load.Router(system, "a");
   for (let turn = 0; turn < 5; turn += 1) await system.turn(router);
@@ -160,7 +74,7 @@
   expect(used()).toBe(before);
 }, 20_000);
 
-test("items are named by marks, by the id where two runners share a mark", () => {
+test("items are keyed by the hash of the runner, or by its id where two share a hash", () => {
   const made = new runnerHash.RunnerHashes<types.RunnerId>((id) => (id === "c" ? 40 : 7));
   made.replaceAll([types.small("a"), types.small("b"), types.small("c")]);
   expect(["a", "b", "c"].map((id) => loadPublisher.reportKey(made, types.small(id)))).toEqual(["=a", "=b", "14"]);
--- a/tests/load-summary.test.ts
+++ b/tests/load-summary.test.ts
@@ -8,7 +8,7 @@
 
 const { report, instance } = load;
 
-test("a summary counts good runners, usage and room; a stale region's says nothing", () => {
+test("a summary counts healthy runners, usage and free capacity, and is not fresh while reports are stale", () => {
   const picture = new regionReports.RegionReports("r");
   const instances = ["a", "b", "c", "d"].map((id) => ({ ...instance(id, "r", 16), isDraining: id === "d" }));
   picture.apply(
@@ -37,7 +37,7 @@
   expect(known.summaryOf("r", "s")).toBeNull();
 });
 
-test("a region that a summary shows to be lost is tried last, though no report of it is followed", () => {
+test("a region that is lost by its summary is attempted last, although its reports are not followed", () => {
   const clock = new sims.SimWorld(1);
   const runner = (id: string, region: string): unknown => ({ id, region, isSuspect: () => false, instance: instance(id, region) });
   const known = new loadSummary.LoadSummaries();
@@ -63,10 +63,10 @@
 });
 
 test.each([
-  ["no prompt to keep", 0, ["a", "b", "c"], []],
+  ["no shared prompt", 0, ["a", "b", "c"], []],
   ["a long prompt at home", 5000, ["a"], ["a"]],
   ["a long prompt anywhere", 5000, ["a", "b", "c"], ["a", "b", "c"]],
-])("cells that requests rank by key are followed: %s", (_name, tokens, regions, expected) => {
+])("requests details of the regions that are ranked by prompt key: %s", (_name, tokens, regions, expected) => {
   const known = new loadSummary.LoadSummaries();
   const policy = new cellPolicy.CellPolicy("a", known);
   for (let index = 0; index < 50; index += 1) {
