--- a/src/batch/sender.ts
+++ b/src/batch/sender.ts
@@ -3,7 +3,7 @@
  * client may read it: 408, 421, 429 and 503 promise that the item has not run, a broken or missing answer proves nothing.
  */
 import * as crypto from "node:crypto";
-import type * as check from "../config/check.js";
+import type * as configurationCheck from "../config/configuration-check.js";
 import * as http from "../wire/http.js";
 import * as names from "../wire/names.js";
 import type * as types from "../wire/types.js";
@@ -29,12 +29,12 @@
 
 /** One item and the route that it goes by. */
 export interface Parcel {
-  route: check.Route;
+  route: configurationCheck.Route;
   item: submissions.SubmittedItem;
 }
 
 /** The longest that a send may take, in milliseconds. */
-export function longestMs(route: check.Route | null): number {
+export function longestMs(route: configurationCheck.Route | null): number {
   return (route?.deadline_ms ?? USUAL_DEADLINE_MS) + MARGIN_MS;
 }
 
@@ -58,7 +58,7 @@
   return answerOf(reply);
 }
 
-function headersOf(route: check.Route, item: submissions.SubmittedItem, pass: string): Record<string, string> {
+function headersOf(route: configurationCheck.Route, item: submissions.SubmittedItem, pass: string): Record<string, string> {
   const headers: Record<string, string> = {
     Host: route.hostname,
     [names.HEADER.requestId]: `b-${crypto.randomBytes(9).toString("base64url")}`,
--- a/src/batch/submission.ts
+++ b/src/batch/submission.ts
@@ -3,7 +3,7 @@
  */
 import * as result from "true-myth/result";
 import * as superstruct from "superstruct";
-import * as check from "../config/check.js";
+import * as configurationCheck from "../config/configuration-check.js";
 import * as registerValue from "../register/register-value.js";
 import type * as errors from "../runtime/errors.js";
 import * as bounds from "./bounds.js";
@@ -58,8 +58,8 @@
 /** A submission from its bytes. */
 export function parse(bytes: Buffer): Checked<Submission> {
   if (bytes.length > bounds.MAX_SUBMISSION_BYTES)
-    return check.invalid("body", `it is over ${bounds.MAX_SUBMISSION_BYTES} bytes`, "split the batch into smaller ones");
-  return check.parseJson(bytes).andThen(checkSubmission);
+    return configurationCheck.invalid("body", `it is over ${bounds.MAX_SUBMISSION_BYTES} bytes`, "split the batch into smaller ones");
+  return configurationCheck.parseJson(bytes).andThen(checkSubmission);
 }
 
 function checkSubmission(value: unknown): Checked<Submission> {
@@ -67,7 +67,7 @@
   if (failure) return wrong(failure);
   const seen = new Set<string>();
   for (const { id } of made.items) {
-    if (seen.has(id)) return check.invalid("items", `the id ${id} stands there twice`, "give each item an id of its own");
+    if (seen.has(id)) return configurationCheck.invalid("items", `the id ${id} stands there twice`, "give each item an id of its own");
     seen.add(id);
   }
   return result.ok(made);
@@ -75,7 +75,7 @@
 
 /** An outline from its bytes; a whole submission is one, too. */
 export function parseOutline(bytes: Buffer): Checked<Outline> {
-  return check.parseJson(bytes).andThen((value) => {
+  return configurationCheck.parseJson(bytes).andThen((value) => {
     if (typeof value === "object" && value !== null && "items" in value) return checkSubmission(value).map(outlineOf);
     const [failure, made] = superstruct.validate(value, outline, { coerce: true });
     return failure ? wrong(failure) : result.ok(made);
@@ -83,7 +83,7 @@
 }
 
 function wrong<T>(failure: superstruct.StructError): Checked<T> {
-  return check.invalid(failure.path.join(".") || "body", failure.message, "see docs/batch.md for the field");
+  return configurationCheck.invalid(failure.path.join(".") || "body", failure.message, "see docs/batch.md for the field");
 }
 
 interface PromptSize {
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -2,7 +2,7 @@
  * What the commands do (design 10.2). Each prints its result or one line with the remedy, and returns its exit code.
  */
 import * as fs from "node:fs";
-import * as check from "../config/check.js";
+import * as configurationCheck from "../config/configuration-check.js";
 import * as errors from "../runtime/errors.js";
 import * as settings from "../settings/settings.js";
 import * as registerValue from "../register/register-value.js";
@@ -59,7 +59,7 @@
 export function checkConfig(output: Output, file: string): number {
   const bytes = readFile(file);
   if (bytes instanceof Error) return reportFailure(output, bytes);
-  const checked = check.parseJson(bytes).andThen(check.check);
+  const checked = configurationCheck.parseJson(bytes).andThen(configurationCheck.check);
   if (checked.isErr) return reportFailure(output, checked.error);
   output.line(`${file}: good configuration, revision ${checked.value.revision}, ${checked.value.routes.length} routes`);
   return EXIT.ok;
@@ -79,7 +79,7 @@
 export function whatIf(output: Output, file: string, isJson: boolean): Promise<number> | number {
   const bytes = readFile(file);
   if (bytes instanceof Error) return reportFailure(output, bytes);
-  const described = check.parseJson(bytes);
+  const described = configurationCheck.parseJson(bytes);
   if (described.isOk && batchScenario.isBatchDay(described.value)) return whatIfBatches(output, described.value, isJson);
   const scenario = scenarios.parse(bytes);
   if (scenario.isErr) return reportFailure(output, scenario.error);
@@ -116,7 +116,7 @@
     return reportFailure(output, new errors.UsageError(`--base ${base} is no revision`, "give the revision it builds on, 0 for the first"));
   const body = readFile(file);
   if (body instanceof Error) return reportFailure(output, body);
-  const parsed = isUpdate ? check.parseJson(body) : check.parseJson(body).andThen(check.check);
+  const parsed = isUpdate ? configurationCheck.parseJson(body) : configurationCheck.parseJson(body).andThen(configurationCheck.check);
   if (parsed.isErr) return reportFailure(output, parsed.error);
   const path = isUpdate ? "/-/Config.Update" : "/-/Config.Replace";
   const headers = { "Content-Type": "application/json", "X-Cranewind-Base-Version": base };
--- a/src/config/parts.ts
+++ b/src/config/config-items.ts
@@ -4,9 +4,9 @@
 import type * as feedReplica from "../feed/feed-replica.js";
 import * as tenant from "../tenants/tenant.js";
 import type * as schema from "../wire/schema.js";
-import type * as check from "./check.js";
+import type * as configurationCheck from "./configuration-check.js";
 import * as documentText from "./document-text.js";
-import * as routes from "./routes.js";
+import * as routeTable from "./route-table.js";
 
 const META = "meta";
 const EVACUATIONS = "evacuations";
@@ -39,7 +39,7 @@
 }
 
 /** The control node's side: the same value gives the same items at every node. Only what changed is parsed (hardening 4). */
-export class Splitter {
+export class ConfigSplitter {
   private config: Buffer | null = null;
   private fields = new Map<string, SplitField>();
   private items = new Map<string, Buffer>();
@@ -79,7 +79,7 @@
   /** Keys stay with the control nodes: what travels are their digests. */
   private splitTenants(text: string): ReadonlyMap<string, ConfigItem> {
     const items = new Map<string, ConfigItem>();
-    const configured = (JSON.parse(text) ?? []) as check.Tenant[];
+    const configured = (JSON.parse(text) ?? []) as configurationCheck.Tenant[];
     for (const tenant of this.digests.tenantsOf(configured)) items.set(tenant.name, { key: TENANT + tenant.name, body: bytesOf(tenant) });
     return items;
   }
@@ -100,36 +100,36 @@
 }
 
 /** The router's side: parses what changed, and keeps one table up to date. */
-export class ConfigParts {
-  private readonly whole = new routes.RouteTable({ routes: [], services: [] });
+export class ConfigReplica {
+  private readonly routeTable = new routeTable.RouteTable({ routes: [], services: [] });
   readonly tenants = new tenant.TenantTable();
-  limits: check.Limits | undefined = undefined;
+  limits: configurationCheck.Limits | undefined = undefined;
   evacuations: readonly string[] = [];
   revision = 0;
   /** Items parsed since the start: what a change costs. */
-  parsed = 0;
+  parsedItems = 0;
   private hasConfig = false;
 
   /** Null until there is a configuration. */
-  get table(): routes.RouteTable | null {
-    return this.hasConfig ? this.whole : null;
+  get table(): routeTable.RouteTable | null {
+    return this.hasConfig ? this.routeTable : null;
   }
 
   /** Takes one epoch whole: all is parsed before anything is in force. */
-  take(applied: feedReplica.AppliedChange): void {
+  applyChange(applied: feedReplica.AppliedChange): void {
     const parts = new Map<string, unknown>();
     for (const [key, body] of applied.changed) parts.set(key, JSON.parse(body.toString("utf8")));
-    this.parsed += parts.size;
-    const amended: routes.Amendment = { routes: [], goneRoutes: [], services: [], goneServices: [] };
+    this.parsedItems += parts.size;
+    const amended: routeTable.RouteTableChange = { routes: [], goneRoutes: [], services: [], goneServices: [] };
     const added: tenant.Tenant[] = [];
     const removed: string[] = [];
     for (const [key, part] of parts) {
-      if (key.startsWith(ROUTE)) amended.routes.push(part as check.Route);
-      else if (key.startsWith(SERVICE)) amended.services.push(part as check.Service);
+      if (key.startsWith(ROUTE)) amended.routes.push(part as configurationCheck.Route);
+      else if (key.startsWith(SERVICE)) amended.services.push(part as configurationCheck.Service);
       else if (key.startsWith(TENANT)) added.push(part as tenant.Tenant);
       else if (key === EVACUATIONS) this.evacuations = part as string[];
-      else if (key === LIMITS) this.limits = part as check.Limits;
-      else if (key === META) this.takeMeta(part as Meta);
+      else if (key === LIMITS) this.limits = part as configurationCheck.Limits;
+      else if (key === META) this.applyMeta(part as Meta);
     }
     for (const key of applied.removed) {
       if (key.startsWith(ROUTE)) amended.goneRoutes.push(key.slice(ROUTE.length));
@@ -138,10 +138,10 @@
       else if (key === LIMITS) this.limits = undefined;
     }
     this.tenants.amend(added, removed);
-    this.whole.amend(amended);
+    this.routeTable.amend(amended);
   }
 
-  private takeMeta(meta: Meta): void {
+  private applyMeta(meta: Meta): void {
     this.revision = meta.revision;
     this.hasConfig = meta.hasConfig;
   }
--- a/src/config/check.ts
+++ b/src/config/configuration-check.ts
@@ -110,7 +110,7 @@
   }
 }
 
-function doubled(field: string, names: Iterable<string>): Checked<null> {
+function requireUnique(field: string, names: Iterable<string>): Checked<null> {
   const seen = new Set<string>();
   for (const item of names) {
     if (seen.has(item)) return invalid(field, `${item} stands there twice`, "keep one of them");
@@ -123,7 +123,7 @@
   return item.name;
 }
 
-function placeOf(item: Route): string {
+function matchOf(item: Route): string {
   return `${item.hostname.toLowerCase()}${item.path_prefix}`;
 }
 
@@ -178,7 +178,7 @@
 }
 
 /** Whether all is well shaped, items that were checked before left out. What is not is judged whole, for its message. */
-function isShaped(value: unknown, checked: CheckedItems): value is Configuration {
+function hasShape(value: unknown, checked: CheckedItems): value is Configuration {
   if (checked.size === 0 || !superstruct.is(value, outline)) return false;
   return (
     value.routes.every((item) => checked.has(item) || superstruct.is(item, route)) &&
@@ -187,8 +187,8 @@
   );
 }
 
-function shaped(value: unknown, checked: CheckedItems): Checked<Configuration> {
-  if (isShaped(value, checked)) return result.ok(value);
+function parseShape(value: unknown, checked: CheckedItems): Checked<Configuration> {
+  if (hasShape(value, checked)) return result.ok(value);
   const [failure, config] = superstruct.validate(value, document);
   if (failure) return invalid(failure.path.join(".") || "body", failure.message, "see docs/configuration.md for the field");
   return result.ok(config);
@@ -199,19 +199,19 @@
  * `checked` is not looked at again.
  */
 export function check(value: unknown, checked: CheckedItems = new Set()): Checked<Configuration> {
-  const read = shaped(value, checked);
+  const read = parseShape(value, checked);
   if (read.isErr) return read;
   const config = read.value;
   const services = new Set(config.services.map(nameOf));
   const tenants = config.tenants ?? [];
-  const places = [
-    doubled("services", config.services.map(nameOf)),
-    doubled("routes", config.routes.map(nameOf)),
-    doubled("routes with host and prefix", config.routes.map(placeOf)),
-    doubled("tenants", tenants.map(nameOf)),
+  const uniqueness = [
+    requireUnique("services", config.services.map(nameOf)),
+    requireUnique("routes", config.routes.map(nameOf)),
+    requireUnique("routes with host and prefix", config.routes.map(matchOf)),
+    requireUnique("tenants", tenants.map(nameOf)),
     checkKeys(tenants),
   ];
-  for (const place of places) if (place.isErr) return result.err(place.error);
+  for (const place of uniqueness) if (place.isErr) return result.err(place.error);
   for (const item of config.routes) {
     const outcome = checkRoute(item, services);
     if (outcome.isErr) return result.err(outcome.error);
--- a/src/config/document-text.ts
+++ b/src/config/document-text.ts
@@ -32,30 +32,30 @@
 /** Where the value that begins at `at` has ended: at the comma or bracket behind it. */
 function endOfValue(text: string, at: number): number {
   let depth = 0;
-  let place = at;
-  while (place < text.length) {
-    const letter = text[place];
-    if (letter === QUOTE) {
-      place = endOfString(text, place);
+  let offset = at;
+  while (offset < text.length) {
+    const character = text[offset];
+    if (character === QUOTE) {
+      offset = endOfString(text, offset);
       continue;
     }
-    if (depth === 0 && (letter === "," || letter === "]" || letter === "}")) break;
-    if (letter === "{" || letter === "[") depth += 1;
-    else if (letter === "}" || letter === "]") depth -= 1;
-    place += 1;
+    if (depth === 0 && (character === "," || character === "]" || character === "}")) break;
+    if (character === "{" || character === "[") depth += 1;
+    else if (character === "}" || character === "]") depth -= 1;
+    offset += 1;
   }
-  return place;
+  return offset;
 }
 
 /** The fields of an object's text, in its order. */
 export function fieldsOf(text: string): FieldText[] {
   const fields: FieldText[] = [];
-  let place = 1;
-  while (place < text.length - 1) {
-    const nameEnd = endOfString(text, place);
+  let offset = 1;
+  while (offset < text.length - 1) {
+    const nameEnd = endOfString(text, offset);
     const end = endOfValue(text, nameEnd + 1);
-    fields.push({ name: JSON.parse(text.slice(place, nameEnd)) as string, text: text.slice(nameEnd + 1, end) });
-    place = end + 1;
+    fields.push({ name: JSON.parse(text.slice(offset, nameEnd)) as string, text: text.slice(nameEnd + 1, end) });
+    offset = end + 1;
   }
   return fields;
 }
@@ -64,11 +64,11 @@
 export function itemsOf(text: string): string[] {
   const items: string[] = [];
   if (!text.startsWith("[")) return items;
-  let place = 1;
-  while (place < text.length - 1) {
-    const end = endOfValue(text, place);
-    items.push(text.slice(place, end));
-    place = end + 1;
+  let offset = 1;
+  while (offset < text.length - 1) {
+    const end = endOfValue(text, offset);
+    items.push(text.slice(offset, end));
+    offset = end + 1;
   }
   return items;
 }
--- a/src/config/routes.ts
+++ b/src/config/route-table.ts
@@ -1,9 +1,9 @@
 // Route lookup by host, then by the longest prefix; the last route costs what the first does (design 6.3).
-import * as check from "./check.js";
+import * as configurationCheck from "./configuration-check.js";
 
 /** A route as requests look it up, with what is derived from it. */
 export interface RouteEntry {
-  route: check.Route;
+  route: configurationCheck.Route;
   backends: { service: string; weight: number }[];
   weight: number;
   homes: readonly string[];
@@ -16,12 +16,12 @@
 export const BATCH_RANK = 5;
 
 /** The rank of a route's requests; a tenant's own priority goes before the route's. */
-export function rankOf(route: check.Route, tenantPriority: number | null = null): number {
+export function rankOf(route: configurationCheck.Route, tenantPriority: number | null = null): number {
   return tenantPriority ?? route.priority ?? DEFAULT_RANK;
 }
 
 /** Whether a request of the route may run more than once: it is read only, or a stream that may be resumed. */
-export function isRepeatable(route: check.Route): boolean {
+export function isRepeatable(route: configurationCheck.Route): boolean {
   return route.route_type === "read_only" || (route.route_type === "streaming" && route.resumable === true);
 }
 
@@ -30,25 +30,25 @@
 }
 
 /** Changed and new items, and the names of those that are gone. */
-export interface Amendment {
-  routes: check.Route[];
+export interface RouteTableChange {
+  routes: configurationCheck.Route[];
   goneRoutes: string[];
-  services: check.Service[];
+  services: configurationCheck.Service[];
   goneServices: string[];
 }
 
 /** All routes and services in force; changed item by item. */
 export class RouteTable {
   private readonly hosts = new Map<string, Host>();
-  private readonly byName = new Map<string, check.Route>();
-  readonly services = new Map<string, check.Service>();
+  private readonly byName = new Map<string, configurationCheck.Route>();
+  readonly services = new Map<string, configurationCheck.Service>();
 
-  constructor(config: Pick<check.Configuration, "routes" | "services">) {
+  constructor(config: Pick<configurationCheck.Configuration, "routes" | "services">) {
     this.amend({ routes: config.routes, goneRoutes: [], services: config.services, goneServices: [] });
   }
 
   /** Costs what changes. All places are left before any is taken: a place may pass from one route to another. */
-  amend(amended: Amendment): void {
+  amend(amended: RouteTableChange): void {
     for (const name of amended.goneServices) this.services.delete(name);
     for (const service of amended.services) this.services.set(service.name, service);
     for (const name of amended.goneRoutes) this.remove(name);
@@ -66,7 +66,7 @@
     if (host.byPrefix.size === 0) this.hosts.delete(key);
   }
 
-  private add(route: check.Route): void {
+  private add(route: configurationCheck.Route): void {
     this.byName.set(route.name, route);
     const key = route.hostname.toLowerCase();
     let host = this.hosts.get(key);
@@ -74,7 +74,7 @@
       host = { byPrefix: new Map() };
       this.hosts.set(key, host);
     }
-    const backends = check.backendsOf(route);
+    const backends = configurationCheck.backendsOf(route);
     let weight = 0;
     for (const backend of backends) weight += backend.weight;
     host.byPrefix.set(route.path_prefix, {
--- a/src/control/batches/batch-view.ts
+++ b/src/control/batches/batch-view.ts
@@ -8,8 +8,8 @@
 import type * as submissions from "../../batch/submission.js";
 import * as tables from "../../batch/table.js";
 import * as trickle from "../../batch/trickle.js";
-import * as check from "../../config/check.js";
-import * as routes from "../../config/routes.js";
+import * as configurationCheck from "../../config/configuration-check.js";
+import * as routeTable from "../../config/route-table.js";
 import type * as loads from "../../forecast/loads.js";
 import * as registerValue from "../../register/register-value.js";
 import type * as batchSchema from "../../wire/batch-schema.js";
@@ -35,7 +35,7 @@
 
 interface Parsed {
   epoch: types.Epoch;
-  routes: ReadonlyMap<string, check.Route>;
+  routes: ReadonlyMap<string, configurationCheck.Route>;
 }
 
 /** Sizes of one item of a batch. */
@@ -51,11 +51,11 @@
   constructor(private readonly sources: BatchViewSources) {}
 
   /** The route in the configuration in force; null: there is none of that name. */
-  routeOf(name: string): check.Route | null {
+  routeOf(name: string): configurationCheck.Route | null {
     const value = this.sources.configuration();
     if (!value) return null;
     if (this.parsed?.epoch !== value.epoch) {
-      const document = registerValue.unpack(value.config) as check.Configuration | null;
+      const document = registerValue.unpack(value.config) as configurationCheck.Configuration | null;
       this.parsed = { epoch: value.epoch, routes: new Map(document?.routes.map((route) => [route.name, route])) };
     }
     return this.parsed.routes.get(name) ?? null;
@@ -66,13 +66,13 @@
     const found = this.routeOf(route);
     if (!found) return null;
     let best = { service: "", weight: -1 };
-    for (const backend of check.backendsOf(found)) if (backend.weight > best.weight) best = backend;
+    for (const backend of configurationCheck.backendsOf(found)) if (backend.weight > best.weight) best = backend;
     return best.service;
   }
 
   /** Whether an item of the route may run more than once. */
-  isRepeatable(route: check.Route): boolean {
-    return routes.isRepeatable(route);
+  isRepeatable(route: configurationCheck.Route): boolean {
+    return routeTable.isRepeatable(route);
   }
 
   /** The regions that both the batch and its route allow; null: all. */
--- a/src/control/control-parts.ts
+++ b/src/control/control-parts.ts
@@ -6,7 +6,7 @@
 import type * as schema from "../wire/schema.js";
 import * as types from "../wire/types.js";
 import * as settings from "../settings/settings.js";
-import * as parts from "../config/parts.js";
+import * as configItems from "../config/config-items.js";
 import * as dialer from "../feed/dialer.js";
 import * as feedPublisher from "../feed/feed-publisher.js";
 import * as feedTopics from "../feed/feed-topics.js";
@@ -110,7 +110,7 @@
 function connect(host: ControlHost, made: ControlParts): void {
   const { handlers } = host;
   const { dial, members, feed, replica, contact } = made;
-  const splitter = new parts.Splitter();
+  const splitter = new configItems.ConfigSplitter();
   replica.registerHandlers(handlers);
   made.fleetObserver.registerHandlers(handlers);
   made.leases.registerHandlers(handlers, contact);
--- a/src/control/directory/home-regions.ts
+++ b/src/control/directory/home-regions.ts
@@ -1,5 +1,5 @@
 /** The regions that the routes of a host name are bound to, for the directory's choice of last resort (design 4.3). */
-import type * as check from "../../config/check.js";
+import type * as configurationCheck from "../../config/configuration-check.js";
 import * as registerValue from "../../register/register-value.js";
 import type * as schema from "../../wire/schema.js";
 
@@ -23,11 +23,11 @@
     const config = this.chosen()?.config ?? null;
     if (config === this.config) return;
     this.config = config;
-    this.byHost = regionsByHost(config && (registerValue.unpack(config) as check.Configuration | null));
+    this.byHost = regionsByHost(config && (registerValue.unpack(config) as configurationCheck.Configuration | null));
   }
 }
 
-function regionsByHost(config: check.Configuration | null): Map<string, ReadonlySet<string>> {
+function regionsByHost(config: configurationCheck.Configuration | null): Map<string, ReadonlySet<string>> {
   const boundRoutes = new Map<string, string[][]>();
   for (const { hostname, allowed_regions: regions } of config?.routes ?? []) {
     if (!regions || regions.length === 0) continue;
--- a/src/control/leases/quota-server.ts
+++ b/src/control/leases/quota-server.ts
@@ -2,7 +2,7 @@
  * Tenants' quotas from this control node, which owns one slot of each (design/tenants 4): the limits of the chosen
  * configuration, a tenure of its own, and the replies to routers, which also carry the epoch that this node knows.
  */
-import type * as check from "../../config/check.js";
+import type * as configurationCheck from "../../config/configuration-check.js";
 import * as registerValue from "../../register/register-value.js";
 import * as quotaClient from "../../tenants/quota-client.js";
 import * as quotaOwner from "../../tenants/quota-owner.js";
@@ -35,7 +35,7 @@
     bounds: quotaPart.QuotaBounds,
     private readonly replica: registerReplica.RegisterReplica,
   ) {
-    this.tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: quotaTenure.FENCE_MS, maxLeaseMs: quotaClient.UNIT_MS });
+    this.tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: quotaTenure.FENCE_MS, maxLeaseMs: quotaClient.UNIT_LIFETIME_MS });
     this.owner = new quotaOwner.QuotaOwner(clock, incarnation, bounds, this.tenure);
   }
 
@@ -79,7 +79,7 @@
     const isEqual = this.config?.equals(chosen.config) === true;
     this.config = chosen.config;
     if (isEqual) return;
-    const limits = limitsOf(registerValue.unpack(chosen.config) as check.Configuration | null);
+    const limits = limitsOf(registerValue.unpack(chosen.config) as configurationCheck.Configuration | null);
     this.hasLimits = limits.size > 0;
     this.owner.setLimits(limits);
   }
@@ -105,7 +105,7 @@
   }
 }
 
-function limitsOf(config: check.Configuration | null): Map<string, quotaPart.Limit> {
+function limitsOf(config: configurationCheck.Configuration | null): Map<string, quotaPart.Limit> {
   const limits = new Map<string, quotaPart.Limit>();
   for (const { name, rate_per_s: perS, burst } of config?.tenants ?? []) {
     if (perS) limits.set(name, { perS, burst: burst ?? 0 });
--- a/src/control/operator/operator-api.ts
+++ b/src/control/operator/operator-api.ts
@@ -1,7 +1,7 @@
 /** The operators' API: Replace, Update, Describe, evacuations, batches, status (design 6.2). Any control node answers any request. */
 import * as result from "true-myth/result";
-import * as check from "../../config/check.js";
-import * as change from "../../config/change.js";
+import * as configurationCheck from "../../config/configuration-check.js";
+import * as configurationChange from "../../config/configuration-change.js";
 import * as registerValue from "../../register/register-value.js";
 import type * as registerStep from "../../register/register-step.js";
 import * as errors from "../../runtime/errors.js";
@@ -39,8 +39,8 @@
   /** Routes a request by method and path; unknown ones are `not_found`. */
   handle(request: serve.HttpRequest): Promise<serve.HttpResponse> | serve.HttpResponse {
     const { method, path } = request;
-    if (method === "POST" && path === operatorPaths.REPLACE) return this.handleOrder(request, change.replaceOrder);
-    if (method === "POST" && path === operatorPaths.UPDATE) return this.handleOrder(request, change.updateOrder);
+    if (method === "POST" && path === operatorPaths.REPLACE) return this.handleOrder(request, configurationChange.parseReplace);
+    if (method === "POST" && path === operatorPaths.UPDATE) return this.handleOrder(request, configurationChange.parseUpdate);
     if (method === "GET" && path === operatorPaths.DESCRIBE) return this.handleDescribe();
     if (method === "POST" && path.startsWith(operatorPaths.START_EVACUATION)) return this.handleEvacuation(path, true);
     if (method === "POST" && path.startsWith(operatorPaths.STOP_EVACUATION)) return this.handleEvacuation(path, false);
@@ -58,7 +58,7 @@
   /** Replace or Update: validated by its own bytes first, then decided by the register. */
   private handleOrder(
     request: serve.HttpRequest,
-    parseOrder: typeof change.replaceOrder,
+    parseOrder: typeof configurationChange.parseReplace,
   ): Promise<serve.HttpResponse> | serve.HttpResponse {
     const base = parseBase(request);
     if (base.isErr) return serve.errorReply(base.error);
@@ -96,7 +96,7 @@
   const header = request.headers[names.HEADER.base];
   const base = typeof header === "string" && header !== "" ? Number(header) : Number.NaN;
   if (Number.isSafeInteger(base) && base >= 0) return result.ok(base);
-  return check.invalid(
+  return configurationCheck.invalid(
     names.HEADER.base,
     "it is missing or no whole number",
     "send the revision that the change builds on, 0 for the first",
--- a/src/control/platform/fleet-observer.ts
+++ b/src/control/platform/fleet-observer.ts
@@ -13,7 +13,7 @@
 import * as feedTopics from "../../feed/feed-topics.js";
 import type * as keyedItems from "../../feed/keyed-items.js";
 import * as registerValue from "../../register/register-value.js";
-import type * as check from "../../config/check.js";
+import type * as configurationCheck from "../../config/configuration-check.js";
 import type * as registerReplica from "../register-replica.js";
 import type * as membership from "../members/membership.js";
 import * as assignment from "./assignment.js";
@@ -123,7 +123,7 @@
   }
 
   private applyConfiguration(value: schema.Value): void {
-    const config = registerValue.unpack(value.config) as check.Configuration | null;
+    const config = registerValue.unpack(value.config) as configurationCheck.Configuration | null;
     this.reportingServices = new Set();
     for (const service of config?.services ?? []) if (service.runtime) this.reportingServices.add(service.name);
   }
--- a/src/experiment/command.ts
+++ b/src/experiment/command.ts
@@ -3,7 +3,7 @@
 import * as path from "node:path";
 import * as commander from "commander";
 import * as commands from "../cli/commands.js";
-import * as check from "../config/check.js";
+import * as configurationCheck from "../config/configuration-check.js";
 import * as errors from "../runtime/errors.js";
 import type * as types from "../wire/types.js";
 import * as chains from "./chain.js";
@@ -85,7 +85,7 @@
       new errors.UsageError(`cannot read ${file}: ${errors.messageOf(cause)}`, "name a readable plan with --plan", { cause }),
     );
   }
-  const places = check.parseJson(bytes).andThen(sweep.pointsOf);
+  const places = configurationCheck.parseJson(bytes).andThen(sweep.pointsOf);
   if (places.isErr) return denied(output, places.error);
   return play(clock, output, places.value, raw);
 }
--- a/src/experiment/tenants.ts
+++ b/src/experiment/tenants.ts
@@ -1,5 +1,5 @@
 /** What tenants cost: a router the check of a key, an owner a grant, the feed an item (docs/experiment.md). */
-import * as keys from "../config/parts.js";
+import * as configItems from "../config/config-items.js";
 import * as registerValue from "../register/register-value.js";
 import * as tenant from "../tenants/tenant.js";
 import * as quotaOwner from "../tenants/quota-owner.js";
@@ -95,7 +95,7 @@
 /** Times one number of tenants. */
 export function measure(clock: types.Clock, count: number, times: number): TenantRow {
   const list = configured(count, 0);
-  const splitter = new keys.Splitter();
+  const splitter = new configItems.ConfigSplitter();
   let items: ReadonlyMap<string, Buffer> = new Map();
   const firstSplitMs = timed(() => (items = splitter.split(valueOf(list)))) / MICROSECONDS;
   const nextSplitMs = timed(() => splitter.split(valueOf(configured(count, 1)))) / MICROSECONDS;
--- a/src/router/client/router-server.ts
+++ b/src/router/client/router-server.ts
@@ -1,8 +1,8 @@
 /** The router's HTTP server for clients (design 7.1): receives complete requests within the limits and starts their transactions. */
 import * as nodeHttp from "node:http";
 import type * as net from "node:net";
-import type * as check from "../../config/check.js";
-import type * as routes from "../../config/routes.js";
+import type * as configurationCheck from "../../config/configuration-check.js";
+import type * as routeTable from "../../config/route-table.js";
 import * as log from "../../runtime/log.js";
 import * as listen from "../../wire/listen.js";
 import * as types from "../../wire/types.js";
@@ -17,7 +17,7 @@
 import type * as tenantGate from "../tenant-gate.js";
 import * as requestTransaction from "../request-transaction.js";
 
-const DEFAULT_LIMITS: Required<check.Limits> = {
+const DEFAULT_LIMITS: Required<configurationCheck.Limits> = {
   max_header_bytes: 16384,
   max_body_bytes: 4 * 1024 * 1024,
   header_timeout_ms: 5000,
@@ -89,7 +89,7 @@
   }
 
   /** The limits of the configuration; undefined: the defaults. */
-  applyLimits(limits: check.Limits | undefined): void {
+  applyLimits(limits: configurationCheck.Limits | undefined): void {
     this.limits = { ...DEFAULT_LIMITS, ...limits };
     const server = this.server as nodeHttp.Server & { maxHeaderSize?: number };
     server.maxHeaderSize = this.limits.max_header_bytes;
@@ -150,7 +150,7 @@
     this.receiveBody({ incoming, outgoing, arrivedAt });
   }
 
-  private findRoute(incoming: nodeHttp.IncomingMessage): routes.RouteEntry | null {
+  private findRoute(incoming: nodeHttp.IncomingMessage): routeTable.RouteEntry | null {
     return this.options.picker.routeTable?.find(incoming.headers.host ?? "", incoming.url ?? "/") ?? null;
   }
 
@@ -230,7 +230,7 @@
       },
       (rejection) => this.reject(outgoing, rejection.status, rejection.cause, rejection.retryAfterS, false),
     );
-    if (claim?.isWaiting) outgoing.once("close", () => claim.cancel());
+    if (claim?.isPending) outgoing.once("close", () => claim.cancel());
   }
 
   private startTransaction(request: routeRequest.RouteRequest, { incoming, outgoing }: Exchange, unit: tenantGate.QuotaUnit): void {
--- a/src/router/route-request.ts
+++ b/src/router/route-request.ts
@@ -1,7 +1,7 @@
 /** A request as the router routes it, and as a runner gets it (design 7.1). */
 import type * as nodeHttp from "node:http";
 import type * as attemptObserver from "../admission/attempt-observer.js";
-import * as routes from "../config/routes.js";
+import * as routeTable from "../config/route-table.js";
 import * as textHash from "../limits/text-hash.js";
 import * as names from "../wire/names.js";
 import type * as tenant from "../tenants/tenant.js";
@@ -17,7 +17,7 @@
 /** One request of a client, with its complete body. */
 export interface RouteRequest {
   requestId: types.RequestId;
-  entry: routes.RouteEntry;
+  entry: routeTable.RouteEntry;
   /** Whose request it is; null where no key is needed. */
   tenant: tenant.Tenant | null;
   service: string;
@@ -44,7 +44,7 @@
 }
 
 /** How long after its arrival the request is due: the client's time budget or its route's deadline, whichever is shorter; milliseconds. */
-export function timeBudgetMs(incoming: nodeHttp.IncomingMessage, entry: routes.RouteEntry | null): number {
+export function timeBudgetMs(incoming: nodeHttp.IncomingMessage, entry: routeTable.RouteEntry | null): number {
   const requestedMs = Number(singleValue(incoming.headers[names.HEADER.budgetMs]));
   return Math.min(requestedMs > 0 ? requestedMs : DEFAULT_BUDGET_MS, entry?.route.deadline_ms ?? Infinity);
 }
@@ -52,7 +52,7 @@
 /** What is known of a request once its body is complete. */
 export interface ReceivedRequest {
   requestId: types.RequestId;
-  entry: routes.RouteEntry;
+  entry: routeTable.RouteEntry;
   tenant: tenant.Tenant | null;
   body: Buffer | null;
   arrivedAt: number;
@@ -65,8 +65,8 @@
   const parts = promptParts.parsePromptParts(singleValue(incoming.headers[names.HEADER.prefix]));
   return {
     ...received,
-    rank: isBatch ? routes.BATCH_RANK : routes.rankOf(entry.route, tenant?.priority),
-    service: routes.chooseService(entry, textHash.hashText(`${requestId}/split`) / HASH_RANGE),
+    rank: isBatch ? routeTable.BATCH_RANK : routeTable.rankOf(entry.route, tenant?.priority),
+    service: routeTable.chooseService(entry, textHash.hashText(`${requestId}/split`) / HASH_RANGE),
     parts,
     prefixKeys: promptParts.prefixKeys(parts),
     deadline: arrivedAt + timeBudgetMs(incoming, entry),
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -6,7 +6,7 @@
 import * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
 import * as settings from "../settings/settings.js";
-import * as parts from "../config/parts.js";
+import * as configItems from "../config/config-items.js";
 import * as networkPartitions from "../feed/network-partitions.js";
 import * as dialer from "../feed/dialer.js";
 import * as feedTopics from "../feed/feed-topics.js";
@@ -46,7 +46,7 @@
   private readonly fleet: runnerFleet.RunnerFleet;
   private readonly rotation: zoneRotation.ZoneRotation;
   private readonly limits: leasedLimits.LeasedLimits;
-  private readonly config = new parts.ConfigParts();
+  private readonly config = new configItems.ConfigReplica();
   private readonly borrower: limitBorrower.LimitBorrower;
   private readonly prefills = new prefillTracker.PrefillTracker();
   readonly load: loadReader.LoadReader;
@@ -193,7 +193,7 @@
   private applyConfiguration(applied: feedReplica.AppliedChange): void {
     const { config } = this;
     const isFirst = this.epoch < 0;
-    config.take(applied);
+    config.applyChange(applied);
     this.epoch = types.small(applied.stamp);
     this.picker.routeTable = config.table;
     if (config.table) this.server.applyLimits(config.limits);
--- a/src/router/runner-picker.ts
+++ b/src/router/runner-picker.ts
@@ -2,7 +2,7 @@
 import * as admissions from "../admission/admission.js";
 import * as recentRejections from "../admission/recent-rejections.js";
 import type * as attemptObserver from "../admission/attempt-observer.js";
-import * as routes from "../config/routes.js";
+import * as routeTable from "../config/route-table.js";
 import * as log from "../runtime/log.js";
 import * as leasedLimits from "../limits/leased-limits.js";
 import * as types from "../wire/types.js";
@@ -42,7 +42,7 @@
 /** One for each router. */
 export class RunnerPicker {
   private readonly policies: policyChain.Policy[];
-  routeTable: routes.RouteTable | null = null;
+  routeTable: routeTable.RouteTable | null = null;
   readonly admission: admissions.Admission;
 
   constructor(
@@ -77,7 +77,7 @@
   }
 
   /** How long a runner may be silent before a repeatable request leaves it; milliseconds. */
-  silenceTimeoutMs(entry: routes.RouteEntry, isForwarding: boolean, runner: runnerEndpoint.RunnerEndpoint, now: number): number {
+  silenceTimeoutMs(entry: routeTable.RouteEntry, isForwarding: boolean, runner: runnerEndpoint.RunnerEndpoint, now: number): number {
     const { target_gap_ms: gapMs, target_latency_ms: latencyTargetMs } = entry.route;
     const typicalMs = isForwarding ? (gapMs ?? 1000) * SILENCE_TIMEOUT_GAPS : (latencyTargetMs ?? 1000) * SILENCE_TIMEOUT_LATENCY_TARGETS;
     // A runner that sends to other requests is at work; one that is silent to all is left early.
--- a/src/router/tenant-gate.ts
+++ b/src/router/tenant-gate.ts
@@ -2,7 +2,7 @@
  * Authenticates the tenant of a complete request and acquires its quota, before a transaction begins (design/tenants 3, 4).
  * Public routes, and configurations without tenants, need no key.
  */
-import type * as check from "../config/check.js";
+import type * as configurationCheck from "../config/configuration-check.js";
 import type * as controlNode from "../feed/control-node.js";
 import * as log from "../runtime/log.js";
 import * as keyLease from "../tenants/key-lease.js";
@@ -47,24 +47,24 @@
     this.keyOutage = new outages.Outage(clock, KEY_OUTAGE_RETRY_MS);
     this.quotaOutage = new outages.Outage(clock, QUOTA_OUTAGE_RETRY_MS);
     const owners = new quotaSources.Sources(clock, region, controls);
-    this.quotaClient = new quotaClient.QuotaClient(clock, owners, (epoch, sentAt) => this.keyLease.hear(epoch, sentAt));
+    this.quotaClient = new quotaClient.QuotaClient(clock, owners, (epoch, sentAt) => this.keyLease.recordConfirmation(epoch, sentAt));
   }
 
   /** The settings were read again. */
   applySettings(bounds: keyLease.RevocationBounds): void {
-    this.keyLease.resettle(bounds);
+    this.keyLease.updateBounds(bounds);
   }
 
   /** A configuration took effect, with these tenants. */
   applyConfiguration(epoch: types.Epoch, table: tenant.TenantTable): void {
     this.table = table;
-    this.keyLease.take(epoch);
+    this.keyLease.applyEpoch(epoch);
     this.runPeriodically();
   }
 
   /** Called often. Without tenants nothing is requested. */
   runPeriodically(): void {
-    if (!this.table.isEmpty) this.quotaClient.turn();
+    if (!this.table.isEmpty) this.quotaClient.runPeriodically();
   }
 
   /** Whether keys can be validated, or none are needed: a starting router waits for it. */
@@ -73,14 +73,14 @@
   }
 
   /** The tenant of the key, null where the route needs none, or the rejection. */
-  authenticate(key: string | string[] | undefined, route: check.Route): tenant.Tenant | null | TenantRejection {
+  authenticate(key: string | string[] | undefined, route: configurationCheck.Route): tenant.Tenant | null | TenantRejection {
     if (this.table.isEmpty || route.public === true) return null;
     const tenant = typeof key === "string" && key !== "" ? this.table.find(key) : null;
     if (tenant && this.keyLease.mayHonour()) {
       this.keyOutage.over();
       return tenant;
     }
-    if (!tenant && this.keyLease.mayDeny()) return this.reject(401, "the key is missing or not known; send a valid Api-Key", null);
+    if (!tenant && this.keyLease.mayReject()) return this.reject(401, "the key is missing or not known; send a valid Api-Key", null);
     return this.reject(503, "this node cannot tell which keys are valid now; come back shortly", this.keyOutage.met() / MS_PER_S);
   }
 
@@ -97,14 +97,14 @@
       onAdmitted(null);
       return null;
     }
-    return this.quotaClient.take(tenant.name, (decision) => {
+    return this.quotaClient.claim(tenant.name, (decision) => {
       if (decision.kind !== "unreached") this.quotaOutage.over();
       if (decision.kind === "granted") onAdmitted(decision.unit);
       else onRejected(this.rejectionOf(decision));
     });
   }
 
-  private rejectionOf(decision: Exclude<quotaClaim.Verdict, { kind: "granted" }>): TenantRejection {
+  private rejectionOf(decision: Exclude<quotaClaim.ClaimOutcome, { kind: "granted" }>): TenantRejection {
     if (decision.kind === "unreached")
       return this.reject(503, "no control node counts the tenant's requests now; come back shortly", this.quotaOutage.met() / MS_PER_S);
     return this.reject(429, "the tenant is over its rate_per_s and burst", Math.max(MIN_RETRY_S, decision.waitMs / MS_PER_S));
@@ -117,6 +117,6 @@
 
   /** The request was never sent: its unit is used for another. */
   returnQuota(tenant: tenant.Tenant | null, unit: QuotaUnit): void {
-    if (tenant && unit) this.quotaClient.hold(tenant.name, unit);
+    if (tenant && unit) this.quotaClient.cacheUnit(tenant.name, unit);
   }
 }
--- a/src/routing/route-plan.ts
+++ b/src/routing/route-plan.ts
@@ -1,5 +1,5 @@
 /** What the router's policies and admission work on: one request on its way to a runner (design 7.2). */
-import type * as routes from "../config/routes.js";
+import type * as routeTable from "../config/route-table.js";
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as tenant from "../tenants/tenant.js";
 import type * as types from "../wire/types.js";
@@ -12,7 +12,7 @@
   readonly rank: number;
   /** An item of a batch: it may only use capacity that nobody else needs (design/batch 6). */
   readonly isBatch: boolean;
-  readonly entry: routes.RouteEntry;
+  readonly entry: routeTable.RouteEntry;
   /** Whose request it is; null where no key is needed. */
   readonly tenant: tenant.Tenant | null;
   readonly service: string;
--- a/src/tenants/key-lease.ts
+++ b/src/tenants/key-lease.ts
@@ -1,15 +1,15 @@
 /**
- * How long a router may honour keys by the configuration that it holds (design/tenants 3). A control node's word that a
+ * How long a router may accept keys by the configuration that it holds (design/tenants 3). A control node's reply that a
  * majority confirmed epoch e as the newest proves, to a router that holds e, that no change acknowledged before the
- * confirmation began is missing here. The word counts from when it was asked for, on the router's own steady clock.
+ * confirmation began is missing here. The reply counts from when it was requested, on the router's own steady clock.
  */
 import * as quorumConfirmation from "../register/quorum-confirmation.js";
 import * as types from "../wire/types.js";
 
-/** What clocks and a process that stands still between check and use may take (*ours*). */
+/** Allowance for clock drift and for a process that is suspended between check and use (*ours*). */
 const SLACK_MS = 300;
-/** Words of epochs that this router does not hold yet; older ones make way. */
-const MAX_WORDS = 32;
+/** Bound on confirmations of epochs that this router does not hold yet; the oldest is dropped. */
+const MAX_PENDING_CONFIRMATIONS = 32;
 
 /** The figures of the settings on keys that were taken away. */
 export interface RevocationBounds {
@@ -19,52 +19,52 @@
   revoke_delay_ms: number;
 }
 
-interface Word {
+interface Confirmation {
   epoch: types.Epoch;
   sentAt: types.SteadyMs;
 }
 
-/** One for each router. */
+/** The lease on keys of a router. */
 export class KeyLease {
-  private held = types.NO_EPOCH;
-  private words: Word[] = [];
-  private provedAt = -Infinity;
+  private epoch = types.NO_EPOCH;
+  private pendingConfirmations: Confirmation[] = [];
+  private confirmedAt = -Infinity;
 
   constructor(
     private readonly clock: types.Clock,
     private bounds: RevocationBounds,
   ) {}
 
-  /** The settings were read again. */
-  resettle(bounds: RevocationBounds): void {
+  /** Called when the settings were read again. */
+  updateBounds(bounds: RevocationBounds): void {
     this.bounds = bounds;
   }
 
-  /** An epoch is in force here; epochs only grow. */
-  take(epoch: types.Epoch): void {
-    this.held = epoch;
-    this.judge();
+  /** Called when an epoch is in force at this router; epochs only grow. */
+  applyEpoch(epoch: types.Epoch): void {
+    this.epoch = epoch;
+    this.applyConfirmations();
   }
 
-  /** A control node said that the epoch is confirmed as the newest; sentAt: when it was asked. */
-  hear(epoch: types.Epoch, sentAt: types.SteadyMs): void {
-    this.words.push({ epoch, sentAt });
-    if (this.words.length > MAX_WORDS) this.words.shift();
-    this.judge();
+  /** A control node replied that the epoch is confirmed as the newest; `sentAt`: when it was asked. */
+  recordConfirmation(epoch: types.Epoch, sentAt: types.SteadyMs): void {
+    this.pendingConfirmations.push({ epoch, sentAt });
+    if (this.pendingConfirmations.length > MAX_PENDING_CONFIRMATIONS) this.pendingConfirmations.shift();
+    this.applyConfirmations();
   }
 
-  private judge(): void {
-    const ahead: Word[] = [];
-    for (const word of this.words) {
-      if (word.epoch > this.held) ahead.push(word);
-      else this.provedAt = Math.max(this.provedAt, word.sentAt);
+  private applyConfirmations(): void {
+    const ahead: Confirmation[] = [];
+    for (const confirmation of this.pendingConfirmations) {
+      if (confirmation.epoch > this.epoch) ahead.push(confirmation);
+      else this.confirmedAt = Math.max(this.confirmedAt, confirmation.sentAt);
     }
-    this.words = ahead;
+    this.pendingConfirmations = ahead;
   }
 
-  /** Whether what is held was lately proved to be the newest. */
+  /** Whether the configuration held here was recently confirmed as the newest. */
   isFresh(): boolean {
-    const provedFrom = this.provedAt - quorumConfirmation.MAX_ANSWER_AGE_MS;
+    const provedFrom = this.confirmedAt - quorumConfirmation.MAX_ANSWER_AGE_MS;
     return this.clock.now() < provedFrom + this.bounds.revoke_delay_ms - SLACK_MS;
   }
 
@@ -74,7 +74,7 @@
   }
 
   /** Whether a key that the held configuration does not know is known to be wrong. */
-  mayDeny(): boolean {
-    return this.isFresh() && this.words.length === 0;
+  mayReject(): boolean {
+    return this.isFresh() && this.pendingConfirmations.length === 0;
   }
 }
--- a/src/tenants/quota-claim.ts
+++ b/src/tenants/quota-claim.ts
@@ -1,4 +1,4 @@
-/** A request that waits for a unit of its tenant's quota, and what became of it (design/tenants 4.4). */
+/** A request's claim on a unit of its tenant's quota, and its outcome (design/tenants 4.4). */
 import type * as types from "../wire/types.js";
 import type * as quotaSources from "./quota-sources.js";
 
@@ -11,37 +11,37 @@
   until: types.SteadyMs;
 }
 
-/** `exhausted`: each owner in reach said that the quota is spent; `unreached`: no owner that grants replied. */
-export type Verdict = { kind: "granted"; unit: Unit } | { kind: "exhausted"; waitMs: number } | { kind: "unreached" };
+/** `exhausted`: each reachable owner replied that the quota is spent; `unreached`: no owner that grants replied. */
+export type ClaimOutcome = { kind: "granted"; unit: Unit } | { kind: "exhausted"; waitMs: number } | { kind: "unreached" };
 
 /** One request's claim on one unit. */
 export class Claim {
-  private isOver = false;
-  /** Lives of the owners that were asked for it. */
-  readonly asked = new Set<string>();
-  /** Asks that no reply came to yet. */
-  pending = 0;
-  /** The shortest wait that an owner told, in milliseconds; Infinity where none did. */
+  private isResolved = false;
+  /** Incarnations of the owners that it was requested from. */
+  readonly requestedOwners = new Set<string>();
+  /** Requests without a reply yet. */
+  pendingReplies = 0;
+  /** The shortest wait that an owner replied, in milliseconds; Infinity where none did. */
   waitMs = Infinity;
 
   constructor(
     readonly tenant: string,
-    private readonly tell: (verdict: Verdict) => void,
+    private readonly notify: (verdict: ClaimOutcome) => void,
   ) {}
 
-  get isWaiting(): boolean {
-    return !this.isOver;
+  get isPending(): boolean {
+    return !this.isResolved;
   }
 
-  /** Told once. */
-  settle(verdict: Verdict): void {
-    if (this.isOver) return;
-    this.isOver = true;
-    this.tell(verdict);
+  /** Notifies the request of its outcome, once. */
+  resolve(verdict: ClaimOutcome): void {
+    if (this.isResolved) return;
+    this.isResolved = true;
+    this.notify(verdict);
   }
 
-  /** Its request is over: nothing is told any more. */
+  /** Its request has ended: it is not notified any more. */
   cancel(): void {
-    this.isOver = true;
+    this.isResolved = true;
   }
 }
--- a/src/tenants/quota-sources.ts
+++ b/src/tenants/quota-sources.ts
@@ -23,7 +23,7 @@
     readonly control: controlNode.ControlNode,
   ) {}
 
-  get life(): string {
+  get incarnation(): string {
     return this.control.node.life;
   }
 
@@ -72,7 +72,7 @@
 
 /** All owners that this router has a link to. */
 export class Sources {
-  private readonly byLife = new Map<string, Source>();
+  private readonly byIncarnation = new Map<string, Source>();
 
   constructor(
     private readonly clock: types.Clock,
@@ -92,15 +92,15 @@
   }
 
   private sourceOf(control: controlNode.ControlNode): Source {
-    const known = this.byLife.get(control.node.life);
+    const known = this.byIncarnation.get(control.node.life);
     if (known?.control === control) return known;
     const source = new Source(this.clock, control);
-    this.byLife.set(control.node.life, source);
+    this.byIncarnation.set(control.node.life, source);
     return source;
   }
 
   /** Forgets owners whose links have ended. */
   sweep(): void {
-    for (const [life, source] of this.byLife) if (!source.control.link.isOpen) this.byLife.delete(life);
+    for (const [life, source] of this.byIncarnation) if (!source.control.link.isOpen) this.byIncarnation.delete(life);
   }
 }
--- a/src/whatif/batch-scenario.ts
+++ b/src/whatif/batch-scenario.ts
@@ -1,7 +1,7 @@
 /** A day of batches beside interactive load, checked (design/batch 12). Fields are explained in docs/batch.md. */
 import * as result from "true-myth/result";
 import * as superstruct from "superstruct";
-import * as check from "../config/check.js";
+import * as configurationCheck from "../config/configuration-check.js";
 import type * as errors from "../runtime/errors.js";
 
 const count = superstruct.min(superstruct.integer(), 1);
@@ -46,11 +46,11 @@
 /** A checked scenario; the error names the field and the remedy. */
 export function checked(value: unknown): result.Result<BatchScenario, errors.CranewindError> {
   const [failure, made] = superstruct.validate(value, scenario, { coerce: true });
-  if (failure) return check.invalid(failure.path.join(".") || "scenario", failure.message, "see docs/batch.md for the fields");
+  if (failure) return configurationCheck.invalid(failure.path.join(".") || "scenario", failure.message, "see docs/batch.md for the fields");
   const known = new Set(made.batch_regions.map((item) => item.name));
   for (const { homes } of made.batches) {
     for (const home of homes)
-      if (!known.has(home)) return check.invalid("batches.homes", `unknown region ${home}`, "name one of batch_regions");
+      if (!known.has(home)) return configurationCheck.invalid("batches.homes", `unknown region ${home}`, "name one of batch_regions");
   }
   return result.ok(made);
 }
--- a/src/whatif/scenario.ts
+++ b/src/whatif/scenario.ts
@@ -1,7 +1,7 @@
 /** What a what-if day is made of, checked (design 11.2). Fields are explained in docs/whatif.md. */
 import * as result from "true-myth/result";
 import * as superstruct from "superstruct";
-import * as check from "../config/check.js";
+import * as configurationCheck from "../config/configuration-check.js";
 import * as errors from "../runtime/errors.js";
 
 const count = superstruct.min(superstruct.integer(), 1);
@@ -64,22 +64,23 @@
 
 /** A scenario from a file's bytes; the error names the field and the remedy. */
 export function parse(bytes: Buffer): result.Result<Scenario, errors.CranewindError> {
-  const parsed = check.parseJson(bytes);
+  const parsed = configurationCheck.parseJson(bytes);
   if (parsed.isErr) return result.err(parsed.error);
   const [failure, made] = superstruct.validate(parsed.value, scenario, { coerce: true });
-  if (failure) return check.invalid(failure.path.join(".") || "scenario", failure.message, "see docs/whatif.md for the fields");
+  if (failure)
+    return configurationCheck.invalid(failure.path.join(".") || "scenario", failure.message, "see docs/whatif.md for the fields");
   const known = new Set(made.regions.map(nameOf));
   for (const item of made.faults) {
-    if (!known.has(item.region)) return check.invalid("faults.region", `unknown region ${item.region}`, "name one of regions");
+    if (!known.has(item.region)) return configurationCheck.invalid("faults.region", `unknown region ${item.region}`, "name one of regions");
   }
   const kinds = new Set(made.kinds.map(nameOf));
   for (const item of made.surges) {
-    if (!kinds.has(item.kind)) return check.invalid("surges.kind", `unknown kind ${item.kind}`, "name one of kinds");
+    if (!kinds.has(item.kind)) return configurationCheck.invalid("surges.kind", `unknown kind ${item.kind}`, "name one of kinds");
   }
   if (made.surges.length > 0) {
     for (const item of made.faults) {
       if (!item.kind.startsWith("slow_"))
-        return check.invalid(
+        return configurationCheck.invalid(
           "faults.kind",
           `${item.kind} is not played in a day with surges`,
           "use slow_runner or slow_router, or leave out surges",
@@ -88,7 +89,7 @@
   }
   for (const item of made.kinds) {
     for (const home of item.homes)
-      if (!known.has(home)) return check.invalid(`kinds[${item.name}].homes`, `unknown region ${home}`, "name one of regions");
+      if (!known.has(home)) return configurationCheck.invalid(`kinds[${item.name}].homes`, `unknown region ${home}`, "name one of regions");
   }
   return result.ok(made);
 }
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -1,6 +1,6 @@
 /** The router's own policies, several routers of them, over a planned world and model runners (design 11.2). */
-import * as check from "../config/check.js";
-import * as routes from "../config/routes.js";
+import * as configurationCheck from "../config/configuration-check.js";
+import * as routeTable from "../config/route-table.js";
 import * as runnerPicker from "../router/runner-picker.js";
 import * as runnerFleet from "../runners/runner-fleet.js";
 import * as promptParts from "../routing/prompt-parts.js";
@@ -29,7 +29,7 @@
     readonly region: string,
     world: worlds.PlannedWorld,
     regions: readonly string[],
-    table: routes.RouteTable,
+    table: routeTable.RouteTable,
   ) {
     this.fleet = new runnerFleet.RunnerFleet(world, new Map(regions.map(same)));
     this.rotation = new zoneRotation.ZoneRotation(world);
@@ -50,15 +50,15 @@
 }
 
 /** The routes of a scenario: one per kind. */
-export function tableOf(scenario: scenarios.Scenario): routes.RouteTable {
+export function tableOf(scenario: scenarios.Scenario): routeTable.RouteTable {
   const { capacity, warmup_s, warmup_per_s } = scenario.runner;
-  const config = check.check({
+  const config = configurationCheck.check({
     revision: 1,
     services: [{ name: "model", max_connections: capacity * 1000, warmup_s, warmup_per_s, runtime: { capacity } }],
     routes: scenario.kinds.map(routeOf),
   });
   if (config.isErr) throw config.error;
-  return new routes.RouteTable(config.value);
+  return new routeTable.RouteTable(config.value);
 }
 
 function routeOf(kind: scenarios.Kind): unknown {
@@ -106,7 +106,7 @@
 
 /** A request as the router's front would make it. */
 export function requestOf(
-  entry: routes.RouteEntry,
+  entry: routeTable.RouteEntry,
   requestId: string,
   parts: promptParts.PromptPart[],
   deadline: number,
@@ -117,7 +117,7 @@
     requestId: types.small(requestId),
     entry,
     service: "model",
-    rank: routes.rankOf(entry.route),
+    rank: routeTable.rankOf(entry.route),
     isBatch: false,
     tenant: null,
     parts,
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -145,7 +145,7 @@
   private read(bytes: Buffer): void {
     if (!this.isOpen) return;
     this.lastReceivedAt = this.clock.now();
-    const chunk = this.opening.isOver ? bytes : this.opening.receiveFrame(bytes);
+    const chunk = this.opening.isOver ? bytes : this.opening.receive(bytes);
     if (chunk) this.readFrames(chunk);
   }
 
@@ -161,7 +161,7 @@
         return;
       }
       if (bytes.length < HEADER_BYTES + length) break;
-      this.take(bytes.readUInt8(4), bytes.readUInt8(5), bytes.readUInt32BE(6), bytes.subarray(HEADER_BYTES, HEADER_BYTES + length));
+      this.receiveFrame(bytes.readUInt8(4), bytes.readUInt8(5), bytes.readUInt32BE(6), bytes.subarray(HEADER_BYTES, HEADER_BYTES + length));
       bytes = bytes.subarray(HEADER_BYTES + length);
     }
     this.buffered = bytes.length > 0 ? [bytes] : [];
@@ -174,7 +174,7 @@
     this.end(new errors.ConnectionError(what, "run the same release on both ends").message);
   }
 
-  private take(kind: number, code: number, id: number, body: Buffer): void {
+  private receiveFrame(kind: number, code: number, id: number, body: Buffer): void {
     const call = calls.byCode(code);
     if (!call || kind > REPLY) {
       this.rejectFrame(`unknown frame ${kind}/${code}`);
--- a/src/wire/release.ts
+++ b/src/wire/release.ts
@@ -52,7 +52,7 @@
   }
 
   /** What follows the preamble; null while it is not whole, or when the link was denied. */
-  receiveFrame(chunk: Buffer): Buffer | null {
+  receive(chunk: Buffer): Buffer | null {
     this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const least = Math.min(this.buffered.length, MAGIC.length);
     if (!this.buffered.subarray(0, least).equals(MAGIC.subarray(0, least))) {
--- a/tests/admission-decider.test.ts
+++ b/tests/admission-decider.test.ts
@@ -2,8 +2,8 @@
 // for the less urgent ranks (design/admission 11, 12).
 import * as admissions from "../src/admission/admission.js";
 import * as admissionDecision from "../src/admission/admission-decision.js";
-import * as check from "../src/config/check.js";
-import * as routes from "../src/config/routes.js";
+import * as configurationCheck from "../src/config/configuration-check.js";
+import * as routeTable from "../src/config/route-table.js";
 import * as runnerFleet from "../src/runners/runner-fleet.js";
 import * as routePlan from "../src/routing/route-plan.js";
 import * as prefillTracker from "../src/runners/prefill-tracker.js";
@@ -13,7 +13,7 @@
 import * as sim from "./sim/world.js";
 
 const LATENCY_TARGET_MS = 500;
-const CONFIG = check
+const CONFIG = configurationCheck
   .check({
     revision: 1,
     services: [{ name: "s", runtime: { capacity: 10 } }],
@@ -30,7 +30,7 @@
     })),
   })
   .unwrapOr(null)!;
-const TABLE = new routes.RouteTable(CONFIG);
+const TABLE = new routeTable.RouteTable(CONFIG);
 
 class AdmissionFixture {
   readonly clock = new sim.SimWorld(1);
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -1,8 +1,8 @@
 // Admission at the door: denial by rank and load, returning requests, and its line of the settings (design/admission).
 import * as admissions from "../src/admission/admission.js";
 import * as serviceTimeModel from "../src/admission/service-time-model.js";
-import * as routes from "../src/config/routes.js";
-import * as check from "../src/config/check.js";
+import * as routeTable from "../src/config/route-table.js";
+import * as configurationCheck from "../src/config/configuration-check.js";
 import * as runnerFleet from "../src/runners/runner-fleet.js";
 import * as routePlan from "../src/routing/route-plan.js";
 import * as prefillTracker from "../src/runners/prefill-tracker.js";
@@ -11,7 +11,7 @@
 import { NOBODYS } from "./sim/plans.js";
 import * as sim from "./sim/world.js";
 
-const CONFIG = check
+const CONFIG = configurationCheck
   .check({
     revision: 1,
     services: [{ name: "s", runtime: { capacity: 4 } }],
@@ -60,7 +60,7 @@
     admission.serviceTimeOf("s").recordOccupancy(2000);
     admission.serviceTimeOf("s").recordTokens(1, 10, 200);
   }
-  const table = new routes.RouteTable(CONFIG);
+  const table = new routeTable.RouteTable(CONFIG);
   return {
     clock,
     fleet,
--- a/tests/config-parts.test.ts
+++ b/tests/config-parts.test.ts
@@ -1,7 +1,7 @@
 // The configuration in parts: one changed route is one item on the way and one parse (design/parts 4).
-import * as check from "../src/config/check.js";
-import * as parts from "../src/config/parts.js";
-import * as routes from "../src/config/routes.js";
+import * as configurationCheck from "../src/config/configuration-check.js";
+import * as configItems from "../src/config/config-items.js";
+import * as routeTable from "../src/config/route-table.js";
 import * as feedPublisher from "../src/feed/feed-publisher.js";
 import * as feedTopics from "../src/feed/feed-topics.js";
 import * as registerValue from "../src/register/register-value.js";
@@ -55,9 +55,9 @@
 async function setUp(names = ["a"]) {
   const clock = new sim.SimWorld(3);
   const router = new feedLinks.SimRouter(clock);
-  const config = new parts.ConfigParts();
+  const config = new configItems.ConfigReplica();
   let done = 0;
-  const sources = names.map((name) => ({ feed: new feedPublisher.FeedPublisher(`life-${name}`), splitter: new parts.Splitter() }));
+  const sources = names.map((name) => ({ feed: new feedPublisher.FeedPublisher(`life-${name}`), splitter: new configItems.ConfigSplitter() }));
   for (const [index, { feed }] of sources.entries()) router.join(names[index], names[index], feed);
   return {
     clock,
@@ -67,7 +67,7 @@
       const { feed, splitter } = sources[at];
       feed.publishSnapshot(feedTopics.REGISTER_TOPIC, splitter.split(value), types.small(value.epoch));
       await clock.play(100);
-      for (; done < router.applied.length; done += 1) config.take(router.applied[done]);
+      for (; done < router.applied.length; done += 1) config.applyChange(router.applied[done]);
     },
     frames: () =>
       router.sessions
@@ -77,7 +77,7 @@
   };
 }
 
-function found(table: routes.RouteTable, document: Doc): unknown[] {
+function found(table: routeTable.RouteTable, document: Doc): unknown[] {
   return document.routes.map((route) => table.find(String(route["hostname"]), `${String(route["path_prefix"])}x`)?.route ?? null);
 }
 
@@ -86,18 +86,18 @@
   const document = docOf(2000);
   await choose(valueOf(1, document));
   const [view] = frames();
-  expect(config.parsed).toBe(2000 + 2 + 3);
+  expect(config.parsedItems).toBe(2000 + 2 + 3);
   const changed = {
     ...document,
     revision: 2,
     routes: document.routes.map((route, index) => (index === 1234 ? routeOf(1234, { service: "t" }) : route)),
   };
-  const before = config.parsed;
+  const before = config.parsedItems;
   await choose(valueOf(2, changed));
   const [difference] = frames();
   expect(difference.bytes).toBeLessThan(700);
   expect(view.bytes / difference.bytes).toBeGreaterThan(30);
-  expect(config.parsed - before).toBe(2);
+  expect(config.parsedItems - before).toBe(2);
   expect(config.table!.find("tenant-70.example", "/r1234/x")?.route.service).toBe("t");
 });
 
@@ -106,10 +106,10 @@
   const document = docOf(500);
   await choose(valueOf(1, document));
   frames();
-  const before = config.parsed;
+  const before = config.parsedItems;
   await choose(valueOf(2, document, ["z1"]));
   await choose({ ...valueOf(3, document, ["z1"]), voters: [] });
-  expect([config.parsed - before, config.evacuations, router.epochs]).toEqual([1, ["z1"], [1, 2, 3]]);
+  expect([config.parsedItems - before, config.evacuations, router.epochs]).toEqual([1, ["z1"], [1, 2, 3]]);
   for (const frame of frames()) expect(frame.bytes).toBeLessThan(200);
 });
 
@@ -151,7 +151,7 @@
   await choose(valueOf(1, before));
   const after = { ...before, revision: 2, routes: move(before.routes) };
   await choose(valueOf(2, after));
-  const whole = new routes.RouteTable(check.check(after).unwrapOr(null)!);
+  const whole = new routeTable.RouteTable(configurationCheck.check(after).unwrapOr(null)!);
   for (const document of [before, after]) expect(found(config.table!, document)).toEqual(found(whole, document));
 });
 
--- a/tests/config.test.ts
+++ b/tests/config.test.ts
@@ -1,7 +1,7 @@
 // Conformance: configurations, updates and routes (design 6).
-import * as check from "../src/config/check.js";
-import * as change from "../src/config/change.js";
-import * as routes from "../src/config/routes.js";
+import * as configurationCheck from "../src/config/configuration-check.js";
+import * as configurationChange from "../src/config/configuration-change.js";
+import * as routeTable from "../src/config/route-table.js";
 import * as registerValue from "../src/register/register-value.js";
 import type * as registerStep from "../src/register/register-step.js";
 import * as result from "true-myth/result";
@@ -55,15 +55,15 @@
 ];
 
 test.each(INVALID)("invalid: %s", function invalid(_name, document, message) {
-  const outcome = check.check(document);
+  const outcome = configurationCheck.check(document);
   expect(outcome.isErr && outcome.error.message).toMatch(message);
   expect(outcome.isErr && outcome.error.remedy.length).toBeGreaterThan(5);
 });
 
 test("a body cut short is no configuration", function cut() {
   const text = Buffer.from(JSON.stringify(docOf()));
-  expect(check.parseJson(text.subarray(0, text.length - 3)).isErr).toBe(true);
-  expect(check.parseJson(Buffer.from([0x7b, 0xff, 0x7d])).isErr).toBe(true);
+  expect(configurationCheck.parseJson(text.subarray(0, text.length - 3)).isErr).toBe(true);
+  expect(configurationCheck.parseJson(Buffer.from([0x7b, 0xff, 0x7d])).isErr).toBe(true);
 });
 
 function placed(document: Doc): schema.Value {
@@ -71,7 +71,7 @@
   return registerValue.withConfig(value, document["revision"] as number, registerValue.pack(document), "placed");
 }
 
-type Order = ReturnType<typeof change.replaceOrder>;
+type Order = ReturnType<typeof configurationChange.parseReplace>;
 
 function play(order: Order, value: schema.Value): ReturnType<registerStep.Step> {
   return order.isErr ? result.err(order.error) : order.value(value);
@@ -83,11 +83,11 @@
 }
 
 function replace(base: number, document: Doc): Order {
-  return change.replaceOrder(base, Buffer.from(JSON.stringify(document)));
+  return configurationChange.parseReplace(base, Buffer.from(JSON.stringify(document)));
 }
 
 function update(base: number, document: Doc): Order {
-  return change.updateOrder(base, Buffer.from(JSON.stringify(document)));
+  return configurationChange.parseUpdate(base, Buffer.from(JSON.stringify(document)));
 }
 
 const STEPS: [string, ReturnType<typeof replace>, string][] = [
@@ -136,8 +136,8 @@
 ];
 
 test.each(LOOKUPS)("route of %s%s is %s", function lookup(host, target, name) {
-  const table = new routes.RouteTable(
-    check.check(docOf({ routes: [routeOf("a"), routeOf("deep", { path_prefix: "/a/deep/" })] })).unwrapOr(null)!,
+  const table = new routeTable.RouteTable(
+    configurationCheck.check(docOf({ routes: [routeOf("a"), routeOf("deep", { path_prefix: "/a/deep/" })] })).unwrapOr(null)!,
   );
   expect(table.find(host, target)?.route.name ?? null).toBe(name);
 });
@@ -149,6 +149,6 @@
     { service: "u", weight: 0 },
   ];
   const document = docOf({ routes: [routeOf("a", { backends })], services: [{ name: "s" }, { name: "t" }, { name: "u" }] });
-  const entry = new routes.RouteTable(check.check(document).unwrapOr(null)!).find("h.example", "/a/")!;
-  expect([0, 0.5, 0.899, 0.901, 0.9999].map(routes.chooseService.bind(null, entry))).toEqual(["s", "s", "s", "t", "t"]);
+  const entry = new routeTable.RouteTable(configurationCheck.check(document).unwrapOr(null)!).find("h.example", "/a/")!;
+  expect([0, 0.5, 0.899, 0.901, 0.9999].map(routeTable.chooseService.bind(null, entry))).toEqual(["s", "s", "s", "t", "t"]);
 });
--- a/tests/document-text.test.ts
+++ b/tests/document-text.test.ts
@@ -1,9 +1,9 @@
 // A configuration is cut into items by its text: the same items as if it were parsed, and only what changed is parsed.
 import * as fc from "fast-check";
-import * as check from "../src/config/check.js";
-import * as change from "../src/config/change.js";
+import * as configurationCheck from "../src/config/configuration-check.js";
+import * as configurationChange from "../src/config/configuration-change.js";
 import * as documentText from "../src/config/document-text.js";
-import * as parts from "../src/config/parts.js";
+import * as configItems from "../src/config/config-items.js";
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
 
@@ -25,7 +25,7 @@
   return items;
 }
 
-function split(splitter: parts.Splitter, document: unknown): Map<string, string> {
+function split(splitter: configItems.ConfigSplitter, document: unknown): Map<string, string> {
   const items = new Map([...splitter.split(valueOf(document))].map(([key, body]) => [key, body.toString()]));
   items.delete("meta");
   items.delete("evacuations");
@@ -40,7 +40,7 @@
 test("the items are those of the parsed document, from the first configuration on and after any change", () => {
   fc.assert(
     fc.property(fc.array(documents, { minLength: 1, maxLength: 4 }), (history) => {
-      const splitter = new parts.Splitter();
+      const splitter = new configItems.ConfigSplitter();
       for (const document of history) expect(split(splitter, document)).toEqual(written(JSON.parse(JSON.stringify(document)) as never));
     }),
     { numRuns: 300 },
@@ -48,7 +48,7 @@
 });
 
 test("an item that did not change keeps its very bytes", () => {
-  const splitter = new parts.Splitter();
+  const splitter = new configItems.ConfigSplitter();
   const routes = [{ name: "one" }, { name: "two" }];
   const before = splitter.split(valueOf({ revision: 1, routes }));
   const after = splitter.split(valueOf({ revision: 2, routes: [routes[1], { name: "one", deadline_ms: 5 }] }));
@@ -78,15 +78,15 @@
 ];
 
 test.each(BAD_UPDATES)("an update is refused: %s", (_name, update, message) => {
-  const order = change.updateOrder(1, Buffer.from(JSON.stringify({ revision: 2, ...update })));
+  const order = configurationChange.parseUpdate(1, Buffer.from(JSON.stringify({ revision: 2, ...update })));
   const outcome = order.unwrapOrElse(() => () => order as never)({ ...valueOf(DOCUMENT), revision: 1 });
   expect(outcome.isErr && outcome.error.message).toMatch(message);
 });
 
 test("items that were checked before are not looked at again", () => {
-  const strange = { name: "strange", hostname: "g.example", path_prefix: "/" } as unknown as check.Route;
+  const strange = { name: "strange", hostname: "g.example", path_prefix: "/" } as unknown as configurationCheck.Route;
   const document = { ...DOCUMENT, routes: [{ ...ROUTE }, strange] };
-  expect(check.check(document).isErr).toBe(true);
-  const shaped = check.check(document, new Set<unknown>([document.routes[0], strange, document.services[0]]));
+  expect(configurationCheck.check(document).isErr).toBe(true);
+  const shaped = configurationCheck.check(document, new Set<unknown>([document.routes[0], strange, document.services[0]]));
   expect(shaped.isErr && shaped.error.message).toMatch(/strange.*names no service/);
 });
--- a/tests/key-lease.test.ts
+++ b/tests/key-lease.test.ts
@@ -66,16 +66,16 @@
   const lease = new keyLease.KeyLease(clock, keyLeaseDays.STRICT);
   for (const step of steps) {
     clock.skip(step.after);
-    if (step.take !== undefined) lease.take(epoch(step.take));
-    if (step.hear) lease.hear(epoch(step.hear[0]), types.small(clock.now() - step.hear[1]));
-    expect([lease.mayHonour(), lease.mayDeny()]).toEqual([step.honours, step.denies]);
+    if (step.take !== undefined) lease.applyEpoch(epoch(step.take));
+    if (step.hear) lease.recordConfirmation(epoch(step.hear[0]), types.small(clock.now() - step.hear[1]));
+    expect([lease.mayHonour(), lease.mayReject()]).toEqual([step.honours, step.denies]);
   }
 });
 
 test("where revocation is not strict, what is known is honoured without a word", () => {
   const lease = new keyLease.KeyLease(new sim.SimWorld(), { revocation_strict: false, revoke_delay_ms: 5000 });
-  lease.take(epoch(1));
-  expect([lease.mayHonour(), lease.mayDeny()]).toEqual([true, false]);
+  lease.applyEpoch(epoch(1));
+  expect([lease.mayHonour(), lease.mayReject()]).toEqual([true, false]);
 });
 
 const SEEDS = Array.from({ length: 40 }, (_item, index) => index + 1);
--- a/tests/model/operators.ts
+++ b/tests/model/operators.ts
@@ -1,5 +1,5 @@
 // The operators: they send orders to any node, send unclear ones again, read, and note what they saw.
-import * as change from "../../src/config/change.js";
+import * as configurationChange from "../../src/config/configuration-change.js";
 import * as registerValue from "../../src/register/register-value.js";
 import type * as errors from "../../src/runtime/errors.js";
 import type * as registerStep from "../../src/register/register-step.js";
@@ -20,7 +20,7 @@
 }
 
 function replaceStep(base: number, body: Buffer): registerStep.Step {
-  return change.replaceOrder(base, body).unwrapOrElse(fail);
+  return configurationChange.parseReplace(base, body).unwrapOrElse(fail);
 }
 
 function fail(error: errors.CranewindError): never {
--- a/tests/quota-wait.test.ts
+++ b/tests/quota-wait.test.ts
@@ -48,7 +48,7 @@
     const startedAt = sim.clock.now();
     const index = Math.floor(random() * ROUTERS);
     const into = waits[index % REGIONS];
-    sim.routers[index].client.take(tenant, (verdict) => {
+    sim.routers[index].client.claim(tenant, (verdict) => {
       if (!isMeasured) return;
       if (verdict.kind === "granted") into.ms.push(sim.clock.now() - startedAt);
       else into.refused += 1;
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -1,8 +1,8 @@
 // The router against stand-in runners over real loopback sockets (design 7).
 import * as net from "node:net";
 import * as nodeHttp from "node:http";
-import * as check from "../src/config/check.js";
-import * as routes from "../src/config/routes.js";
+import * as configurationCheck from "../src/config/configuration-check.js";
+import * as routeTable from "../src/config/route-table.js";
 import * as runnerPicker from "../src/router/runner-picker.js";
 import * as runnerFleet from "../src/runners/runner-fleet.js";
 import * as prefillTracker from "../src/runners/prefill-tracker.js";
@@ -17,7 +17,7 @@
 import * as rawBytes from "./sim/raw-bytes.js";
 import * as sims from "./sim/world.js";
 
-const CONFIG = check
+const CONFIG = configurationCheck
   .check({
     revision: 1,
     services: [{ name: "s", max_connections: 100 }],
@@ -85,7 +85,7 @@
       leavesMs: -1,
     })),
   );
-  picker.routeTable = new routes.RouteTable(CONFIG);
+  picker.routeTable = new routeTable.RouteTable(CONFIG);
   server = new routerServer.RouterServer({
     clock,
     picker,
--- a/tests/sim/change-day.ts
+++ b/tests/sim/change-day.ts
@@ -1,5 +1,5 @@
 // A day of many changes: operators' updates one after the other, while members restart, are wiped, stall and fill up.
-import * as configParts from "../../src/config/parts.js";
+import * as configItems from "../../src/config/config-items.js";
 import * as feedSubscriber from "../../src/feed/feed-subscriber.js";
 import type * as feedReplica from "../../src/feed/feed-replica.js";
 import * as link from "../../src/wire/link.js";
@@ -23,7 +23,7 @@
 /** A router as far as it follows the configuration. */
 export class FollowingRouter {
   readonly dial: durableNode.NetworkDialer;
-  readonly config = new configParts.ConfigParts();
+  readonly config = new configItems.ConfigReplica();
   readonly epochs: number[] = [];
   private readonly handlers = new link.Handlers();
 
@@ -50,7 +50,7 @@
 
   onChange(applied: feedReplica.AppliedChange): void {
     this.epochs.push(applied.stamp);
-    this.config.take(applied);
+    this.config.applyChange(applied);
   }
 
   onUnsubscribe(): void {}
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -1,6 +1,6 @@
 // Control nodes with a disk of their own over a simulated network: restarted, wiped, stalled and filled by a test. The
 // register, its membership and the feed are the program's own.
-import * as parts from "../../src/config/parts.js";
+import * as configItems from "../../src/config/config-items.js";
 import * as voterManager from "../../src/control/voters/voter-manager.js";
 import * as registerReplica from "../../src/control/register-replica.js";
 import * as operatorApi from "../../src/control/operator/operator-api.js";
@@ -100,7 +100,7 @@
 
   private handle(): void {
     const { handlers, dial, core, feed } = this;
-    const splitter = new parts.Splitter();
+    const splitter = new configItems.ConfigSplitter();
     core.registerHandlers(handlers);
     handlers.on(calls.hello, (from, ask) => {
       this.callers.add(from);
--- a/tests/sim/key-lease-days.ts
+++ b/tests/sim/key-lease-days.ts
@@ -22,7 +22,7 @@
   const mail: { at: number; run: () => void }[] = [];
   let held = 0;
   let most = -Infinity;
-  lease.take(epoch(0));
+  lease.applyEpoch(epoch(0));
   for (let step = 0; step < 6000; step += 1) {
     const now = clock.now();
     if (clock.random() < 0.01) {
@@ -44,7 +44,7 @@
 
   function take(number: number): void {
     held = Math.max(held, number);
-    lease.take(epoch(held));
+    lease.applyEpoch(epoch(held));
   }
 
   function ask(sentAt: number): void {
@@ -55,7 +55,10 @@
       // The oldest that the confirmation allows: all that was acknowledged before it began.
       const knownFrom = clock.now() - CONFIRMED_MS * clock.random();
       const told = ackedAt.filter((at) => at <= knownFrom).length - 1;
-      mail.push({ at: clock.now() + back, run: () => lease.hear(epoch(told), types.small(countsFromReply ? clock.now() : sentAt)) });
+      mail.push({
+        at: clock.now() + back,
+        run: () => lease.recordConfirmation(epoch(told), types.small(countsFromReply ? clock.now() : sentAt)),
+      });
     }
   }
 }
--- a/tests/sim/quotas.ts
+++ b/tests/sim/quotas.ts
@@ -20,7 +20,7 @@
 
 class SimTenure extends quotaTenure.QuotaTenure {
   constructor(private readonly sim: QuotaSim) {
-    super(sim.clock, { fenceMs: quotaTenure.FENCE_MS, maxLeaseMs: quotaClient.UNIT_MS });
+    super(sim.clock, { fenceMs: quotaTenure.FENCE_MS, maxLeaseMs: quotaClient.UNIT_LIFETIME_MS });
   }
   protected override hasMajority(slots: number, isOwnCounted: boolean): boolean {
     return this.sim.broken === "no_fence" || super.hasMajority(slots, isOwnCounted);
@@ -47,8 +47,8 @@
   ) {
     super(sim.clock, known, () => undefined);
   }
-  protected override endOf(sentAt: types.SteadyMs): types.SteadyMs {
-    return this.sim.broken === "stale_units" ? types.small(Infinity) : super.endOf(sentAt);
+  protected override expiryOf(sentAt: types.SteadyMs): types.SteadyMs {
+    return this.sim.broken === "stale_units" ? types.small(Infinity) : super.expiryOf(sentAt);
   }
 }
 
@@ -136,13 +136,13 @@
   turn(): void {
     if (this.sim.clock.now() < this.frozenUntil) return;
     for (const run of this.thawing.splice(0)) run();
-    this.client.turn();
+    this.client.runPeriodically();
   }
 
   /** A request of the tenant; it runs as soon as it has its unit. */
   request(tenant: string): void {
     const record = this.sim.recordOf(tenant);
-    this.client.take(tenant, (verdict: quotaClaim.Verdict) => {
+    this.client.claim(tenant, (verdict: quotaClaim.ClaimOutcome) => {
       if (verdict.kind === "exhausted") record.exhausted += 1;
       else if (verdict.kind === "unreached") record.unreached += 1;
       else record.ran.push(this.sim.clock.now());
--- a/tests/sim/router-edge.ts
+++ b/tests/sim/router-edge.ts
@@ -1,7 +1,7 @@
 // A router with stand-in runners on loopback, for tests that speak to it in raw bytes.
 import type * as nodeHttp from "node:http";
-import * as check from "../../src/config/check.js";
-import * as routes from "../../src/config/routes.js";
+import * as configurationCheck from "../../src/config/configuration-check.js";
+import * as routeTable from "../../src/config/route-table.js";
 import * as runnerPicker from "../../src/router/runner-picker.js";
 import * as runnerFleet from "../../src/runners/runner-fleet.js";
 import * as prefillTracker from "../../src/runners/prefill-tracker.js";
@@ -31,7 +31,7 @@
   };
 }
 
-const CONFIG = check
+const CONFIG = configurationCheck
   .check({
     revision: 1,
     services: [{ name: "s", max_connections: 100 }],
@@ -90,7 +90,7 @@
         leavesMs: -1,
       })),
     );
-    picker.routeTable = new routes.RouteTable(CONFIG);
+    picker.routeTable = new routeTable.RouteTable(CONFIG);
     this.server = new routerServer.RouterServer({
       clock,
       picker,
--- a/tests/sim/sim-control-node.ts
+++ b/tests/sim/sim-control-node.ts
@@ -1,6 +1,6 @@
 // Whole control nodes over a simulated network: register, contact, sessions, feed, operator and directory as the
 // program puts them together, without sockets.
-import * as parts from "../../src/config/parts.js";
+import * as configItems from "../../src/config/config-items.js";
 import * as quorumContact from "../../src/control/voters/quorum-contact.js";
 import * as registerReplica from "../../src/control/register-replica.js";
 import * as quorumConfirmation from "../../src/register/quorum-confirmation.js";
@@ -132,7 +132,7 @@
 
   private handle(): void {
     const { handlers, members, dial, replica: core, contact, feed } = this;
-    const splitter = new parts.Splitter();
+    const splitter = new configItems.ConfigSplitter();
     core.registerHandlers(handlers);
     this.leaseServer.registerHandlers(handlers, contact);
     const describe = this.describe.bind(this);
--- a/tests/sim/simulated-runners.ts
+++ b/tests/sim/simulated-runners.ts
@@ -6,8 +6,8 @@
 import * as types from "../../src/wire/types.js";
 import * as system from "../../src/whatif/system.js";
 import * as worlds from "../../src/whatif/world.js";
-import * as check from "../../src/config/check.js";
-import * as routes from "../../src/config/routes.js";
+import * as configurationCheck from "../../src/config/configuration-check.js";
+import * as routeTable from "../../src/config/route-table.js";
 
 export type Answer = "fine" | "error" | "cut" | "refused" | "unreached" | "hang" | "shed" | "slow";
 export type Play = (runner: runnerEndpoint.RunnerEndpoint, router: number, now: number, chance: number) => Answer;
@@ -28,8 +28,8 @@
 const GAP_MS = 30;
 const TABLE = tableOf();
 
-function tableOf(): routes.RouteTable {
-  const config = check.check({
+function tableOf(): routeTable.RouteTable {
+  const config = configurationCheck.check({
     revision: 1,
     services: [{ name: "model", max_connections: 1_000_000 }],
     routes: ["read_only", "mutating", "streaming"].map((type) => ({
@@ -44,7 +44,7 @@
     })),
   });
   if (config.isErr) throw config.error;
-  return new routes.RouteTable(config.value);
+  return new routeTable.RouteTable(config.value);
 }
 
 export interface Met {
--- a/tests/tenants.test.ts
+++ b/tests/tenants.test.ts
@@ -1,7 +1,7 @@
 // Tenants in the configuration, on the feed, and in a router's table: checked, without keys, item by item.
-import * as change from "../src/config/change.js";
-import * as check from "../src/config/check.js";
-import * as parts from "../src/config/parts.js";
+import * as configurationChange from "../src/config/configuration-change.js";
+import * as configurationCheck from "../src/config/configuration-check.js";
+import * as configItems from "../src/config/config-items.js";
 import * as registerValue from "../src/register/register-value.js";
 import * as digests from "../src/tenants/digest.js";
 import * as tenant from "../src/tenants/tenant.js";
@@ -15,7 +15,7 @@
 };
 
 function checked(configured: unknown): string {
-  const outcome = check.check({ ...BASE, tenants: configured });
+  const outcome = configurationCheck.check({ ...BASE, tenants: configured });
   return outcome.isErr ? outcome.error.message : "";
 }
 
@@ -44,7 +44,7 @@
   expect(checked(configured)).toBe("");
 });
 
-const TENANTS: check.Tenant[] = [
+const TENANTS: configurationCheck.Tenant[] = [
   { name: "yard", api_keys: ["key-one", "key-two"], rate_per_s: 5, priority: 0, allowed_regions: ["suva"] },
   { name: "school", api_keys: ["key-three"] },
 ];
@@ -55,13 +55,13 @@
 }
 
 test("no item of the feed holds a key", () => {
-  const items = new parts.Splitter().split(valueOf({ ...BASE, tenants: TENANTS }));
+  const items = new configItems.ConfigSplitter().split(valueOf({ ...BASE, tenants: TENANTS }));
   expect([...items.keys()]).toEqual(expect.arrayContaining(["tenant:yard", "tenant:school"]));
   for (const body of items.values()) expect(body.toString()).not.toMatch(/key-/);
 });
 
 test("a changed rate changes no item, a changed key changes one", () => {
-  const splitter = new parts.Splitter();
+  const splitter = new configItems.ConfigSplitter();
   const before = splitter.split(valueOf({ ...BASE, tenants: TENANTS }));
   const faster = splitter.split(valueOf({ ...BASE, tenants: [{ ...TENANTS[0], rate_per_s: 9 }, TENANTS[1]] }));
   expect(faster).toEqual(before);
@@ -91,14 +91,14 @@
 });
 
 test("the router's parts keep the table up to date, epoch by epoch", () => {
-  const splitter = new parts.Splitter();
-  const held = new parts.ConfigParts();
+  const splitter = new configItems.ConfigSplitter();
+  const held = new configItems.ConfigReplica();
   const first = splitter.split(valueOf({ ...BASE, tenants: TENANTS }));
-  held.take({ kind: "applied", topic: "register", stamp: types.small(1), changed: first, removed: [], isFirst: true });
+  held.applyChange({ kind: "applied", topic: "register", stamp: types.small(1), changed: first, removed: [], isFirst: true });
   expect(held.tenants.find("key-one")).toMatchObject({ name: "yard", priority: 0, isLimited: true, homes: ["suva"] });
   const second = splitter.split(valueOf({ ...BASE, tenants: [TENANTS[1]] }, 2));
   const gone = [...first.keys()].filter((key) => !second.has(key));
-  held.take({ kind: "applied", topic: "register", stamp: types.small(2), changed: new Map(), removed: gone, isFirst: false });
+  held.applyChange({ kind: "applied", topic: "register", stamp: types.small(2), changed: new Map(), removed: gone, isFirst: false });
   expect(held.tenants.find("key-one")).toBeNull();
   expect(held.tenants.find("key-three")?.name).toBe("school");
 });
@@ -115,9 +115,9 @@
 });
 
 function apply(value: schema.Value, body: object): string[] | string {
-  const order = change.updateOrder(1, Buffer.from(JSON.stringify(body)));
+  const order = configurationChange.parseUpdate(1, Buffer.from(JSON.stringify(body)));
   if (order.isErr) return order.error.message;
   const made = order.value(value);
   if (made.isErr) return made.error.message;
-  return (registerValue.unpack(made.value.config) as check.Configuration).tenants!.map((tenant) => tenant.name);
+  return (registerValue.unpack(made.value.config) as configurationCheck.Configuration).tenants!.map((tenant) => tenant.name);
 }
--- a/tests/value-size.test.ts
+++ b/tests/value-size.test.ts
@@ -1,8 +1,8 @@
 // How large the register's value, its messages, the voter's record and the feed's messages get (design/hardening/4).
 import * as crypto from "node:crypto";
-import * as change from "../src/config/change.js";
+import * as configurationChange from "../src/config/configuration-change.js";
 import * as link from "../src/wire/link.js";
-import * as parts from "../src/config/parts.js";
+import * as configItems from "../src/config/config-items.js";
 import * as keyedItems from "../src/feed/keyed-items.js";
 import * as orderHistory from "../src/register/order-history.js";
 import * as registerValue from "../src/register/register-value.js";
@@ -62,7 +62,7 @@
     config: value.config.length,
     accept: schema.accept.toBuffer({ disk, ballot, isSetChosen: true, value }).length,
     record: schema.disk.toBuffer({ disk, promised: ballot, accepted: { ballot, value } }).length,
-    view: keyedItems.packChanges(new parts.Splitter().split(value)).items.length,
+    view: keyedItems.packChanges(new configItems.ConfigSplitter().split(value)).items.length,
   };
 }
 
@@ -81,7 +81,7 @@
 });
 
 test("one changed route travels as one item, and a view as one frame", () => {
-  const splitter = new parts.Splitter();
+  const splitter = new configItems.ConfigSplitter();
   const held = new keyedItems.KeyedItems();
   held.apply(held.planSnapshot(splitter.split(valueOf(5000, 100))));
   const document = documentOf(5000, 300);
@@ -96,9 +96,9 @@
 
 test("the largest configuration that is taken fits a frame, also as a view whose names can't be packed", () => {
   const services = Array.from({ length: 5400 }, () => ({ name: crypto.randomBytes(1500).toString("base64") }));
-  const order = change.replaceOrder(0, Buffer.from(JSON.stringify({ revision: 3, routes: [], services })));
+  const order = configurationChange.parseReplace(0, Buffer.from(JSON.stringify({ revision: 3, routes: [], services })));
   const taken = (order.isOk ? order.value(valueOf(0, 0)) : order).unwrapOr(null) as schema.Value;
-  expect(JSON.stringify(registerValue.unpack(taken.config)).length).toBeGreaterThan(0.9 * change.MAX_DOCUMENT_BYTES);
+  expect(JSON.stringify(registerValue.unpack(taken.config)).length).toBeGreaterThan(0.9 * configurationChange.MAX_DOCUMENT_BYTES);
   const sizes = sizesOf(taken);
   process.stderr.write(`the largest: ${JSON.stringify(sizes)}, bound ${link.MAX_FRAME_BYTES}\n`);
   expect(Math.max(sizes.accept, sizes.record, sizes.view)).toBeLessThan(link.MAX_FRAME_BYTES);
