--- a/tests/admission-decider.test.ts
+++ b/tests/admission-decider.test.ts
@@ -10,7 +10,7 @@
 import * as promptParts from "../src/routing/prompt-parts.js";
 import * as types from "../src/wire/types.js";
 import { NOBODYS } from "./sim/plans.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const LATENCY_TARGET_MS = 500;
 const CONFIG = configurationCheck
@@ -33,7 +33,7 @@
 const TABLE = new routeTable.RouteTable(CONFIG);
 
 class AdmissionFixture {
-  readonly clock = new sim.SimWorld(1);
+  readonly clock = new simulatedClock.SimulatedClock(1);
   readonly known = new prefillTracker.PrefillTracker();
   readonly fleet = new runnerFleet.RunnerFleet(this.clock, new Map([["z", "r"]]));
   readonly admission = new admissions.Admission(this.clock, {
--- a/tests/admission-stats.test.ts
+++ b/tests/admission-stats.test.ts
@@ -1,9 +1,9 @@
 // Statistics of admission decisions for `status` and the log (design/admission 10).
 import * as admissionStats from "../src/admission/admission-stats.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 test("records times of rejections, outcomes by rank and unused capacity, and detects the end of a shortage", async () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const stats = new admissionStats.AdmissionStats(clock);
   for (let count = 1; count <= 99; count += 1) stats.recordRejection(0.5, "no room", false);
   stats.recordRejection(40, "no room", false);
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -9,7 +9,7 @@
 import * as settings from "../src/settings/settings.js";
 import * as types from "../src/wire/types.js";
 import { NOBODYS } from "./sim/plans.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const CONFIG = configurationCheck
   .check({
@@ -28,7 +28,7 @@
   .unwrapOr(null)!;
 
 interface Door {
-  clock: sim.SimWorld;
+  clock: simulatedClock.SimulatedClock;
   fleet: runnerFleet.RunnerFleet;
   admission: admissions.Admission;
   plan(rank: number, key?: number): routePlan.RoutePlan;
@@ -37,7 +37,7 @@
 
 /** Two runners of four places, and a service whose places are held 2 s each. */
 function door(seed = 1): Door {
-  const clock = new sim.SimWorld(seed);
+  const clock = new simulatedClock.SimulatedClock(seed);
   const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
   fleet.applySnapshot(
     ["i-1", "i-2"].map((id) => ({
--- a/tests/at-most-once.test.ts
+++ b/tests/at-most-once.test.ts
@@ -6,7 +6,7 @@
 import * as callerCases from "./sim/caller-cases.js";
 import * as routerEdge from "./sim/router-edge.js";
 import * as rawRunner from "./sim/raw-runner.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 /** CALLER_RUNS plays more, from a seed of their own; 400 from one seed are played each time. */
 const MORE_RUNS = process.env["CALLER_RUNS"];
@@ -28,7 +28,7 @@
   const bytes = rawRunner.answerBytes("i-1", "q1", rawRunner.DENIAL);
   const byte = bytes.indexOf("\r\n\r\n") + bytesAfterFields;
   const denial: rawRunner.Script = { answer: rawRunner.DENIAL, part: "answer", byte, fault: "close" };
-  const edge = await routerEdge.Edge.over(new sims.SimWorld(), [
+  const edge = await routerEdge.Edge.over(new simulatedClock.SimulatedClock(), [
     new rawRunner.RawRunner("i-1", [denial]),
     new rawRunner.RawRunner("i-2", [denial]),
   ]);
@@ -55,7 +55,7 @@
 test.each(["reset", "close", "silent"] as const)(
   "a large body that is cut off by %s while it is written is not written again",
   async (fault) => {
-    const clock = new sims.SimWorld();
+    const clock = new simulatedClock.SimulatedClock();
     const scripts: rawRunner.Script[] = [{ answer: rawRunner.FINE, part: "request", byte: 200_000, fault }];
     const edge = await routerEdge.Edge.over(clock, [new rawRunner.RawRunner("i-1", scripts), new rawRunner.RawRunner("i-2", [...scripts])]);
     edge.server.applyLimits({ max_body_bytes: LARGE_BODY });
@@ -69,11 +69,11 @@
 
 test("a kept connection that ends in the moment of the next send is not replaced under a request that may have gone out", async () => {
   for (let turns = 0; turns < 12; turns += 1) {
-    const clock = new sims.SimWorld();
+    const clock = new simulatedClock.SimulatedClock();
     const edge = await routerEdge.Edge.over(clock, [new rawRunner.RawRunner("i-1")]);
     await edge.send(callerCases.textOf("a0", callerCases.SERVED));
     const reply = callerCases.ask(clock, edge, callerCases.textOf("q1", { method: "GET", bodyBytes: 0, isChunked: false }));
-    for (let turn = 0; turn < turns; turn += 1) await sims.settle();
+    for (let turn = 0; turn < turns; turn += 1) await simulatedClock.settle();
     for (const socket of edge.runners[0].sockets) socket.resetAndDestroy();
     callerCases.judge(await reply, edge);
     edge.stop();
@@ -85,15 +85,15 @@
   const sockets: net.Socket[] = [];
   const connected = (message: unknown): void => void sockets.push((message as { socket: net.Socket }).socket);
   diagnostics.subscribe("undici:client:connected", connected);
-  const clock = new sims.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const silent: rawRunner.Script = { answer: rawRunner.FINE, part: "answer", byte: 0, fault: "silent" };
   const edge = await routerEdge.Edge.over(clock, [new rawRunner.RawRunner("i-1", [silent])]);
   const reply = edge.send(callerCases.textOf("q1", { method: "GET", bodyBytes: 0, isChunked: false }));
-  while (!edge.runners[0].isSilent) await sims.settle();
+  while (!edge.runners[0].isSilent) await simulatedClock.settle();
   sockets[0].destroy(Object.assign(new Error("the library's own"), { code: "UND_ERR_INFO" }));
   const ended = new Promise((resolve) => edge.runners[0].sockets[0].once("close", resolve));
   await ended;
-  for (let turn = 0; turn < 20; turn += 1) await sims.settle();
+  for (let turn = 0; turn < 20; turn += 1) await simulatedClock.settle();
   await clock.play(callerCases.DEADLINE_MS);
   await reply;
   edge.stop();
--- a/tests/batches/forecast.test.ts
+++ b/tests/batches/forecast.test.ts
@@ -3,7 +3,7 @@
 import * as loads from "../../src/forecast/loads.js";
 import * as series from "../../src/forecast/series.js";
 import * as smoothing from "../../src/forecast/smoothing.js";
-import * as sims from "../sim/world.js";
+import * as simulatedClock from "../sim/simulated-clock.js";
 
 test("a constant is forecast as it is; a trend is followed and dies away", () => {
   const flat = new smoothing.DampedTrend();
@@ -48,7 +48,7 @@
 });
 
 test("arrivals of all nodes add up; a node that hears the same knows the same", () => {
-  const clock = new sims.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const [one, two] = [new loads.LoadForecast(clock), new loads.LoadForecast(clock)];
   const load = { region: "a", route: "r", arrivals: 600, heldMs: 2000, unread: 100 };
   for (let step = 0; step < 20; step += 1) {
@@ -76,7 +76,7 @@
 });
 
 test("a route that nobody asks for any more is forgotten", () => {
-  const clock = new sims.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const forecast = new loads.LoadForecast(clock);
   forecast.take({ spanMs: 5000, readRate: 0, loads: [{ region: "a", route: "r", arrivals: 1, heldMs: 0, unread: 0 }] });
   clock.skip(1.1 * loads.DAY_MS);
--- a/tests/batches/history.ts
+++ b/tests/batches/history.ts
@@ -19,7 +19,7 @@
 import type * as types from "../../src/wire/types.js";
 import * as invariants from "./invariants.js";
 import * as networks from "../sim/network.js";
-import * as sims from "../sim/world.js";
+import * as simulatedClock from "../sim/simulated-clock.js";
 
 /** What may be missing. */
 export type Guard = "none" | "fence" | "proof" | "durable_answer";
@@ -37,7 +37,7 @@
 export type Verdict = string | null;
 
 export class BatchHistory {
-  readonly clock: sims.SimWorld;
+  readonly clock: simulatedClock.SimulatedClock;
   readonly network: networks.SimNetwork;
   value: registerSchema.Value = registerValue.initialValue(["a:1"]);
   readonly records = new Map<string, Buffer>();
@@ -56,7 +56,7 @@
     seed: number,
     readonly guard: Guard,
   ) {
-    this.clock = new sims.SimWorld(seed);
+    this.clock = new simulatedClock.SimulatedClock(seed);
     this.network = new networks.SimNetwork(this.clock);
     this.submit("one", false);
     this.submit("two", true);
--- a/tests/batches/records.test.ts
+++ b/tests/batches/records.test.ts
@@ -2,7 +2,7 @@
 import * as recordFile from "../../src/batch/record-file.js";
 import * as records from "../../src/batch/records.js";
 import type * as files from "../../src/store/files.js";
-import * as sims from "../sim/world.js";
+import * as simulatedClock from "../sim/simulated-clock.js";
 
 /** A file in memory; `durable` is what a loss of power leaves. */
 class MemoryFile implements files.RecordFile {
@@ -59,7 +59,7 @@
 
 const KEY = { digest: "d", item: 4, attempt: 2 };
 
-async function opened(folder: MemoryFolder, clock = new sims.SimWorld()): Promise<records.Records> {
+async function opened(folder: MemoryFolder, clock = new simulatedClock.SimulatedClock()): Promise<records.Records> {
   const made = new records.Records(clock, folder);
   await made.open();
   return made;
@@ -103,7 +103,7 @@
 });
 
 test("files of batches that the table names no more are dropped after a while", async () => {
-  const clock = new sims.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const folder = new MemoryFolder();
   const made = await opened(folder, clock);
   await made.put(KEY, Buffer.from("x"));
--- a/tests/callers.test.ts
+++ b/tests/callers.test.ts
@@ -3,13 +3,13 @@
 import * as log from "../src/runtime/log.js";
 import * as routerEdge from "./sim/router-edge.js";
 import * as rawRunner from "./sim/raw-runner.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 type Edge = routerEdge.Edge<rawRunner.RawRunner>;
 
-let clock: sims.SimWorld;
+let clock: simulatedClock.SimulatedClock;
 let edge: Edge | null = null;
-beforeEach(() => (clock = new sims.SimWorld()));
+beforeEach(() => (clock = new simulatedClock.SimulatedClock()));
 afterEach(() => edge?.stop());
 
 /** A router with two runners; the first takes these scripts, and both are told apart by their bodies. */
@@ -94,7 +94,7 @@
   test("right after a whole one reaches nobody, and its connection is not used again", async () => {
     await start([extra]);
     expect(await ask("once", "q1")).toMatchObject({ status: 200, body: rawRunner.bodyOf("i-1", "q1"), rest: "" });
-    await sims.settle();
+    await simulatedClock.settle();
     expect(await ask("once", "q2")).toMatchObject({ status: 200, looksWhole: true });
     expect(edge!.runners[0].sockets.length + edge!.runners[1].sockets.length).toBe(2);
   });
@@ -147,8 +147,8 @@
     const head = rawRunner.answerBytes("i-1", "q1", answer).indexOf("\r\n\r\n") + 4;
     await start([{ answer, part: "answer", byte: head + 5, fault: "silent" }]);
     const reply = edge!.send(post("once", "q1"));
-    while (!edge!.runners[0].isSilent) await sims.settle();
-    await sims.settle();
+    while (!edge!.runners[0].isSilent) await simulatedClock.settle();
+    await simulatedClock.settle();
     edge!.runners[0].sockets[0].resetAndDestroy();
     const read = rawRunner.readAnswer(await reply);
     expect(read === null || read.status === 502 || !read.looksWhole).toBe(true);
@@ -203,7 +203,7 @@
     socket.on("data", (chunk: Buffer) => (text += chunk.toString("latin1")));
     const ended = new Promise((resolve) => socket.once("close", resolve));
     socket.write(post("once", "q1", false));
-    while (!text.includes("to q1")) await sims.settle();
+    while (!text.includes("to q1")) await simulatedClock.settle();
     // Both ends' timers are of this process, so the shorter one always comes first.
     setTimeout(() => socket.write(post("once", "q2")), 400);
     await ended;
@@ -219,7 +219,7 @@
   ])("ends with %s when its runner is silent", async (_name, field, ms) => {
     await start([{ answer: rawRunner.FINE, part: "answer", byte: 0, fault: "silent" }]);
     const reply = edge!.send(post("once", "q1").replace("Content-Length", `${field}Content-Length`));
-    while (!edge!.runners[0].isSilent) await sims.settle();
+    while (!edge!.runners[0].isSilent) await simulatedClock.settle();
     await clock.play(ms - 1);
     expect(edge!.server.activeCount).toBe(1);
     await clock.play(2);
@@ -234,8 +234,8 @@
     await start([]);
     edge!.isReady = false;
     const reply = edge!.send(post("once", "q1").replace("Content-Length", `${field}Content-Length`));
-    while (edge!.server.activeCount === 0) await sims.settle();
-    await sims.settle();
+    while (edge!.server.activeCount === 0) await simulatedClock.settle();
+    await simulatedClock.settle();
     await clock.play(ms - 1);
     expect(edge!.server.activeCount).toBe(1);
     await clock.play(2);
--- a/tests/client-cancellation.test.ts
+++ b/tests/client-cancellation.test.ts
@@ -2,7 +2,7 @@
 import * as net from "node:net";
 import * as timers from "../src/runtime/timers.js";
 import * as routerEdge from "./sim/router-edge.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 let edge: routerEdge.Edge;
 
@@ -14,7 +14,7 @@
 const REQUEST = "POST /once/x HTTP/1.1\r\nHost: h\r\nX-Cranewind-Request-Id: q1\r\nContent-Length: 2\r\n\r\nab";
 
 async function until(isSo: () => boolean): Promise<void> {
-  while (!isSo()) await sims.settle();
+  while (!isSo()) await simulatedClock.settle();
 }
 
 test.each<["reset" | "end"]>([["reset"], ["end"]])(
@@ -30,7 +30,7 @@
     await until(() => edge.server.activeCount === 0);
     edge.isReady = true;
     edge.server.servePending();
-    await sims.settle();
+    await simulatedClock.settle();
     expect(edge.seen()).toEqual([]);
   },
 );
--- a/tests/config-parts.test.ts
+++ b/tests/config-parts.test.ts
@@ -8,7 +8,7 @@
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as feedLinks from "./sim/feed-links.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 type Item = Record<string, unknown>;
 type Doc = Item & { routes: Item[] };
@@ -53,11 +53,14 @@
 
 /** A router that keeps its configuration from simulated links, and control nodes that split what is chosen. */
 async function setUp(names = ["a"]) {
-  const clock = new sim.SimWorld(3);
+  const clock = new simulatedClock.SimulatedClock(3);
   const router = new feedLinks.SimRouter(clock);
   const config = new configItems.ConfigReplica();
   let done = 0;
-  const sources = names.map((name) => ({ feed: new feedPublisher.FeedPublisher(`life-${name}`), splitter: new configItems.ConfigSplitter() }));
+  const sources = names.map((name) => ({
+    feed: new feedPublisher.FeedPublisher(`life-${name}`),
+    splitter: new configItems.ConfigSplitter(),
+  }));
   for (const [index, { feed }] of sources.entries()) router.join(names[index], names[index], feed);
   return {
     clock,
--- a/tests/feed-subscriber-random.test.ts
+++ b/tests/feed-subscriber-random.test.ts
@@ -3,13 +3,13 @@
 import * as feedPublisher from "../src/feed/feed-publisher.js";
 import * as feedTopics from "../src/feed/feed-topics.js";
 import * as feedLinks from "./sim/feed-links.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const NAMES = ["a", "b", "c"];
 const { items, stampOf, LIST } = feedLinks;
 
 class Day {
-  readonly clock: sim.SimWorld;
+  readonly clock: simulatedClock.SimulatedClock;
   readonly router: feedLinks.SimRouter;
   /** What was chosen, by epoch. */
   readonly chosen: Record<string, string>[] = [{}];
@@ -19,7 +19,7 @@
   readonly seen: string[] = [];
 
   constructor(seed: number) {
-    this.clock = new sim.SimWorld(seed);
+    this.clock = new simulatedClock.SimulatedClock(seed);
     this.router = new feedLinks.SimRouter(this.clock);
     for (const name of NAMES) this.start(name);
   }
--- a/tests/feed-subscriber.test.ts
+++ b/tests/feed-subscriber.test.ts
@@ -3,13 +3,13 @@
 import * as feedTopics from "../src/feed/feed-topics.js";
 import * as schema from "../src/wire/schema.js";
 import * as feedLinks from "./sim/feed-links.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 import { keysOf } from "./sim/changes.js";
 
 const { changes, items, stampOf, LIST } = feedLinks;
 
 async function routerWith(...regions: string[]) {
-  const clock = new sim.SimWorld(7);
+  const clock = new simulatedClock.SimulatedClock(7);
   const router = new feedLinks.SimRouter(clock);
   const sources = regions.map((region) => new feedPublisher.FeedPublisher(`life-${region}`));
   for (const feed of sources) feed.publishSnapshot(feedTopics.REGISTER_TOPIC, items({ a: "1", b: "1" }), stampOf(1));
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -2,7 +2,7 @@
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as simulatedNodes from "./sim/simulated-nodes.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const REGIONS = ["a", "b", "c"];
 const CORE: [string, string][] = [
@@ -15,7 +15,7 @@
 const SEEDS = CORE.map(([name]) => `${name}:1`);
 
 async function start(seed: number, routers: number, seeds: string[] = SEEDS): Promise<simulatedNodes.SimFleet> {
-  const fleet = new simulatedNodes.SimFleet(new sim.SimWorld(seed));
+  const fleet = new simulatedNodes.SimFleet(new simulatedClock.SimulatedClock(seed));
   fleet.holes.add("hole:1");
   for (const [name, region] of CORE) fleet.control(name, region, SEEDS);
   await fleet.clock.play(1000);
--- a/tests/hint-exchange.test.ts
+++ b/tests/hint-exchange.test.ts
@@ -6,10 +6,14 @@
 import * as hintExchange from "../src/hints/hint-exchange.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 import * as hints from "./sim/hints.js";
 
-function makeExchange(clock: sim.SimWorld): { exchange: hintExchange.HintExchange; published: schema.Signs[]; received: unknown[] } {
+function makeExchange(clock: simulatedClock.SimulatedClock): {
+  exchange: hintExchange.HintExchange;
+  published: schema.Signs[];
+  received: unknown[];
+} {
   const published: schema.Signs[] = [];
   const received: unknown[] = [];
   const handler: hintExchange.HintHandler = {
@@ -23,7 +27,7 @@
 }
 
 test.each([10, 100, 1000])("frames of a router do not grow with its requests: %d a second", async (perS) => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const { exchange, published } = makeExchange(clock);
   for (let index = 0; index < perS; index += 1) {
     const runner = ["a", "b", "c"][index % 3];
@@ -36,7 +40,7 @@
 });
 
 test("publishes hashes of runners, receives ids, and ignores hashes that identify no runner", () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const { exchange, published, received } = makeExchange(clock);
   exchange.publishUnresponsive(hints.ids("b"));
   expect(published).toEqual([{ isRelayed: false, silent: [runnerHash.runnerHash("b")], readings: [] }]);
@@ -78,7 +82,7 @@
 });
 
 test("publishing only the keys of uncached parts has the same effect as publishing all", () => {
-  const clock = new sim.SimWorld(7);
+  const clock = new simulatedClock.SimulatedClock(7);
   const [own, all, few] = [new prefillTracker.PrefillTracker(), new prefillTracker.PrefillTracker(), new prefillTracker.PrefillTracker()];
   for (let index = 0; index < 2000; index += 1) {
     const parts = Array.from({ length: 1 + Math.floor(clock.random() * 4) }, (_item, at) => ({
--- a/tests/hint-relay.test.ts
+++ b/tests/hint-relay.test.ts
@@ -4,11 +4,11 @@
 import * as hintRelay from "../src/hints/hint-relay.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 import * as hints from "./sim/hints.js";
 
 function relayTo(
-  clock: sim.SimWorld,
+  clock: simulatedClock.SimulatedClock,
   routers = 3,
 ): { relay: hintRelay.HintRelay; links: Map<string, hints.FakeLink>; hear(name: string, told: schema.Signs): void } {
   const links = new Map(["r1", "r2", "r3", "s1", "s2"].map((name) => [name, new hints.FakeLink()]));
@@ -33,7 +33,7 @@
 }
 
 test("forwards hints once to peers and to the followers of the runner's region, never to the sender", async () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const { links, hear } = relayTo(clock);
   hear("r1", hints.hintsOf(hints.prefillHint("n", 1000)));
   hear("r2", hints.hintsOf(hints.prefillHint("n", 3000), hints.prefillHint("s", 500)));
@@ -63,7 +63,7 @@
 });
 
 test.each([20, 200, 2000])("the number of frames does not grow with the hints: %d a second", async (perS) => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const { links, hear } = relayTo(clock);
   for (let index = 0; index < perS; index += 1)
     clock.schedule((index * 1000) / perS, () => hear("r1", hints.hintsOf(hints.prefillHint("n", 1000, [index]))));
@@ -74,7 +74,7 @@
 });
 
 test("forwards unresponsive runners, and drops hashes that identify no listed runner", async () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const { links, hear } = relayTo(clock);
   hear("r1", { isRelayed: false, silent: [runnerHash.runnerHash("n"), 77], readings: [hints.prefillHint("nobody")] });
   await clock.play(100);
@@ -92,7 +92,7 @@
 });
 
 test.each([[100], [20]])("limits the prefill hints to one of %d routers, and always forwards unresponsive runners", async (routers) => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const { relay, links } = relayTo(clock, routers);
   const dropped = hints.counterValue("signs.dropped");
   const names = Array.from({ length: 5000 }, (_item, index) => `i-${index}`);
--- a/tests/idle-timeout.test.ts
+++ b/tests/idle-timeout.test.ts
@@ -2,11 +2,11 @@
 import * as connectionPool from "../src/runners/connection-pool.js";
 import * as idleTimeout from "../src/runners/idle-timeout.js";
 import * as routerEdge from "./sim/router-edge.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const USUAL = connectionPool.IDLE_TIMEOUT_MS;
-let clock: sim.SimWorld;
-beforeEach(() => (clock = new sim.SimWorld()));
+let clock: simulatedClock.SimulatedClock;
+beforeEach(() => (clock = new simulatedClock.SimulatedClock()));
 
 describe("the learned idle limit of a service", () => {
   test("learns nothing from short idle times or late resets", () => {
--- a/tests/key-lease.test.ts
+++ b/tests/key-lease.test.ts
@@ -2,7 +2,7 @@
 import * as keyLease from "../src/tenants/key-lease.js";
 import * as types from "../src/wire/types.js";
 import * as keyLeaseDays from "./sim/key-lease-days.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 function epoch(number: number): types.Epoch {
   return types.small(number);
@@ -61,7 +61,7 @@
     ],
   ],
 ])("%s", (_name, steps) => {
-  const clock = new sim.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   clock.skip(10_000);
   const lease = new keyLease.KeyLease(clock, keyLeaseDays.STRICT);
   for (const step of steps) {
@@ -73,7 +73,7 @@
 });
 
 test("where revocation is not strict, what is known is honoured without a word", () => {
-  const lease = new keyLease.KeyLease(new sim.SimWorld(), { revocation_strict: false, revoke_delay_ms: 5000 });
+  const lease = new keyLease.KeyLease(new simulatedClock.SimulatedClock(), { revocation_strict: false, revoke_delay_ms: 5000 });
   lease.applyEpoch(epoch(1));
   expect([lease.mayHonour(), lease.mayReject()]).toEqual([true, false]);
 });
--- a/tests/link-calls.test.ts
+++ b/tests/link-calls.test.ts
@@ -7,7 +7,7 @@
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as sockets from "./sim/sockets.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const CALL = 1;
 const REPLY = 2;
@@ -21,11 +21,11 @@
   calleeSocket: sockets.SimSocket;
 }
 
-let clock: sims.SimWorld;
+let clock: simulatedClock.SimulatedClock;
 /** Replies of the callee wait here, by the epoch that was asked for, until a test sends them. */
 let answers: Map<number, (reply: schema.Chosen | null) => void>;
 beforeEach(() => {
-  clock = new sims.SimWorld();
+  clock = new simulatedClock.SimulatedClock();
   answers = new Map();
 });
 
@@ -60,7 +60,7 @@
 }
 
 async function arrive(): Promise<void> {
-  for (let turn = 0; turn < 4; turn += 1) await sims.settle();
+  for (let turn = 0; turn < 4; turn += 1) await simulatedClock.settle();
 }
 
 test("replies in any order reach their own calls", async () => {
@@ -198,7 +198,7 @@
 );
 
 async function replay(steps: readonly string[], firstCallId: number): Promise<void> {
-  clock = new sims.SimWorld();
+  clock = new simulatedClock.SimulatedClock();
   answers = new Map();
   let ends = joined(firstCallId);
   const wrong: string[] = [];
--- a/tests/load-publisher.test.ts
+++ b/tests/load-publisher.test.ts
@@ -6,7 +6,7 @@
 import * as loadPublisher from "../src/load/load-publisher.js";
 import type * as schema from "../src/wire/schema.js";
 import type * as types from "../src/wire/types.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 import * as load from "./sim/load.js";
 
 interface Node {
@@ -14,7 +14,7 @@
   told: [string, string[], number][];
 }
 
-function nodeOf(clock: sims.SimWorld, region: load.Region): Node {
+function nodeOf(clock: simulatedClock.SimulatedClock, region: load.Region): Node {
   const told: Node["told"] = [];
   const feed = {
     publishSnapshot: (topic: string, items: ReadonlyMap<string, Buffer>, stamp: types.Stamp) =>
@@ -34,8 +34,8 @@
 function setUp(
   count: number,
   seed: number,
-): { clock: sims.SimWorld; region: load.Region; reader: Node; sibling: Node; turn(isLost?: boolean): schema.Report[] } {
-  const clock = new sims.SimWorld(seed);
+): { clock: simulatedClock.SimulatedClock; region: load.Region; reader: Node; sibling: Node; turn(isLost?: boolean): schema.Report[] } {
+  const clock = new simulatedClock.SimulatedClock(seed);
   const region = new load.Region(clock, "r", count, 16, 1);
   const [reader, sibling] = [nodeOf(clock, region), nodeOf(clock, region)];
   return {
@@ -105,7 +105,7 @@
 });
 
 test("an orchestrator publishes the changes selected by its view, and knows which regions it polls", async () => {
-  const clock = new sims.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const told: schema.CellReport[] = [];
   const dial = {
     controls: new Map([["s", { link: { send: (_pair: unknown, ask: schema.CellReport) => told.push(ask) } }]]),
--- a/tests/load-summary.test.ts
+++ b/tests/load-summary.test.ts
@@ -4,7 +4,7 @@
 import * as regionReports from "../src/load/region-reports.js";
 import * as loadSummary from "../src/load/load-summary.js";
 import * as schema from "../src/wire/schema.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const { report, instance } = load;
 
@@ -38,7 +38,7 @@
 });
 
 test("a region that is lost by its summary is attempted last, although its reports are not followed", () => {
-  const clock = new sims.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const runner = (id: string, region: string): unknown => ({ id, region, isSuspect: () => false, instance: instance(id, region) });
   const known = new loadSummary.LoadSummaries();
   const policy = new cellPolicy.CellPolicy("a", known);
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -5,7 +5,7 @@
 import type * as link from "../src/wire/link.js";
 import * as types from "../src/wire/types.js";
 import * as schema from "../src/wire/schema.js";
-import * as world from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 import { node, router } from "./sim/nodes.js";
 
 const TIMEOUT_MS = 1800;
@@ -15,7 +15,7 @@
   private readonly endListeners: ((cause: string) => void)[] = [];
   readonly sent: unknown[] = [];
 
-  constructor(private readonly clock: world.SimWorld) {}
+  constructor(private readonly clock: simulatedClock.SimulatedClock) {}
 
   idleMs(): number {
     return this.clock.now() - this.receivedAt;
@@ -54,7 +54,7 @@
 
 /** A control node's membership, with links that the test keeps. */
 class MembershipFixture {
-  readonly clock = new world.SimWorld(1);
+  readonly clock = new simulatedClock.SimulatedClock(1);
   readonly members = new membership.Membership(this.clock, TIMEOUT_MS, "life");
 
   open(info: schema.NodeInfo): FakeLink {
--- a/tests/model/exhaustive/parts.ts
+++ b/tests/model/exhaustive/parts.ts
@@ -5,7 +5,7 @@
 import * as registerValue from "../../../src/register/register-value.js";
 import * as acceptor from "../../../src/register/acceptor.js";
 import type * as schema from "../../../src/wire/schema.js";
-import * as worlds from "../../sim/world.js";
+import * as simulatedClock from "../../sim/simulated-clock.js";
 import * as states from "./state.js";
 
 export type Guard = "none" | "settle_unchosen" | "forget_promise" | "wipe_keeps_identity" | "any_quorum";
@@ -25,7 +25,7 @@
   commit(value: schema.Value): void;
 }
 
-const world = new worlds.SimWorld(1);
+const world = new simulatedClock.SimulatedClock(1);
 const unreachable: acceptorClient.AcceptorClient = { prepare: () => Promise.resolve(null), accept: () => Promise.resolve(null) };
 const kept: acceptor.RecordStore = { write: () => Promise.resolve() };
 
--- a/tests/orders-faults.test.ts
+++ b/tests/orders-faults.test.ts
@@ -4,7 +4,7 @@
 import * as schema from "../src/wire/schema.js";
 import * as simRegister from "./sim/sim-register.js";
 import * as operators from "./sim/operators.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
 const ROUNDS = 10;
@@ -15,7 +15,7 @@
   status: number | null;
 }
 
-async function done<T>(clock: sim.SimWorld, promise: Promise<T>): Promise<T> {
+async function done<T>(clock: simulatedClock.SimulatedClock, promise: Promise<T>): Promise<T> {
   let isDone = false;
   void promise.finally(() => (isDone = true));
   for (let spent = 0; !isDone && spent < 120_000; spent += 50) await clock.play(50);
@@ -47,7 +47,7 @@
   kinds[Math.floor(clock.random() * kinds.length)]();
 }
 
-function orderOf(clock: sim.SimWorld, value: schema.Value, name: string): operators.Order {
+function orderOf(clock: simulatedClock.SimulatedClock, value: schema.Value, name: string): operators.Order {
   const base = value.revision;
   const revision = base + 1 + Math.floor(clock.random() * 3);
   return clock.random() < 0.5 && base > 0 ? operators.updateOf(base, revision, name) : operators.replaceOf(base, revision, name);
@@ -62,7 +62,7 @@
 }
 
 async function playSeed(seed: number): Promise<{ faults: string[]; answered: Answered[] }> {
-  const clock = new sim.SimWorld(seed);
+  const clock = new simulatedClock.SimulatedClock(seed);
   const core = new simRegister.SimRegister(clock, ADDRESSES);
   const desk = new operators.Operators(core);
   const answered: Answered[] = [];
--- a/tests/orders.test.ts
+++ b/tests/orders.test.ts
@@ -3,23 +3,23 @@
 import * as registerValue from "../src/register/register-value.js";
 import * as simRegister from "./sim/sim-register.js";
 import * as operators from "./sim/operators.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
 
 interface Scene {
-  clock: sim.SimWorld;
+  clock: simulatedClock.SimulatedClock;
   core: simRegister.SimRegister;
   desk: operators.Operators;
 }
 
 function sceneOf(seed: number, addresses = ADDRESSES): Scene {
-  const clock = new sim.SimWorld(seed);
+  const clock = new simulatedClock.SimulatedClock(seed);
   const core = new simRegister.SimRegister(clock, addresses);
   return { clock, core, desk: new operators.Operators(core) };
 }
 
-async function done<T>(clock: sim.SimWorld, promise: Promise<T>, mostMs = 120_000): Promise<T> {
+async function done<T>(clock: simulatedClock.SimulatedClock, promise: Promise<T>, mostMs = 120_000): Promise<T> {
   let isDone = false;
   void promise.finally(() => (isDone = true));
   for (let spent = 0; !isDone && spent < mostMs; spent += 50) await clock.play(50);
--- a/tests/outage.test.ts
+++ b/tests/outage.test.ts
@@ -1,11 +1,11 @@
 // The estimate of how long an outage lasts on (design/tenants 4.6).
 import * as outages from "../src/tenants/outage.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const BOUNDS = { leastMs: 300, mostMs: 3000 };
 
 test("an outage is expected to last as long again as it has lasted, within its bounds", async () => {
-  const clock = new sims.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const outage = new outages.Outage(clock, BOUNDS);
   const told: number[] = [];
   for (let step = 0; step < 9; step += 1) {
@@ -16,7 +16,7 @@
 });
 
 test("once what it held up works again, or after a while without it, the next one is a new one", async () => {
-  const clock = new sims.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const outage = new outages.Outage(clock, BOUNDS);
   outage.met();
   await clock.play(1500);
--- a/tests/published-membership.test.ts
+++ b/tests/published-membership.test.ts
@@ -3,7 +3,7 @@
 import * as publishedMembership from "../src/control/members/published-membership.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as world from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 import { router } from "./sim/nodes.js";
 
 const UNKNOWN = -1;
@@ -88,7 +88,7 @@
 
   test("by seed: deltas equal the snapshot after random changes and lost updates; a peer further behind than kept gets a snapshot", () => {
     for (let seed = 1; seed <= 12; seed += 1) {
-      const clock = new world.SimWorld(seed);
+      const clock = new simulatedClock.SimulatedClock(seed);
       const own = new publishedMembership.PublishedMembership("life");
       const replica = new peerMembership.PeerMembership();
       const now = new Map<string, schema.NodeInfo>();
--- a/tests/quorum-confirmation.test.ts
+++ b/tests/quorum-confirmation.test.ts
@@ -3,7 +3,7 @@
 import * as registerValue from "../src/register/register-value.js";
 import type * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 function voters(...disks: string[]): schema.Voter[] {
   return disks.map((disk) => ({ disk, node: disk, address: disk }));
@@ -19,7 +19,7 @@
 
 describe("quorum confirmation", () => {
   test("a majority of recent answers confirms; their age counts from the request, not from the answer", () => {
-    const clock = new sim.SimWorld();
+    const clock = new simulatedClock.SimulatedClock();
     clock.skip(1000);
     const confirmation = new quorumConfirmation.Confirmation(clock);
     const value = valueOf(4, voters("a", "b", "c"));
@@ -38,7 +38,7 @@
   });
 
   test("a disk that is no voter does not count, nor one without a name, nor one disk twice", () => {
-    const clock = new sim.SimWorld();
+    const clock = new simulatedClock.SimulatedClock();
     const confirmation = new quorumConfirmation.Confirmation(clock);
     const value = valueOf(4, voters("a", "b", "c"));
     for (const disk of ["a", "a", "x", "y", ""]) confirmation.recordAnswer(disk, answer(0, 4));
@@ -48,7 +48,7 @@
   });
 
   test("a joint value is confirmed by a majority of both sets", () => {
-    const clock = new sim.SimWorld();
+    const clock = new simulatedClock.SimulatedClock();
     const confirmation = new quorumConfirmation.Confirmation(clock);
     const joint = valueOf(5, voters("a", "d", "e"), voters("a", "b", "c"));
     for (const disk of ["a", "d"]) confirmation.recordAnswer(disk, answer(0, 5));
@@ -58,7 +58,7 @@
   });
 
   test("an answer that knows a newer epoch counts once the value has caught up; an earlier one counts meanwhile", () => {
-    const clock = new sim.SimWorld();
+    const clock = new simulatedClock.SimulatedClock();
     const confirmation = new quorumConfirmation.Confirmation(clock);
     const old = valueOf(4, voters("a", "b", "c"));
     confirmation.recordAnswer("a", answer(0, 4));
--- a/tests/quorum-contact-random.test.ts
+++ b/tests/quorum-contact-random.test.ts
@@ -3,7 +3,7 @@
 import * as quorumConfirmation from "../src/register/quorum-confirmation.js";
 import * as simControlNode from "./sim/sim-control-node.js";
 import * as networks from "./sim/network.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const SECONDS = 30;
 
@@ -18,7 +18,7 @@
 }
 
 async function play(seed: number, count: number, broken: simControlNode.Broken): Promise<Seen> {
-  const clock = new sim.SimWorld(seed * 7919 + 17);
+  const clock = new simulatedClock.SimulatedClock(seed * 7919 + 17);
   const network = new networks.SimNetwork(clock);
   const names = ["a", "b", "c", "d", "e"].slice(0, count);
   const nodes = names.map((name) => new simControlNode.ControlNode(network, name, { seeds: names, region: name, broken }));
--- a/tests/region-orchestrator.test.ts
+++ b/tests/region-orchestrator.test.ts
@@ -3,7 +3,7 @@
 import * as runners from "../src/emulator/runner.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 import * as watch from "./sim/watch.js";
 
 test("a runner whose report is missing counts as unresponsive", async () => {
@@ -40,7 +40,7 @@
 });
 
 test("a node of the second rank polls a region when its reports stop, and no longer when they resume", () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   let polls = 0;
   const view = {
     reportingRunners: () => {
--- a/tests/register-faults.test.ts
+++ b/tests/register-faults.test.ts
@@ -8,7 +8,7 @@
 import * as schema from "../src/wire/schema.js";
 import * as simRegister from "./sim/sim-register.js";
 import * as voterFleet from "./sim/voter-fleet.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
 const SEEDS = 30;
@@ -28,7 +28,7 @@
 }
 
 class Play {
-  private readonly clock: sim.SimWorld;
+  private readonly clock: simulatedClock.SimulatedClock;
   private readonly fleet: voterFleet.Fleet;
   private readonly acknowledged: Acknowledged[] = [];
   private lost: voterFleet.Member | null = null;
@@ -38,7 +38,7 @@
   private marks = 0;
 
   constructor(seed: number) {
-    this.clock = new sim.SimWorld(seed * 7919);
+    this.clock = new simulatedClock.SimulatedClock(seed * 7919);
     this.fleet = new voterFleet.Fleet(new simRegister.SimRegister(this.clock, ADDRESSES));
     for (let spare = 0; spare < seed % 3; spare += 1) this.fleet.join(`${"de"[spare]}:1`);
     this.fleet.made.lossShare = [0.02, 0.1, 0.3][seed % 3];
--- a/tests/register-joint.test.ts
+++ b/tests/register-joint.test.ts
@@ -9,20 +9,20 @@
 import * as acceptor from "../src/register/acceptor.js";
 import * as schema from "../src/wire/schema.js";
 import * as simRegister from "./sim/sim-register.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
 type Nodes = Record<"a" | "b" | "c" | "d" | "e", simRegister.SimNode>;
 
 interface Made {
-  clock: sim.SimWorld;
+  clock: simulatedClock.SimulatedClock;
   made: simRegister.SimRegister;
   nodes: Nodes;
 }
 
 /** Voters a, b and c hold revision 1; d and e have blank disks. */
 async function start(seed: number): Promise<Made> {
-  const clock = new sim.SimWorld(seed);
+  const clock = new simulatedClock.SimulatedClock(seed);
   const made = new simRegister.SimRegister(clock, ADDRESSES);
   const [a, b, c] = [...made.nodes.values()];
   await ended(clock, a.proposer.change(setTo(0, 1, "first"), 3000));
@@ -41,7 +41,7 @@
   return result.ok(value);
 }
 
-async function ended<T>(clock: sim.SimWorld, promise: Promise<T>): Promise<T> {
+async function ended<T>(clock: simulatedClock.SimulatedClock, promise: Promise<T>): Promise<T> {
   let isEnded = false;
   void promise.finally(() => {
     isEnded = true;
--- a/tests/register-membership.test.ts
+++ b/tests/register-membership.test.ts
@@ -9,7 +9,7 @@
 import * as simRegister from "./sim/sim-register.js";
 import * as orderHistory from "../src/register/order-history.js";
 import * as voterFleet from "./sim/voter-fleet.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
 const SPARES = ["d:1", "e:1"];
@@ -26,7 +26,7 @@
   };
 }
 
-async function ended<T>(clock: sim.SimWorld, promise: Promise<T>): Promise<T> {
+async function ended<T>(clock: simulatedClock.SimulatedClock, promise: Promise<T>): Promise<T> {
   let isEnded = false;
   void promise.finally(() => {
     isEnded = true;
@@ -38,7 +38,7 @@
 
 /** A core of three or five voters in full strength that holds revision 1, with further spares. */
 async function start(seed: number, voters: 3 | 5, spares: string[] = []): Promise<voterFleet.Fleet> {
-  const clock = new sim.SimWorld(seed * 7919);
+  const clock = new simulatedClock.SimulatedClock(seed * 7919);
   const fleet = new voterFleet.Fleet(new simRegister.SimRegister(clock, ADDRESSES));
   await change(fleet, 0, "a:1");
   if (voters === 5) for (const address of SPARES) fleet.join(address);
--- a/tests/register-replica.test.ts
+++ b/tests/register-replica.test.ts
@@ -7,7 +7,7 @@
 import * as link from "../src/wire/link.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
 const first = registerValue.initialValue(ADDRESSES);
@@ -24,7 +24,7 @@
 
 /** The core of a:1 with its first disk, on which the value given was accepted last. */
 function make(accepted: schema.Value): Made {
-  const clock = new sim.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const describe = (): schema.NodeInfo => nodeAt("a:1", "");
   const dial = new dialer.Dialer(clock, "a:1", new link.Handlers(), describe, link.LINK_TIMEOUT_MS);
   const core = new registerReplica.RegisterReplica(clock, { incarnation: "life", address: "a:1", initialValue: first }, dial);
--- a/tests/register-resend.test.ts
+++ b/tests/register-resend.test.ts
@@ -4,7 +4,7 @@
 import * as phase from "../src/register/phase.js";
 import * as acceptor from "../src/register/acceptor.js";
 import * as schema from "../src/wire/schema.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const VALUE = registerValue.initialValue(["a:1", "b:1", "c:1"]);
 const BALLOT = { n: 1, by: "one" };
@@ -34,7 +34,7 @@
 }
 
 async function play({ fates, continuesAfterQuorum = false }: Pick<PhaseCase, "fates" | "continuesAfterQuorum">): Promise<PhaseOutcome> {
-  const clock = new sim.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const sends: string[] = [];
   const votes = new phase.Votes();
   const trips = new roundTrips.RoundTrips();
@@ -127,24 +127,24 @@
   }
   ask("prepare", voter.prepare({ disk, ballot: BALLOT }));
   ask("again", voter.prepare({ disk, ballot: BALLOT }));
-  await sim.settle();
+  await simulatedClock.settle();
   expect([writes.length, replies]).toEqual([1, []]);
   writes[0](false);
-  await sim.settle();
+  await simulatedClock.settle();
   expect(replies).toEqual(["prepare silent", "again silent"]);
   ask("third", voter.prepare({ disk, ballot: BALLOT }));
-  await sim.settle();
+  await simulatedClock.settle();
   writes[1](true);
-  await sim.settle();
+  await simulatedClock.settle();
   ask("fourth", voter.prepare({ disk, ballot: BALLOT }));
-  await sim.settle();
+  await simulatedClock.settle();
   expect([writes.length, replies.slice(2)]).toEqual([2, ["third true", "fourth true"]]);
   const accept = { disk, ballot: BALLOT, isSetChosen: true, value: VALUE };
   ask("accept", voter.accept(accept));
   ask("accept again", voter.accept(accept));
-  await sim.settle();
+  await simulatedClock.settle();
   writes[2](true);
-  await sim.settle();
+  await simulatedClock.settle();
   expect([writes.length, replies.slice(4)]).toEqual([3, ["accept true", "accept again true"]]);
   expect(voter.accepted?.ballot).toEqual(BALLOT);
 });
--- a/tests/register.test.ts
+++ b/tests/register.test.ts
@@ -5,7 +5,7 @@
 import * as registerValue from "../src/register/register-value.js";
 import * as schema from "../src/wire/schema.js";
 import * as simRegister from "./sim/sim-register.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const ADDRESSES = ["a:1", "b:1", "c:1"];
 
@@ -21,7 +21,7 @@
   return result.ok(value);
 }
 
-async function done<T>(clock: sim.SimWorld, promise: Promise<T>, mostMs = 20_000): Promise<T> {
+async function done<T>(clock: simulatedClock.SimulatedClock, promise: Promise<T>, mostMs = 20_000): Promise<T> {
   let isDone = false;
   void promise.finally(function end() {
     isDone = true;
@@ -39,7 +39,7 @@
 
 /** Two racing operators and random faults; every acknowledged change must be found in the end, none twice. */
 async function playSeed(seed: number, broken: simRegister.Broken): Promise<string | null> {
-  const clock = new sim.SimWorld(seed);
+  const clock = new simulatedClock.SimulatedClock(seed);
   const made = new simRegister.SimRegister(clock, ADDRESSES, broken);
   const acked: Acked[] = [];
   const nodes = [...made.nodes.values()];
@@ -146,7 +146,7 @@
 );
 
 test("a replaced machine at a new address takes the place of the silent voter", async () => {
-  const clock = new sim.SimWorld(5);
+  const clock = new simulatedClock.SimulatedClock(5);
   const made = new simRegister.SimRegister(clock, ADDRESSES);
   const [a, b, c] = [...made.nodes.values()] as [simRegister.SimNode, simRegister.SimNode, simRegister.SimNode];
   expect((await done(clock, a.proposer.change(setTo(0, 3, "x"), 3000))).isOk).toBe(true);
@@ -174,7 +174,7 @@
 }
 
 test("a node without a majority never acknowledges and never rejects", async () => {
-  const clock = new sim.SimWorld(9);
+  const clock = new simulatedClock.SimulatedClock(9);
   const made = new simRegister.SimRegister(clock, ADDRESSES);
   const [a, b, c] = [...made.nodes.values()] as [simRegister.SimNode, simRegister.SimNode, simRegister.SimNode];
   b.isUp = c.isUp = false;
@@ -183,7 +183,7 @@
 });
 
 test("a wiped voter does not count with a ballot prepared before the wipe", async () => {
-  const clock = new sim.SimWorld(3);
+  const clock = new simulatedClock.SimulatedClock(3);
   const made = new simRegister.SimRegister(clock, ADDRESSES);
   const a = made.nodes.get("a:1")!;
   const before = a.voter!.disk;
@@ -194,7 +194,7 @@
 });
 
 test("a core of five grows from three voters, tolerates the loss of two, and takes changes with three", async () => {
-  const clock = new sim.SimWorld(11);
+  const clock = new simulatedClock.SimulatedClock(11);
   const made = new simRegister.SimRegister(clock, ADDRESSES);
   const a = made.nodes.get("a:1")!;
   expect((await done(clock, a.proposer.change(setTo(0, 2, "x"), 3000))).isOk).toBe(true);
@@ -216,7 +216,7 @@
 });
 
 test("a suspended voter that resumes rejects old ballots and accepts new ones", async () => {
-  const clock = new sim.SimWorld(13);
+  const clock = new simulatedClock.SimulatedClock(13);
   const made = new simRegister.SimRegister(clock, ADDRESSES);
   const [a, b, c] = [...made.nodes.values()] as [simRegister.SimNode, simRegister.SimNode, simRegister.SimNode];
   c.isFrozen = true;
--- a/tests/release.test.ts
+++ b/tests/release.test.ts
@@ -6,7 +6,7 @@
 import * as link from "../src/wire/link.js";
 import * as release from "../src/wire/release.js";
 import * as schema from "../src/wire/schema.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 /** What the frames of each release look like, by digest. A line that stands is not changed: a new release gets a new line. */
 const LAYOUTS = new Map<number, string>([
@@ -77,8 +77,8 @@
 
 const servers: net.Server[] = [];
 const sockets: net.Socket[] = [];
-let clock: sim.SimWorld;
-beforeEach(() => (clock = new sim.SimWorld()));
+let clock: simulatedClock.SimulatedClock;
+beforeEach(() => (clock = new simulatedClock.SimulatedClock()));
 afterEach(() => {
   for (const server of servers.splice(0)) server.close();
   for (const socket of sockets.splice(0)) socket.destroy();
--- a/tests/reset-at-end.test.ts
+++ b/tests/reset-at-end.test.ts
@@ -1,7 +1,7 @@
 // The end of a body that ends with its connection (design/hardening/5-callers 5.6).
 import * as routerEdge from "./sim/router-edge.js";
 import * as rawRunner from "./sim/raw-runner.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 let edge: routerEdge.Edge<rawRunner.RawRunner> | null = null;
 afterEach(() => edge?.stop());
@@ -11,7 +11,7 @@
   const answer: rawRunner.Answer = { ...rawRunner.FINE, framing: "until_close" };
   const head = rawRunner.answerBytes("i-1", "q1", answer).indexOf("\r\n\r\n") + 4;
   const runner = new rawRunner.RawRunner("i-1", [{ answer, part: "answer", byte: head + 5, fault: "reset" }]);
-  edge = await routerEdge.Edge.over(new sims.SimWorld(), [runner]);
+  edge = await routerEdge.Edge.over(new simulatedClock.SimulatedClock(), [runner]);
   const read = rawRunner.readAnswer(
     await edge.send("POST /once/x HTTP/1.1\r\nHost: h\r\nX-Cranewind-Request-Id: q1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"),
   );
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -13,7 +13,7 @@
 import * as types from "../src/wire/types.js";
 import * as leaseSchema from "../src/wire/lease-schema.js";
 import * as schema from "../src/wire/schema.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 test("only complete events are forwarded, whatever the chunks", () => {
   const text = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\nid: 3\ndata: c";
@@ -54,7 +54,7 @@
 ];
 
 test("leases expire counted from their request: a partitioned or new router sends nothing to runners that warm up and retries only within its own share", async function expired() {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const share = new leasedLimits.LeasedLimits(clock, BOUNDS);
   expect([share.takeWarmUpSend("i-1", 9.8), share.takeRetry("s"), share.canRetry("s")]).toEqual([false, false, false]);
   share.grant({ life: "o", isGranting: true, grants: GRANTS }, -800);
@@ -84,7 +84,7 @@
 });
 
 test("a returned retry can be taken again and is reported as unused; after the end of its lease it is lost", async () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const share = new leasedLimits.LeasedLimits(clock, BOUNDS);
   share.grant({ life: "o", isGranting: true, grants: GRANTS.slice(0, 1) }, 0);
   share.takeRetry("s");
@@ -100,7 +100,7 @@
 });
 
 test("a zone is drained in steps well within the bound and comes back in steps", async () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const rotation = new zoneRotation.ZoneRotation(clock);
   const seen: number[] = [];
   rotation.applyEvacuations(["z"], false);
@@ -119,7 +119,7 @@
 });
 
 test("a restarted router sends nothing to an evacuated zone from the start", () => {
-  const rotation = new zoneRotation.ZoneRotation(new sim.SimWorld(1));
+  const rotation = new zoneRotation.ZoneRotation(new simulatedClock.SimulatedClock(1));
   rotation.applyEvacuations(["z"], true);
   expect(rotation.percentOf("z")).toBe(0);
 });
@@ -139,7 +139,7 @@
 }
 
 test("a runner never returns from draining or gone, however old the next membership is", () => {
-  const fleet = new runnerFleet.RunnerFleet(new sim.SimWorld(1), new Map([["z", "r"]]));
+  const fleet = new runnerFleet.RunnerFleet(new simulatedClock.SimulatedClock(1), new Map([["z", "r"]]));
   fleet.applySnapshot([instance("i-1"), instance("i-2")]);
   fleet.applySnapshot([instance("i-1", { isDraining: true })]);
   fleet.applySnapshot([instance("i-1"), instance("i-2")]);
@@ -147,7 +147,7 @@
 });
 
 test("changes of the membership take effect at once; runners of other services stay as they are", async () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
   const seen = (): string[] => fleet.ofService("s").map((runner) => `${runner.id} ${runner.status}`);
   fleet.applyChanges([instance("i-1"), instance("i-2"), instance("i-3")], []);
@@ -167,7 +167,7 @@
 });
 
 test("a runner that was removed twice does not come back", async () => {
-  const clock = new sim.SimWorld(1);
+  const clock = new simulatedClock.SimulatedClock(1);
   const fleet = new runnerFleet.RunnerFleet(clock, new Map([["z", "r"]]));
   fleet.applyChanges([instance("i-1")], []);
   fleet.applyChanges([], ["i-1"]);
@@ -180,7 +180,7 @@
 
 test("a cell past its threshold is used last; after a long absence it comes back by steps, after a short one at once", () => {
   const fleet = new runnerFleet.RunnerFleet(
-    new sim.SimWorld(1),
+    new simulatedClock.SimulatedClock(1),
     new Map([
       ["a", "a"],
       ["b", "b"],
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -15,7 +15,7 @@
 import * as types from "../src/wire/types.js";
 import * as routerEdge from "./sim/router-edge.js";
 import * as rawBytes from "./sim/raw-bytes.js";
-import * as sims from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const CONFIG = configurationCheck
   .check({
@@ -39,14 +39,14 @@
   isComplete: boolean;
 }
 
-let clock: sims.SkewedWorld;
+let clock: simulatedClock.SkewedClock;
 let runners: runner.StandInRunner[];
 let server: routerServer.RouterServer;
 let share: leasedLimits.LeasedLimits;
 let port = 0;
 
 beforeEach(async function start() {
-  clock = new sims.SkewedWorld();
+  clock = new simulatedClock.SkewedClock();
   const fleet = new runnerFleet.RunnerFleet(
     clock,
     new Map([
--- a/tests/second-loss.test.ts
+++ b/tests/second-loss.test.ts
@@ -6,7 +6,7 @@
 import * as registerValue from "../src/register/register-value.js";
 import * as simRegister from "./sim/sim-register.js";
 import * as voterFleet from "./sim/voter-fleet.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 /** MEMBERSHIP_SEEDS plays more of them; the page has the figures of 1,000. */
 const SEEDS = Number(process.env["MEMBERSHIP_SEEDS"] ?? 24);
@@ -31,7 +31,7 @@
   return isDone;
 }
 
-async function five(clock: sim.SimWorld): Promise<voterFleet.Fleet> {
+async function five(clock: simulatedClock.SimulatedClock): Promise<voterFleet.Fleet> {
   const fleet = new voterFleet.Fleet(new simRegister.SimRegister(clock, ["a:1", "b:1", "c:1"]));
   await change(fleet, 1, "a:1");
   for (const address of ["d:1", "e:1"]) fleet.join(address);
@@ -57,7 +57,7 @@
 test(`two of five disks are lost around a replacement, all else goes dark: ${SEEDS} seeds`, async () => {
   const took: number[] = [];
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const clock = new sim.SimWorld(seed * 7919);
+    const clock = new simulatedClock.SimulatedClock(seed * 7919);
     const fleet = await five(clock);
     fleet.at("c:1").node.isUp = false;
     await clock.play(voterPolicy.MAX_SILENT_MS + 2000);
--- a/tests/shrink-guard.test.ts
+++ b/tests/shrink-guard.test.ts
@@ -1,7 +1,7 @@
 // A view of the routers that shrinks by much at once is held back (design/members 5); the directory prefers confirmed routers (design 4.3).
 import * as shrinkGuard from "../src/control/members/shrink-guard.js";
 import * as directory from "../src/control/directory/directory.js";
-import * as world from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 import { router } from "./sim/nodes.js";
 
 interface Loss {
@@ -27,7 +27,7 @@
   test.each(LOSSES)(
     "a view that lost $description keeps the lost routers for a moment if they are many",
     async ({ known, lost, draining, kept }) => {
-      const clock = new world.SimWorld(1);
+      const clock = new simulatedClock.SimulatedClock(1);
       const guard = new shrinkGuard.ShrinkGuard(clock);
       const all = Array.from({ length: known }, (_item, index) => router(`r${index}`));
       const isDraining = (incarnation: string): boolean => all.slice(0, draining).some((node) => node.life === incarnation);
@@ -44,7 +44,7 @@
   );
 
   test("losses spread over more than a second are not held back; the hold ends when the lost routers return", async () => {
-    const clock = new world.SimWorld(1);
+    const clock = new simulatedClock.SimulatedClock(1);
     const guard = new shrinkGuard.ShrinkGuard(clock);
     const all = Array.from({ length: 9 }, (_item, index) => router(`r${index}`));
     for (let lost = 0; lost <= 6; lost += 1) {
--- a/tests/sim/caller-cases.ts
+++ b/tests/sim/caller-cases.ts
@@ -4,7 +4,7 @@
 import * as fc from "fast-check";
 import * as routerEdge from "./router-edge.js";
 import * as rawRunner from "./raw-runner.js";
-import * as sims from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 /** Of the routes that are asked here. */
 export const DEADLINE_MS = 1500;
@@ -70,7 +70,7 @@
 /** Where a history is played. */
 export interface Place {
   runner(id: string): rawRunner.RawRunner;
-  edge(clock: sims.SimWorld, runners: rawRunner.RawRunner[]): Promise<routerEdge.Edge<rawRunner.RawRunner>>;
+  edge(clock: simulatedClock.SimulatedClock, runners: rawRunner.RawRunner[]): Promise<routerEdge.Edge<rawRunner.RawRunner>>;
 }
 
 /** Sockets of the kernel, on loopback. */
@@ -95,12 +95,12 @@
 }
 
 /** The client's answer; time passes only while a runner is silent. */
-export async function ask(clock: sims.SimWorld, edge: routerEdge.Edge<rawRunner.RawRunner>, text: string): Promise<string> {
+export async function ask(clock: simulatedClock.SimulatedClock, edge: routerEdge.Edge<rawRunner.RawRunner>, text: string): Promise<string> {
   let got: string | null = null;
   void edge.send(text).then((reply) => (got = reply));
   for (let turn = 0; got === null; turn += 1) {
     if (turn > MAX_TURNS) throw new Error("the client got no reply");
-    await sims.settle();
+    await simulatedClock.settle();
     if (edge.runners.some((runner) => runner.isSilent)) await clock.play(DEADLINE_MS);
   }
   return got;
@@ -166,7 +166,7 @@
 
 /** Plays one history, and throws if anything is wrong with it. */
 export async function play(of: Case, place: Place = LOOPBACK): Promise<void> {
-  const clock = new sims.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const runners = ["i-1", "i-2"].map((id) => place.runner(id));
   const edge = await place.edge(clock, runners);
   try {
--- a/tests/sim/change-day.ts
+++ b/tests/sim/change-day.ts
@@ -8,7 +8,7 @@
 import * as simulatedNodes from "./simulated-nodes.js";
 import * as networks from "./network.js";
 import * as operators from "./operators.js";
-import * as sim from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 const NAMES = ["a", "b", "c", "d", "e"];
 const DOWN_MS = 400;
@@ -65,7 +65,7 @@
 }
 
 export interface Day {
-  clock: sim.SimWorld;
+  clock: simulatedClock.SimulatedClock;
   network: networks.SimNetwork;
   nodes: durableNode.DurableNode[];
   router: FollowingRouter;
@@ -82,7 +82,7 @@
 }
 
 export async function begin(seed: number, size: Size): Promise<Day> {
-  const clock = new sim.SimWorld(seed);
+  const clock = new simulatedClock.SimulatedClock(seed);
   const network = new networks.SimNetwork(clock);
   const controls = NAMES.slice(0, size.nodes);
   const nodes = controls.map((name) => new durableNode.DurableNode(network, name, controls));
--- a/tests/sim/feed-links.ts
+++ b/tests/sim/feed-links.ts
@@ -10,7 +10,7 @@
 import * as link from "../../src/wire/link.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import type * as sims from "./world.js";
+import type * as simulatedClock from "./simulated-clock.js";
 
 export const LIST = "list:a";
 
@@ -36,7 +36,7 @@
   readonly frames: Frame[] = [];
 
   constructor(
-    private readonly clock: sims.SimWorld,
+    private readonly clock: simulatedClock.SimulatedClock,
     private readonly delayMs: number,
     private readonly deliver: (name: string, ask: unknown) => void,
   ) {
@@ -78,7 +78,7 @@
   topics: string[] = [LIST];
 
   constructor(
-    readonly clock: sims.SimWorld,
+    readonly clock: simulatedClock.SimulatedClock,
     region = "a",
   ) {
     super();
--- a/tests/sim/key-lease-days.ts
+++ b/tests/sim/key-lease-days.ts
@@ -1,7 +1,7 @@
 // Random days of words and changes for the lease on keys. Played by the tests and by `npm run model`.
 import * as keyLease from "../../src/tenants/key-lease.js";
 import * as types from "../../src/wire/types.js";
-import * as sim from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 export const STRICT: keyLease.RevocationBounds = { revocation_strict: true, revoke_delay_ms: 5000 };
 const CONFIRMED_MS = 1200;
@@ -15,7 +15,7 @@
  * what was newest when its confirmation began, or anything newer. Returns by how long the bound was passed, in ms.
  */
 export function worst(seed: number, countsFromReply: boolean): number {
-  const clock = new sim.SimWorld(seed * 7919 + 3);
+  const clock = new simulatedClock.SimulatedClock(seed * 7919 + 3);
   for (let turn = 0; turn < 9; turn += 1) clock.random();
   const lease = new keyLease.KeyLease(clock, STRICT);
   const ackedAt = [0];
--- a/tests/sim/lease-guards.ts
+++ b/tests/sim/lease-guards.ts
@@ -2,14 +2,14 @@
 import * as leaseOwner from "../../src/limits/lease-owner.js";
 import type * as limitShares from "../../src/limits/limit-shares.js";
 import * as slotOwnership from "../../src/limits/slot-ownership.js";
-import * as world from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 /** A guard that a test may break on purpose, to see the checker fail. */
 export type Broken = "none" | "full_bucket" | "no_fence" | "unreported_comes_back";
 
 export class SimTenure extends slotOwnership.SlotOwnership {
   constructor(
-    clock: world.SimWorld,
+    clock: simulatedClock.SimulatedClock,
     private readonly broken: Broken,
   ) {
     super(clock);
@@ -21,7 +21,7 @@
 
 export class SimOwner extends leaseOwner.LeaseOwner {
   constructor(
-    clock: world.SimWorld,
+    clock: simulatedClock.SimulatedClock,
     life: string,
     bounds: limitShares.Bounds,
     tenure: slotOwnership.SlotOwnership,
--- a/tests/sim/load.ts
+++ b/tests/sim/load.ts
@@ -8,7 +8,7 @@
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import * as feedLinks from "./feed-links.js";
-import * as sims from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 export const PERIOD_MS = 600;
 export const HEAD_BYTES = 10;
@@ -27,7 +27,7 @@
   reports: schema.Report[] = [];
 
   constructor(
-    private readonly clock: sims.SimWorld,
+    private readonly clock: simulatedClock.SimulatedClock,
     readonly name: string,
     count: number,
     private readonly capacity: number,
@@ -53,7 +53,7 @@
 
 /** One control node that reads all regions, and routers that follow it. */
 export class System {
-  readonly clock = new sims.SimWorld(11);
+  readonly clock = new simulatedClock.SimulatedClock(11);
   readonly feed = new feedPublisher.FeedPublisher("place");
   readonly publisher = new loadPublisher.LoadPublisher(this.clock, this.feed);
   readonly regions: Region[];
--- a/tests/sim/network.ts
+++ b/tests/sim/network.ts
@@ -4,7 +4,7 @@
 import type * as net from "node:net";
 import * as link from "../../src/wire/link.js";
 import type * as types from "../../src/wire/types.js";
-import type * as sim from "./world.js";
+import type * as simulatedClock from "./simulated-clock.js";
 
 const DELAY_MS = 5;
 const POLL_MS = 10;
@@ -20,7 +20,7 @@
   losesDials = false;
   private readonly listening = new Map<string, link.Handlers>();
 
-  constructor(readonly clock: sim.SimWorld) {}
+  constructor(readonly clock: simulatedClock.SimulatedClock) {}
 
   listen(name: string, handlers: link.Handlers): void {
     this.listening.set(name, handlers);
--- a/tests/sim/operators.ts
+++ b/tests/sim/operators.ts
@@ -8,7 +8,7 @@
 import type * as schema from "../../src/wire/schema.js";
 import * as result from "true-myth/result";
 import type * as simRegister from "./sim-register.js";
-import type * as sim from "./world.js";
+import type * as simulatedClock from "./simulated-clock.js";
 
 export const ZONES = ["north", "south", "east", "west"];
 /** A caller without an answer retries at another node after this time. */
@@ -56,7 +56,7 @@
 /** The register of a control node as the operators' API uses it. */
 class NodeRegister implements operatorApi.OrderRegister {
   private readonly queue: stepQueue.StepQueue;
-  constructor(clock: sim.SimWorld, proposer: proposer.Proposer) {
+  constructor(clock: simulatedClock.SimulatedClock, proposer: proposer.Proposer) {
     this.queue = new stepQueue.StepQueue(clock, proposer.change.bind(proposer));
   }
   submitOrder(step: registerStep.Step, timeoutMs: number): Promise<registerStep.Outcome> {
--- a/tests/sim/order-load.ts
+++ b/tests/sim/order-load.ts
@@ -4,7 +4,7 @@
 import * as simControlNode from "./sim-control-node.js";
 import * as networks from "./network.js";
 import * as quantile from "./quantile.js";
-import * as sim from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 const NAMES = ["a", "b", "c", "d", "e"];
 const SETTLE_MS = 4000;
@@ -38,13 +38,13 @@
 }
 
 interface Stage {
-  clock: sim.SimWorld;
+  clock: simulatedClock.SimulatedClock;
   network: networks.SimNetwork;
   nodes: Map<string, simControlNode.ControlNode>;
 }
 
 async function start({ seed, syncMs }: Load): Promise<Stage> {
-  const clock = new sim.SimWorld(seed);
+  const clock = new simulatedClock.SimulatedClock(seed);
   const network = new networks.SimNetwork(clock);
   const nodes = new Map<string, simControlNode.ControlNode>();
   for (const name of NAMES) {
--- a/tests/sim/pace.ts
+++ b/tests/sim/pace.ts
@@ -6,7 +6,7 @@
 import type * as schema from "../../src/wire/schema.js";
 import * as simRegister from "./sim-register.js";
 import * as quantile from "./quantile.js";
-import * as sim from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 /** As operators' calls: longer, and the answer is no clear one. */
 const CALL_MS = 2600;
@@ -38,13 +38,13 @@
 }
 
 interface Callers {
-  clock: sim.SimWorld;
+  clock: simulatedClock.SimulatedClock;
   /** The change that each caller's orders go to. */
   changeOf(caller: number): Change;
 }
 
 function callersOf(setting: Setting): Callers {
-  const clock = new sim.SimWorld(setting.seed);
+  const clock = new simulatedClock.SimulatedClock(setting.seed);
   const addresses = Array.from({ length: setting.nodes }, (_, index) => `n${index}:1`);
   const core = new simRegister.SimRegister(clock, addresses);
   core.diskFactor = setting.diskFactor;
--- a/tests/sim/sim-register.ts
+++ b/tests/sim/sim-register.ts
@@ -4,7 +4,7 @@
 import * as registerValue from "../../src/register/register-value.js";
 import * as acceptor from "../../src/register/acceptor.js";
 import * as schema from "../../src/wire/schema.js";
-import * as world from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 /** A guard that a test may break on purpose, to see the checker fail. */
 export type Broken = "none" | "forget_promise" | "wipe_keeps_identity" | "any_quorum";
@@ -89,7 +89,7 @@
   readonly first: schema.Value;
 
   constructor(
-    readonly clock: world.SimWorld,
+    readonly clock: simulatedClock.SimulatedClock,
     addresses: string[],
     readonly broken: Broken = "none",
   ) {
--- a/tests/sim/world.ts
+++ b/tests/sim/simulated-clock.ts
@@ -1,18 +1,18 @@
-// A world whose clock, chance and ticks a test decides.
+/** A clock with timers and seeded random numbers that a test advances by hand. */
 import * as types from "../../src/wire/types.js";
 import * as timers from "../../src/runtime/timers.js";
 
-interface Planned {
+interface ScheduledEvent {
   at: number;
   order: number;
   run: () => void;
   isStopped: boolean;
 }
 
-export class SimWorld implements types.Clock {
-  private clock = 0;
+export class SimulatedClock implements types.Clock {
+  private currentMs = 0;
   private order = 0;
-  private planned: Planned[] = [];
+  private planned: ScheduledEvent[] = [];
   private seed: number;
 
   constructor(seed = 1) {
@@ -20,7 +20,7 @@
   }
 
   now(): types.SteadyMs {
-    return types.small(this.clock);
+    return types.small(this.currentMs);
   }
 
   random(): number {
@@ -33,7 +33,7 @@
   }
 
   schedule(ms: number, run: () => void): types.Timer {
-    const item: Planned = { at: this.clock + Math.max(0, ms), order: (this.order += 1), run, isStopped: false };
+    const item: ScheduledEvent = { at: this.currentMs + Math.max(0, ms), order: (this.order += 1), run, isStopped: false };
     this.planned.push(item);
     return {
       stop(): void {
@@ -43,12 +43,12 @@
   }
 
   skip(ms: number): void {
-    this.clock += ms;
+    this.currentMs += ms;
   }
 
   /** Plays what is planned up to `ms` from now; promises settle between the ticks. */
   async play(ms: number): Promise<void> {
-    const until = this.clock + ms;
+    const until = this.currentMs + ms;
     for (;;) {
       await settle();
       this.planned = this.planned.filter(isOpen);
@@ -56,18 +56,18 @@
       const next = this.planned[0];
       if (!next || next.at > until) break;
       this.planned.shift();
-      this.clock = Math.max(this.clock, next.at);
+      this.currentMs = Math.max(this.currentMs, next.at);
       next.run();
     }
-    this.clock = until;
+    this.currentMs = until;
   }
 }
 
-function isOpen(item: Planned): boolean {
+function isOpen(item: ScheduledEvent): boolean {
   return !item.isStopped;
 }
 
-function byTime(left: Planned, right: Planned): number {
+function byTime(left: ScheduledEvent, right: ScheduledEvent): number {
   return left.at - right.at || left.order - right.order;
 }
 
@@ -78,7 +78,7 @@
 }
 
 /** The real clock, set ahead by hand. */
-export class SkewedWorld extends timers.SystemClock {
+export class SkewedClock extends timers.SystemClock {
   aheadMs = 0;
   override now(): types.SteadyMs {
     return types.small(super.now() + this.aheadMs);
--- a/tests/sim/simulated-nodes.ts
+++ b/tests/sim/simulated-nodes.ts
@@ -8,7 +8,7 @@
 import * as link from "../../src/wire/link.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as sim from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 const DELAY_MS = 5;
 
@@ -17,7 +17,7 @@
   readonly writableLength = 0;
   other: SimSocket | null = null;
   isCut = false;
-  constructor(private readonly clock: sim.SimWorld) {
+  constructor(private readonly clock: simulatedClock.SimulatedClock) {
     super();
   }
   setNoDelay(): void {}
@@ -156,7 +156,7 @@
   lossPart = 0;
   /** Addresses where nobody even refuses. */
   readonly holes = new Set<string>();
-  constructor(readonly clock: sim.SimWorld) {}
+  constructor(readonly clock: simulatedClock.SimulatedClock) {}
 
   losesNews(): boolean {
     return this.lossPart > 0 && this.clock.random() < this.lossPart;
--- a/tests/sim/system.ts
+++ b/tests/sim/system.ts
@@ -3,10 +3,10 @@
 import * as simControlNode from "./sim-control-node.js";
 import * as networks from "./network.js";
 import * as routerNode from "./router-node.js";
-import * as sim from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 export interface System {
-  clock: sim.SimWorld;
+  clock: simulatedClock.SimulatedClock;
   network: networks.SimNetwork;
   controls: Map<string, simControlNode.ControlNode>;
   routers: routerNode.RouterNode[];
@@ -19,7 +19,7 @@
   options: { seed?: number; names?: string[]; broken?: simControlNode.Broken; withRouters?: boolean; cut?: [string[], string[]] } = {},
 ): Promise<System> {
   const { seed = 7, names = NAMES, broken = "none", withRouters = true } = options;
-  const clock = new sim.SimWorld(seed);
+  const clock = new simulatedClock.SimulatedClock(seed);
   const network = new networks.SimNetwork(clock);
   if (options.cut) network.cut(...options.cut);
   const controls = new Map<string, simControlNode.ControlNode>();
--- a/tests/sim/voters.ts
+++ b/tests/sim/voters.ts
@@ -4,7 +4,7 @@
 import type * as slotOwnership from "../../src/limits/slot-ownership.js";
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
-import * as world from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 /** A control node: a disk with the newest accepted voter epoch, and a process that may end. */
 export abstract class VoterNode<Tenure extends slotOwnership.SlotOwnership = slotOwnership.SlotOwnership> {
@@ -42,7 +42,7 @@
 
 export abstract class VoterSim<Node extends VoterNode> {
   lives = 0;
-  readonly clock: world.SimWorld;
+  readonly clock: simulatedClock.SimulatedClock;
   readonly nodes: Node[] = [];
   readonly cuts = new Set<string>();
   /** Disks whose nodes reach routers, and no other node. */
@@ -52,7 +52,7 @@
   readonly delayMs = { least: 5, most: 120 };
 
   constructor(seed: number, disks: number, voters: number) {
-    this.clock = new world.SimWorld(seed * 7919 + 17);
+    this.clock = new simulatedClock.SimulatedClock(seed * 7919 + 17);
     for (let turn = 0; turn < 9; turn += 1) this.clock.random();
     const names = Array.from({ length: disks }, (_item, index) => `d${index}`);
     this.value = { ...registerValue.initialValue([]), voters: names.slice(0, voters).map((disk) => ({ disk, node: disk, address: disk })) };
--- a/tests/sim/watch.ts
+++ b/tests/sim/watch.ts
@@ -4,7 +4,7 @@
 import * as platforms from "../../src/emulator/platform.js";
 import * as schema from "../../src/wire/schema.js";
 import * as timers from "../../src/runtime/timers.js";
-import * as sim from "./world.js";
+import * as simulatedClock from "./simulated-clock.js";
 
 export interface Told {
   pair: { name: string };
@@ -44,9 +44,9 @@
   while (!isSo()) await new Promise(setImmediate);
 }
 
-export class MixedWorld extends sim.SimWorld {
+export class MixedWorld extends simulatedClock.SimulatedClock {
   private readonly real = new timers.SystemClock();
-  override schedule(ms: number, run: () => void): ReturnType<sim.SimWorld["schedule"]> {
+  override schedule(ms: number, run: () => void): ReturnType<simulatedClock.SimulatedClock["schedule"]> {
     return this.real.schedule(Math.min(ms, 400), run);
   }
 }
--- a/tests/slot-record.test.ts
+++ b/tests/slot-record.test.ts
@@ -8,7 +8,7 @@
 import * as quotaTenure from "../src/tenants/quota-tenure.js";
 import type * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
-import * as world from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const RECORD: slotRecord.SlotRecord = { disk: "d1", epoch: 3, slot: 1, slots: 5 };
 let folder: string;
@@ -52,7 +52,7 @@
 
 /** How long after its start a node that knows this value at once opens its slot, in ms; -1: it has none. */
 function openDelayMs(value: schema.Value, record: slotRecord.SlotRecord | null): number {
-  const clock = new world.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   clock.skip(10_000);
   const tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: 4000, maxLeaseMs: 300 });
   tenure.applyValue(value, "d1");
@@ -73,7 +73,7 @@
 });
 
 test("after another number of voters the former slot counts until whoever left has stopped", () => {
-  const clock = new world.SimWorld();
+  const clock = new simulatedClock.SimulatedClock();
   const tenure = new quotaTenure.QuotaTenure(clock, { fenceMs: 4000, maxLeaseMs: 300 });
   tenure.applyValue(valueOf(4, ["d1", "d2", "d3", "d4"]), "d1");
   tenure.restore("d1", types.small(3), RECORD);
--- a/tests/step-queue.test.ts
+++ b/tests/step-queue.test.ts
@@ -5,7 +5,7 @@
 import * as registerValue from "../src/register/register-value.js";
 import * as errors from "../src/runtime/errors.js";
 import * as schema from "../src/wire/schema.js";
-import * as sim from "./sim/world.js";
+import * as simulatedClock from "./sim/simulated-clock.js";
 
 const FIRST = registerValue.initialValue(["a:1", "b:1", "c:1"]);
 
@@ -28,8 +28,8 @@
   }
 }
 
-function setUp(): { clock: sim.SimWorld; proposer: ProposerStub; queue: stepQueue.StepQueue } {
-  const clock = new sim.SimWorld(1);
+function setUp(): { clock: simulatedClock.SimulatedClock; proposer: ProposerStub; queue: stepQueue.StepQueue } {
+  const clock = new simulatedClock.SimulatedClock(1);
   const proposer = new ProposerStub();
   return { clock, proposer, queue: new stepQueue.StepQueue(clock, proposer.propose.bind(proposer)) };
 }
@@ -60,14 +60,14 @@
   test("all pending steps go in one change; each has its own outcome once that is chosen, a rejection too", async () => {
     const { proposer, queue } = setUp();
     const all = [startEvacuationOnce("a"), startEvacuationOnce("a"), startEvacuation("b")].map((step) => observe(queue.change(step, 1000)));
-    await sim.settle();
+    await simulatedClock.settle();
     expect(proposer.steps).toHaveLength(1);
     const chosen = proposer.runBallot(FIRST);
     expect(chosen.evacuations).toEqual(["a", "b"]);
-    await sim.settle();
+    await simulatedClock.settle();
     expect(all.map((item) => item.outcome)).toEqual(["pending", "pending", "pending"]);
     proposer.end(result.ok(chosen));
-    await sim.settle();
+    await simulatedClock.settle();
     expect(all.map((item) => item.outcome)).toEqual(["a,b", "race", "a,b"]);
   });
 
@@ -79,7 +79,7 @@
     const late = observe(queue.change(startEvacuation("b"), 1000));
     const chosen = proposer.runBallot(FIRST);
     proposer.end(result.ok(chosen));
-    await sim.settle();
+    await simulatedClock.settle();
     expect([rejected.outcome, late.outcome]).toEqual(["a,b", "a,b"]);
     expect(proposer.steps).toHaveLength(1);
   });
@@ -90,11 +90,11 @@
     const chosen = proposer.runBallot(FIRST);
     const late = observe(queue.change(startEvacuation("b"), 1000));
     proposer.end(result.ok(chosen));
-    await sim.settle();
+    await simulatedClock.settle();
     expect([first.outcome, late.outcome]).toEqual(["a", "pending"]);
     expect(proposer.steps).toHaveLength(2);
     proposer.end(result.ok(proposer.runBallot(chosen)));
-    await sim.settle();
+    await simulatedClock.settle();
     expect(late.outcome).toBe("a,b");
   });
 
@@ -107,7 +107,7 @@
     );
     const other = observe(queue.change(startEvacuation("a"), 1000));
     proposer.end(result.ok(proposer.runBallot(FIRST)));
-    await sim.settle();
+    await simulatedClock.settle();
     expect([broken.outcome, other.outcome]).toEqual(["threw broken", "a"]);
   });
 
@@ -123,7 +123,7 @@
     await clock.play(1500);
     expect(long.outcome).toBe("no_majority");
     proposer.end(result.err(new errors.NoQuorumError("none", "again")));
-    await sim.settle();
+    await simulatedClock.settle();
     expect([late.outcome, proposer.steps.length]).toEqual(["pending", 2]);
   });
 
@@ -134,12 +134,12 @@
     const first = proposer.runBallot(FIRST);
     expect([first.evacuations, first.former]).toEqual([["a"], []]);
     proposer.end(result.ok(first));
-    await sim.settle();
+    await simulatedClock.settle();
     expect(all.map((item) => item.outcome)).toEqual(["a", "pending", "pending"]);
     const second = proposer.runBallot(first);
     expect([second.evacuations, second.voters.length, second.former.length]).toEqual([["a"], 2, 3]);
     proposer.end(result.ok(second));
-    await sim.settle();
+    await simulatedClock.settle();
     expect(all.map((item) => item.outcome)).toEqual(["a", "a", "pending"]);
     expect(proposer.runBallot(second).evacuations).toEqual(["a", "b"]);
   });
@@ -147,14 +147,14 @@
   test("a change waits for other proposers, but not while an urgent step is pending", async () => {
     const { proposer, queue } = setUp();
     void queue.change(startEvacuation("a"), 1000);
-    await sim.settle();
+    await simulatedClock.settle();
     expect(proposer.isPatient()).toBe(true);
     void queue.change(startEvacuation("b"), 1000, true);
     expect(proposer.isPatient()).toBe(false);
     proposer.end(result.ok(proposer.runBallot(FIRST)));
-    await sim.settle();
+    await simulatedClock.settle();
     void queue.change(startEvacuation("c"), 1000);
-    await sim.settle();
+    await simulatedClock.settle();
     expect(proposer.isPatient()).toBe(true);
   });
 });
