--- a/src/whatif/batch-day.ts
+++ b/src/whatif/batch-day.ts
@@ -13,7 +13,7 @@
 import type * as schema from "../wire/batch-schema.js";
 import * as batchCells from "./batch-cells.js";
 import type * as batchScenario from "./batch-scenario.js";
-import * as worlds from "./world.js";
+import * as plannedClock from "./planned-clock.js";
 
 const SECOND_MS = 1000;
 const REPORT_MS = 600;
@@ -39,7 +39,7 @@
 
 /** One day; to be played once. The same scenario and seed give the same records. */
 export class BatchDay {
-  private readonly world: worlds.PlannedWorld;
+  private readonly clock: plannedClock.PlannedClock;
   private readonly forecast: loads.LoadForecast;
   private readonly cells: batchCells.ModelCell[];
   private readonly atWork = new Map<string, worklist.AtWork>();
@@ -49,10 +49,10 @@
   private table: schema.BatchTable = { ...tables.EMPTY, owner: LIFE, term: 1 };
   private changedAt = 0;
   constructor(private readonly scenario: batchScenario.BatchScenario) {
-    this.world = new worlds.PlannedWorld(scenario.seed);
-    this.forecast = new loads.LoadForecast(this.world);
-    this.cells = scenario.batch_regions.map((region) => new batchCells.ModelCell(region, scenario, this.world));
-    this.worklist = new worklist.Worklist(this.world, {
+    this.clock = new plannedClock.PlannedClock(scenario.seed);
+    this.forecast = new loads.LoadForecast(this.clock);
+    this.cells = scenario.batch_regions.map((region) => new batchCells.ModelCell(region, scenario, this.clock));
+    this.worklist = new worklist.Worklist(this.clock, {
       serviceOf: () => SERVICE,
       roomsOf: (batch) => this.rooms(batch.homes),
       unreadOf: () => 0,
@@ -74,8 +74,8 @@
   /** Plays the learning days, then every submission to the end of its batch. */
   async play(): Promise<BatchRecord[]> {
     const learningMs = this.scenario.learning_days * loads.DAY_MS;
-    this.world.schedule(0, () => this.second(0));
-    this.world.schedule(0, () => this.report());
+    this.clock.schedule(0, () => this.second(0));
+    this.clock.schedule(0, () => this.report());
     const planned: { atMs: number; kind: batchScenario.BatchScenario["batches"][number] }[] = [];
     for (const kind of this.scenario.batches) {
       for (let turn = 0; turn < kind.times; turn += 1)
@@ -84,10 +84,10 @@
     planned.sort((left, right) => left.atMs - right.atMs);
     const records: BatchRecord[] = [];
     for (const { atMs, kind } of planned) {
-      this.world.play(atMs);
+      this.clock.play(atMs);
       records.push(await this.submit(kind));
     }
-    while (tables.openBatches(this.table).length > 0) this.world.play(this.world.now() + SECOND_MS);
+    while (tables.openBatches(this.table).length > 0) this.clock.play(this.clock.now() + SECOND_MS);
     for (const record of records) this.complete(record);
     return records;
   }
@@ -116,13 +116,13 @@
       works: [...works, own],
       withinMs: 0,
       pastErrors,
-      random: () => this.world.random(),
+      random: () => this.clock.random(),
       wantsTable: false,
     });
     const number = this.table.nextNumber;
     this.heldMs.set(String(number), kind.item_held_ms);
     this.take(kind, quote, number);
-    return { number, atMs: this.world.now(), count: kind.count, load: this.load(), quote, beganMs: 0, endedMs: 0 };
+    return { number, atMs: this.clock.now(), count: kind.count, load: this.load(), quote, beganMs: 0, endedMs: 0 };
   }
 
   private workOf(batch: schema.Batch): projection.Work {
@@ -156,7 +156,7 @@
     const outcome = steps.submit(this.table, submission);
     if (outcome.isErr) throw outcome.error;
     this.table = outcome.value;
-    this.world.schedule(CHANGE_MS, () => this.work());
+    this.clock.schedule(CHANGE_MS, () => this.work());
   }
 
   /** Interactive load over all places. */
@@ -171,7 +171,7 @@
   }
 
   private change(sends: worklist.Send[]): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     const outcome = steps.advance(this.table, LIFE, { term: 1, elapsedMs: now - this.changedAt, ended: this.ended.splice(0), sends });
     if (outcome.isErr) throw outcome.error;
     this.table = outcome.value;
@@ -187,7 +187,7 @@
       this.change(sends);
       for (const send of sends) this.send(send);
       this.isWorking = tables.openBatches(this.table).length > 0;
-      if (this.isWorking) this.world.schedule(CHANGE_MS, turn);
+      if (this.isWorking) this.clock.schedule(CHANGE_MS, turn);
     };
     turn();
   }
@@ -197,10 +197,10 @@
   private send(send: worklist.Send): void {
     const cell = this.cells.find(({ region }) => region.name === send.region)!;
     const key = worklist.keyOf(send);
-    this.atWork.set(key, { ...send, sentAt: this.world.now() });
+    this.atWork.set(key, { ...send, sentAt: this.clock.now() });
     cell.batchItems += 1;
-    const heldMs = this.heldMs.get(String(send.number))! * Math.exp(ITEM_SPREAD * batchCells.normal(this.world) - ITEM_SPREAD ** 2 / 2);
-    this.world.schedule(heldMs, () => {
+    const heldMs = this.heldMs.get(String(send.number))! * Math.exp(ITEM_SPREAD * batchCells.normal(this.clock) - ITEM_SPREAD ** 2 / 2);
+    this.clock.schedule(heldMs, () => {
       cell.batchItems -= 1;
       this.atWork.delete(key);
       this.ended.push({ ...send, end: "done" });
@@ -211,7 +211,7 @@
   private second(index: number): void {
     for (const cell of this.cells) cell.second();
     if (index % LOAD_REPORT_S === 0) this.tellLoads();
-    this.world.schedule(SECOND_MS, this.second.bind(this, index + 1));
+    this.clock.schedule(SECOND_MS, this.second.bind(this, index + 1));
   }
 
   private tellLoads(): void {
@@ -224,6 +224,6 @@
 
   private report(): void {
     for (const cell of this.cells) cell.reportedUse = cell.interactive + cell.batchItems;
-    this.world.schedule(REPORT_MS, () => this.report());
+    this.clock.schedule(REPORT_MS, () => this.report());
   }
 }
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -95,11 +95,11 @@
   }
 
   private send(router: system.ModelRouter, tried: Set<string>): void {
-    const entry = router.chooser.routeTable!.find("whatif", `/${this.kind.name}/`)!;
+    const entry = router.picker.routeTable!.find("whatif", `/${this.kind.name}/`)!;
     this.ids += 1;
-    const request = system.requestOf(entry, `r-${this.record.at}-${this.ids}`, this.parts, this.deadline, this.events);
-    router.chooser.countRequest(request);
-    const choice = router.chooser.pick(request, tried, tried.size);
+    const request = system.buildRequest(entry, `r-${this.record.at}-${this.ids}`, this.parts, this.deadline, this.events);
+    router.picker.countRequest(request);
+    const choice = router.picker.pick(request, tried, tried.size);
     if ("status" in choice) {
       this.onRefusal(choice.retryAfterS);
       return;
@@ -115,7 +115,7 @@
   private submit(send: Send): void {
     const { fleet, kind } = this;
     const { router, runner, model, ticket } = send;
-    const tokens = system.publishReading(fleet.clock, fleet.routers, router, model.id, send.request);
+    const tokens = system.publishPrefill(fleet.clock, fleet.routers, router, model.id, send.request);
     const sentAt = fleet.clock.now();
     const recordFirstEvent = this.first.bind(this, send.tripMs);
     const recordEnd = this.ended.bind(this);
@@ -127,7 +127,7 @@
       deadline: this.deadline,
       first(): void {
         hasFirst = true;
-        router.known.learnRate(tokens, fleet.clock.now() - sentAt);
+        router.prefillTracker.learnRate(tokens, fleet.clock.now() - sentAt);
         runner.recordReceived(fleet.clock.now());
         ticket.recordFirstEvent();
         recordFirstEvent();
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -5,10 +5,10 @@
 import type * as promptParts from "../routing/prompt-parts.js";
 import * as batch from "./batch.js";
 import * as client from "./client.js";
-import * as owner from "./owner.js";
+import * as simulatedLeaseOwner from "./simulated-lease-owner.js";
 import type * as scenarios from "./scenario.js";
 import * as system from "./system.js";
-import * as worlds from "./world.js";
+import * as plannedClock from "./planned-clock.js";
 
 const REPORT_MS = 600;
 const DEAL_MS = 500;
@@ -19,23 +19,23 @@
 export class OverloadDay implements client.OverloadedFleet {
   /** One record a request, in the order of arrival. */
   readonly records: client.RequestRecord[] = [];
-  readonly clock: worlds.PlannedWorld;
+  readonly clock: plannedClock.PlannedClock;
   readonly runners = new Map<string, batch.BatchRunner>();
   readonly routers: system.ModelRouter[] = [];
   private readonly lags = new Map<system.ModelRouter, number>();
-  private readonly owner: owner.SoleOwner;
+  private readonly owner: simulatedLeaseOwner.SimulatedLeaseOwner;
   private runnersStarted = 0;
   /** Chance of its own, so that the same clients come whatever the routers do. */
-  private readonly chance: worlds.PlannedWorld;
+  private readonly chance: plannedClock.PlannedClock;
 
   constructor(
     private readonly scenario: scenarios.Scenario,
     isOn: boolean,
   ) {
-    this.clock = new worlds.PlannedWorld(scenario.seed);
-    this.owner = new owner.SoleOwner(this.clock, system.BOUNDS);
-    this.chance = new worlds.PlannedWorld(scenario.seed + 1);
-    const table = system.tableOf(scenario);
+    this.clock = new plannedClock.PlannedClock(scenario.seed);
+    this.owner = new simulatedLeaseOwner.SimulatedLeaseOwner(this.clock, system.BOUNDS);
+    this.chance = new plannedClock.PlannedClock(scenario.seed + 1);
+    const table = system.buildRouteTable(scenario);
     const regions = scenario.regions.map(nameOf);
     for (const region of scenario.regions) {
       for (let count = 0; count < region.runners; count += 1) {
@@ -49,13 +49,13 @@
   }
 
   private addRouter(router: system.ModelRouter, isOn: boolean): void {
-    router.chooser.admission.isOn = isOn;
+    router.picker.admission.isOn = isOn;
     this.routers.push(router);
   }
 
   /** Plays the day to the end of its last request. */
   play(): client.RequestRecord[] {
-    const list = system.instancesOf([...this.runners.values()].map(standing), this.scenario.runner.capacity, new Map());
+    const list = system.buildInstances([...this.runners.values()].map(standing), this.scenario.runner.capacity, new Map());
     for (const router of this.routers) router.fleet.applySnapshot(list);
     this.deal();
     this.report();
@@ -74,8 +74,8 @@
 
   private deal(): void {
     for (const [index, router] of this.routers.entries()) {
-      router.share.setRouterCount(this.routers.length);
-      this.owner.serve(`router-${index}`, router.share);
+      router.limits.setRouterCount(this.routers.length);
+      this.owner.renewLeases(`router-${index}`, router.limits);
     }
     this.clock.schedule(DEAL_MS, () => this.deal());
   }
@@ -88,14 +88,14 @@
       const reports = [...this.runners.values()].filter(isHere).map(reportOf);
       for (const router of this.routers) {
         router.fleet.applyReport({ region: region.name, reports });
-        router.chooser.admission.applyReport({ region: region.name, reports });
+        router.picker.admission.applyReport({ region: region.name, reports });
       }
     }
     this.clock.schedule(REPORT_MS, () => this.report());
   }
 
   private onTimer(): void {
-    for (const [router, ms] of this.lags) router.chooser.admission.recordLag(ms);
+    for (const [router, ms] of this.lags) router.picker.admission.recordLag(ms);
     this.clock.schedule(TIMER_MS, () => this.onTimer());
   }
 
@@ -180,7 +180,7 @@
   }
 }
 
-function standing(runner: batch.BatchRunner): system.Standing {
+function standing(runner: batch.BatchRunner): system.RunnerState {
   return { id: runner.id, region: runner.region, isUp: true };
 }
 
--- a/src/whatif/world.ts
+++ b/src/whatif/planned-clock.ts
@@ -8,24 +8,24 @@
 }
 
 /** A `World` whose events run in order of time, then of scheduling; the same seed gives the same run. */
-export class PlannedWorld implements types.Clock {
-  private clock = 0;
+export class PlannedClock implements types.Clock {
+  private currentMs = 0;
   private order = 0;
   private readonly heap: ScheduledEvent[] = [];
-  private state: number;
+  private randomState: number;
 
   constructor(seed: number) {
-    this.state = seed >>> 0 || 1;
+    this.randomState = seed >>> 0 || 1;
   }
 
   /** Simulated milliseconds. */
   now(): types.SteadyMs {
-    return types.small(this.clock);
+    return types.small(this.currentMs);
   }
 
   /** Mulberry32, from 0 up to 1. */
   random(): number {
-    let value = (this.state = (this.state + 0x6d2b79f5) >>> 0);
+    let value = (this.randomState = (this.randomState + 0x6d2b79f5) >>> 0);
     value = Math.imul(value ^ (value >>> 15), value | 1);
     value ^= value + Math.imul(value ^ (value >>> 7), value | 61);
     return ((value ^ (value >>> 14)) >>> 0) / 4294967296;
@@ -33,7 +33,7 @@
 
   /** Schedules a run; one that is stopped is skipped. */
   schedule(ms: number, run: () => void): types.Timer {
-    const item: ScheduledEvent = { at: this.clock + Math.max(0, ms), order: (this.order += 1), run };
+    const item: ScheduledEvent = { at: this.currentMs + Math.max(0, ms), order: (this.order += 1), run };
     this.heap.push(item);
     this.siftUp(this.heap.length - 1);
     return {
@@ -47,10 +47,10 @@
   play(untilMs: number): void {
     for (let next = this.heap[0]; next && next.at <= untilMs; next = this.heap[0]) {
       this.pop();
-      this.clock = next.at;
+      this.currentMs = next.at;
       next.run?.();
     }
-    this.clock = untilMs;
+    this.currentMs = untilMs;
   }
 
   private isBefore(left: number, right: number): boolean {
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -1,11 +1,11 @@
 /** Plays a what-if day and counts it by phase: before, during and after the faults (design 11.2). */
 import type * as promptParts from "../routing/prompt-parts.js";
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
-import * as owner from "./owner.js";
+import * as simulatedLeaseOwner from "./simulated-lease-owner.js";
 import * as models from "./runner.js";
 import type * as scenarios from "./scenario.js";
 import * as system from "./system.js";
-import * as worlds from "./world.js";
+import * as plannedClock from "./planned-clock.js";
 
 /** Where a request lies to the faults of the day. */
 export type Phase = "before" | "during" | "after";
@@ -15,9 +15,9 @@
   phase: Phase;
   kind: string;
   isFirstTurn: boolean;
-  firstMs: number | null;
+  timeToFirstEventMs: number | null;
   tokens: number;
-  unread: number;
+  uncachedTokens: number;
   isMoved: boolean;
 }
 
@@ -30,37 +30,37 @@
   readonly parts: promptParts.PromptPart[];
   readonly startedAt: number;
   /** Ids of the runners that were lost or full. */
-  readonly tried: Set<string>;
+  readonly attemptedRunners: Set<string>;
 }
 
 const DEADLINE_MS = 60_000;
 const SAME_REGION_TRIP_MS = 0.5;
-const DEAL_MS = 100;
+const LIMIT_ASSIGNMENT_INTERVAL_MS = 100;
 /** How long routers go on sending to lost runners. */
-const LOSS_DETECTED_MS = 600;
+const LOSS_DETECTION_MS = 600;
 
 /** One day; to be played once. The same scenario and seed give the same records. */
 export class Day {
   readonly records: RequestRecord[] = [];
-  private readonly world: worlds.PlannedWorld;
+  private readonly clock: plannedClock.PlannedClock;
   private readonly runners = new Map<string, models.ModelRunner>();
   private readonly routers: system.ModelRouter[] = [];
-  private readonly owner: owner.SoleOwner;
-  private readonly lastRunner = new Map<string, string>();
-  private readonly coldMs = new Map<string, number>();
+  private readonly owner: simulatedLeaseOwner.SimulatedLeaseOwner;
+  private readonly lastRunnerOfSession = new Map<string, string>();
+  private readonly warmupMsByRunner = new Map<string, number>();
   private readonly evacuated = new Set<string>();
   private requests = 0;
   private runnersStarted = 0;
 
   constructor(private readonly scenario: scenarios.Scenario) {
-    this.world = new worlds.PlannedWorld(scenario.seed);
-    this.owner = new owner.SoleOwner(this.world, system.BOUNDS);
-    const table = system.tableOf(scenario);
+    this.clock = new plannedClock.PlannedClock(scenario.seed);
+    this.owner = new simulatedLeaseOwner.SimulatedLeaseOwner(this.clock, system.BOUNDS);
+    const table = system.buildRouteTable(scenario);
     const regions = scenario.regions.map(nameOf);
     for (const region of scenario.regions) {
-      for (let count = 0; count < region.runners; count += 1) this.addRunner(region.name);
+      for (let recordOutcome = 0; recordOutcome < region.runners; recordOutcome += 1) this.addRunner(region.name);
       for (let count = 0; count < region.routers; count += 1)
-        this.routers.push(new system.ModelRouter(region.name, this.world, regions, table));
+        this.routers.push(new system.ModelRouter(region.name, this.clock, regions, table));
     }
   }
 
@@ -73,85 +73,85 @@
 
   /** Plays the day and returns its records. */
   play(): RequestRecord[] {
-    this.pushList();
-    this.deal();
-    for (const fault of this.scenario.faults) this.world.schedule(fault.at_s * 1000, () => this.injectFault(fault));
-    for (const kind of this.scenario.kinds) this.world.schedule(this.gap(kind), () => this.arrive(kind));
-    this.world.play(this.scenario.length_s * 1000);
+    this.publishRunners();
+    this.assignLimitShares();
+    for (const fault of this.scenario.faults) this.clock.schedule(fault.at_s * 1000, () => this.injectFault(fault));
+    for (const kind of this.scenario.kinds) this.clock.schedule(this.nextInterarrivalMs(kind), () => this.generateArrival(kind));
+    this.clock.play(this.scenario.length_s * 1000);
     return this.records;
   }
 
-  private pushList(): void {
-    const list = system.instancesOf(this.runners.values(), this.scenario.runner.capacity, this.coldMs);
+  private publishRunners(): void {
+    const list = system.buildInstances(this.runners.values(), this.scenario.runner.capacity, this.warmupMsByRunner);
     for (const router of this.routers) router.fleet.applySnapshot(list);
-    this.coldMs.clear();
+    this.warmupMsByRunner.clear();
   }
 
-  private deal(): void {
+  private assignLimitShares(): void {
     for (const [index, router] of this.routers.entries()) {
-      router.share.setRouterCount(this.routers.length);
-      this.owner.serve(`router-${index}`, router.share);
+      router.limits.setRouterCount(this.routers.length);
+      this.owner.renewLeases(`router-${index}`, router.limits);
     }
-    this.world.schedule(DEAL_MS, () => this.deal());
+    this.clock.schedule(LIMIT_ASSIGNMENT_INTERVAL_MS, () => this.assignLimitShares());
   }
 
   private injectFault(fault: scenarios.Fault): void {
     const end = fault.for_s * 1000;
     if (fault.kind === "drain") {
       this.evacuated.add(fault.region);
-      this.pushRotation();
-      this.world.schedule(end, this.takeBack.bind(this, fault.region));
+      this.publishEvacuations();
+      this.clock.schedule(end, this.endEvacuation.bind(this, fault.region));
       return;
     }
     for (const runner of [...this.runners.values()]) {
       if (runner.region !== fault.region || !runner.isUp) continue;
       runner.lose();
-      this.world.schedule(end, () => this.replaceRunner(runner));
+      this.clock.schedule(end, () => this.replaceRunner(runner));
       if (fault.kind === "lose_runner") break;
     }
     // Routers hear of it when the report stays out; until then sends there fail and go on.
-    this.world.schedule(LOSS_DETECTED_MS, () => this.pushList());
+    this.clock.schedule(LOSS_DETECTION_MS, () => this.publishRunners());
   }
 
-  private takeBack(region: string): void {
+  private endEvacuation(region: string): void {
     this.evacuated.delete(region);
-    this.pushRotation();
+    this.publishEvacuations();
   }
 
-  private pushRotation(): void {
+  private publishEvacuations(): void {
     for (const router of this.routers) router.rotation.applyEvacuations([...this.evacuated], false);
   }
 
-  private replaceRunner(gone: models.ModelRunner): void {
-    this.runners.delete(gone.id);
-    const runner = this.addRunner(gone.region);
-    this.coldMs.set(runner.id, this.scenario.runner.warmup_s * 1000);
-    this.pushList();
+  private replaceRunner(lost: models.ModelRunner): void {
+    this.runners.delete(lost.id);
+    const runner = this.addRunner(lost.region);
+    this.warmupMsByRunner.set(runner.id, this.scenario.runner.warmup_s * 1000);
+    this.publishRunners();
   }
 
-  private gap(kind: scenarios.Kind): number {
-    return (-Math.log(1 - this.world.random()) * 1000) / kind.turns_per_s;
+  private nextInterarrivalMs(kind: scenarios.Kind): number {
+    return (-Math.log(1 - this.clock.random()) * 1000) / kind.turns_per_s;
   }
 
-  private arrive(kind: scenarios.Kind): void {
-    this.world.schedule(this.gap(kind), () => this.arrive(kind));
-    const session = `${kind.name}-${Math.floor(this.world.random() * kind.sessions)}`;
-    const router = this.routers[Math.floor(this.world.random() * this.routers.length)];
+  private generateArrival(kind: scenarios.Kind): void {
+    this.clock.schedule(this.nextInterarrivalMs(kind), () => this.generateArrival(kind));
+    const session = `${kind.name}-${Math.floor(this.clock.random() * kind.sessions)}`;
+    const router = this.routers[Math.floor(this.clock.random() * this.routers.length)];
     this.requests += 1;
     const parts: promptParts.PromptPart[] = [
       { id: `c-${kind.name}`, tokens: kind.common_tokens },
       { id: `s-${session}`, tokens: kind.session_tokens },
       { id: `t-${this.requests}`, tokens: kind.turn_tokens },
     ];
-    this.send({ kind, session, router, parts, startedAt: this.world.now(), tried: new Set() });
+    this.send({ kind, session, router, parts, startedAt: this.clock.now(), attemptedRunners: new Set() });
   }
 
   private send(turn: Turn): void {
-    const { kind, router, tried } = turn;
-    const entry = router.chooser.routeTable!.find("whatif", `/${kind.name}/`)!;
-    const request = system.requestOf(entry, `r-${this.requests}`, turn.parts, turn.startedAt + DEADLINE_MS);
-    router.chooser.countRequest(request);
-    const choice = router.chooser.pick(request, tried, tried.size);
+    const { kind, router, attemptedRunners: tried } = turn;
+    const entry = router.picker.routeTable!.find("whatif", `/${kind.name}/`)!;
+    const request = system.buildRequest(entry, `r-${this.requests}`, turn.parts, turn.startedAt + DEADLINE_MS);
+    router.picker.countRequest(request);
+    const choice = router.picker.pick(request, tried, tried.size);
     if ("status" in choice) {
       this.count(turn, null, 0, "");
       return;
@@ -160,11 +160,11 @@
     const model = this.runners.get(choice.runner.id)!;
     if (!model.isUp || model.isFull()) {
       tried.add(model.id);
-      choice.runner.recordSilence(this.world.now());
-      this.world.schedule(2 * this.tripMs(router, model), () => this.send(turn));
+      choice.runner.recordSilence(this.clock.now());
+      this.clock.schedule(2 * this.tripMs(router, model), () => this.send(turn));
       return;
     }
-    system.publishReading(this.world, this.routers, router, model.id, request);
+    system.publishPrefill(this.clock, this.routers, router, model.id, request);
     this.run(turn, choice.runner, model);
   }
 
@@ -173,7 +173,7 @@
   }
 
   private run(turn: Turn, runner: runnerEndpoint.RunnerEndpoint, model: models.ModelRunner): void {
-    const now = this.world.now();
+    const now = this.clock.now();
     const tripMs = this.tripMs(turn.router, model);
     const { firstMs, endMs, unread } = model.run(turn.parts, turn.kind.events, now);
     model.active += 1;
@@ -184,11 +184,11 @@
       model.active -= 1;
       runner.inflight -= 1;
     }
-    this.world.schedule(endMs, ended);
+    this.clock.schedule(endMs, ended);
   }
 
-  private phase(): Phase {
-    const at = this.world.now() / 1000;
+  private currentPhase(): Phase {
+    const at = this.clock.now() / 1000;
     let phase: Phase = "before";
     for (const fault of this.scenario.faults) {
       if (at >= fault.at_s && at < fault.at_s + fault.for_s) return "during";
@@ -199,15 +199,15 @@
 
   /** Records the turn's outcome; `firstMs` is null and the runner empty where it was denied. */
   private count({ kind, session, parts }: Turn, firstMs: number | null, unread: number, runner: string): void {
-    const last = this.lastRunner.get(session);
-    if (runner !== "") this.lastRunner.set(session, runner);
+    const last = this.lastRunnerOfSession.get(session);
+    if (runner !== "") this.lastRunnerOfSession.set(session, runner);
     this.records.push({
-      phase: this.phase(),
+      phase: this.currentPhase(),
       kind: kind.name,
       isFirstTurn: last === undefined,
-      firstMs,
+      timeToFirstEventMs: firstMs,
       tokens: parts[0].tokens + parts[1].tokens,
-      unread: Math.max(0, unread - parts[2].tokens),
+      uncachedTokens: Math.max(0, unread - parts[2].tokens),
       isMoved: last !== undefined && runner !== "" && last !== runner,
     });
   }
--- a/src/whatif/owner.ts
+++ b/src/whatif/simulated-lease-owner.ts
@@ -7,11 +7,11 @@
 import type * as limitShares from "../limits/limit-shares.js";
 import * as slotOwnership from "../limits/slot-ownership.js";
 
-const LIFE = "whatif";
+const INCARNATION = "whatif";
 const ADDRESS = "127.0.0.1:9";
 
 /** Grants leases at once, with no link and no voter between. */
-export class SoleOwner {
+export class SimulatedLeaseOwner {
   private readonly owner: leaseOwner.LeaseOwner;
 
   constructor(
@@ -20,12 +20,17 @@
   ) {
     const tenure = new slotOwnership.SlotOwnership(clock);
     tenure.applyValue(registerValue.initialValue([ADDRESS]), registerValue.initialDisk(ADDRESS));
-    this.owner = new leaseOwner.LeaseOwner(clock, LIFE, bounds, tenure);
+    this.owner = new leaseOwner.LeaseOwner(clock, INCARNATION, bounds, tenure);
   }
 
   /** What a router's turn of asking comes to, without a way between. */
-  serve(router: string, share: leasedLimits.LeasedLimits): void {
-    const ask: leaseSchema.LeaseAsk = { router, life: LIFE, needs: share.leases.needs(), done: share.leases.takeEnded(LIFE) };
-    share.grant(this.owner.reply(ask, types.FIRST_EPOCH), this.clock.now());
+  renewLeases(router: string, limits: leasedLimits.LeasedLimits): void {
+    const request: leaseSchema.LeaseAsk = {
+      router,
+      life: INCARNATION,
+      needs: limits.leases.needs(),
+      done: limits.leases.takeEnded(INCARNATION),
+    };
+    limits.grant(this.owner.reply(request, types.FIRST_EPOCH), this.clock.now());
   }
 }
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -11,46 +11,46 @@
 import * as types from "../wire/types.js";
 import type * as routeRequest from "../router/route-request.js";
 import type * as scenarios from "./scenario.js";
-import * as worlds from "./world.js";
+import * as plannedClock from "./planned-clock.js";
 
-const SIGN_MS = 5;
+const PREFILL_NOTICE_DELAY_MS = 5;
 /** Bounds on retries and warm-up, as in a usual settings file. */
 export const BOUNDS = { retry_ratio: 0.2, retry_window_s: 10, retry_extra: 50, warmup_overshoot: 1.5, warmup_tolerance: 5 };
 
 /** One router: its policies are those of the real one, its links are calls. */
 export class ModelRouter {
-  readonly known = new prefillTracker.PrefillTracker();
+  readonly prefillTracker = new prefillTracker.PrefillTracker();
   readonly fleet: runnerFleet.RunnerFleet;
   readonly rotation: zoneRotation.ZoneRotation;
-  readonly share: leasedLimits.LeasedLimits;
-  readonly chooser: runnerPicker.RunnerPicker;
+  readonly limits: leasedLimits.LeasedLimits;
+  readonly picker: runnerPicker.RunnerPicker;
 
   constructor(
     readonly region: string,
-    world: worlds.PlannedWorld,
+    clock: plannedClock.PlannedClock,
     regions: readonly string[],
     table: routeTable.RouteTable,
   ) {
-    this.fleet = new runnerFleet.RunnerFleet(world, new Map(regions.map(same)));
-    this.rotation = new zoneRotation.ZoneRotation(world);
-    this.share = new leasedLimits.LeasedLimits(world, BOUNDS);
-    this.chooser = new runnerPicker.RunnerPicker(world, this.fleet, this.rotation, this.share, region, this.known);
-    this.chooser.routeTable = table;
+    this.fleet = new runnerFleet.RunnerFleet(clock, new Map(regions.map(regionToItself)));
+    this.rotation = new zoneRotation.ZoneRotation(clock);
+    this.limits = new leasedLimits.LeasedLimits(clock, BOUNDS);
+    this.picker = new runnerPicker.RunnerPicker(clock, this.fleet, this.rotation, this.limits, region, this.prefillTracker);
+    this.picker.routeTable = table;
   }
 
   /** As the router's program does: a reading is known to the weighing and to the status of its runner. */
-  read(runner: string, unread: number, keys: readonly number[], now: number): void {
-    this.known.recordPrefill(runner, unread, keys, now);
-    this.fleet.recordPrefill(types.small(runner), unread / this.known.tokensPerMs);
+  recordPrefill(runner: string, unread: number, keys: readonly number[], now: number): void {
+    this.prefillTracker.recordPrefill(runner, unread, keys, now);
+    this.fleet.recordPrefill(types.small(runner), unread / this.prefillTracker.tokensPerMs);
   }
 }
 
-function same(region: string): [string, string] {
+function regionToItself(region: string): [string, string] {
   return [region, region];
 }
 
 /** The routes of a scenario: one per kind. */
-export function tableOf(scenario: scenarios.Scenario): routeTable.RouteTable {
+export function buildRouteTable(scenario: scenarios.Scenario): routeTable.RouteTable {
   const { capacity, warmup_s, warmup_per_s } = scenario.runner;
   const config = configurationCheck.check({
     revision: 1,
@@ -79,14 +79,18 @@
 }
 
 /** A runner as the list of the platform shows it. */
-export interface Standing {
+export interface RunnerState {
   readonly id: string;
   readonly region: string;
   readonly isUp: boolean;
 }
 
 /** The list of the runners that are up; `coldMs` says how long a new one warms up. */
-export function instancesOf(runners: Iterable<Standing>, capacity: number, coldMs: ReadonlyMap<string, number>): schema.Instance[] {
+export function buildInstances(
+  runners: Iterable<RunnerState>,
+  capacity: number,
+  warmupMsByRunner: ReadonlyMap<string, number>,
+): schema.Instance[] {
   const made: schema.Instance[] = [];
   for (const runner of runners) {
     if (!runner.isUp) continue;
@@ -97,7 +101,7 @@
       zone: runner.region,
       capacity,
       isDraining: false,
-      coldMs: coldMs.get(runner.id) ?? 0,
+      coldMs: warmupMsByRunner.get(runner.id) ?? 0,
       leavesMs: -1,
     });
   }
@@ -105,14 +109,14 @@
 }
 
 /** A request as the router's front would make it. */
-export function requestOf(
+export function buildRequest(
   entry: routeTable.RouteEntry,
   requestId: string,
   parts: promptParts.PromptPart[],
   deadline: number,
-  mostOut = 0,
+  maxOutputTokens = 0,
 ): routeRequest.RouteRequest {
-  const asked = { ...promptParts.parseRequestedTokens(undefined, parts), maxOutput: mostOut };
+  const requestedTokens = { ...promptParts.parseRequestedTokens(undefined, parts), maxOutput: maxOutputTokens };
   return {
     requestId: types.small(requestId),
     entry,
@@ -124,24 +128,24 @@
     prefixKeys: promptParts.prefixKeys(parts),
     arrivedAt: 0,
     deadline,
-    requestedTokens: asked,
+    requestedTokens: requestedTokens,
     body: null,
   };
 }
 
 /** Notes a reading where it is sent from, and tells the other routers a moment later, as signs do. */
-export function publishReading(
+export function publishPrefill(
   clock: types.Clock,
   routers: readonly ModelRouter[],
   from: ModelRouter,
   runner: string,
   request: routeRequest.RouteRequest,
 ): number {
-  const unread = Math.round(from.known.uncachedTokens(runner, request.parts, request.prefixKeys));
-  from.read(runner, unread, request.prefixKeys, clock.now());
+  const unread = Math.round(from.prefillTracker.uncachedTokens(runner, request.parts, request.prefixKeys));
+  from.recordPrefill(runner, unread, request.prefixKeys, clock.now());
   function deliver(): void {
-    for (const router of routers) if (router !== from) router.read(runner, unread, request.prefixKeys, clock.now());
+    for (const router of routers) if (router !== from) router.recordPrefill(runner, unread, request.prefixKeys, clock.now());
   }
-  clock.schedule(SIGN_MS, deliver);
+  clock.schedule(PREFILL_NOTICE_DELAY_MS, deliver);
   return unread;
 }
--- a/src/whatif/table.ts
+++ b/src/whatif/table.ts
@@ -40,9 +40,9 @@
   let unread = 0;
   let moved = 0;
   for (const item of items) {
-    if (item.firstMs !== null) times.push(item.firstMs);
+    if (item.timeToFirstEventMs !== null) times.push(item.timeToFirstEventMs);
     tokens += item.tokens;
-    unread += item.unread;
+    unread += item.uncachedTokens;
     if (item.isMoved) moved += 1;
   }
   times.sort(byNumber);
--- a/tests/outlier-detection.test.ts
+++ b/tests/outlier-detection.test.ts
@@ -73,7 +73,7 @@
   for (let at = ONSET_S; at < END_S; at += 0.5) {
     played.play(at);
     for (const router of played.routers) {
-      const out = [...router.fleet.all()].filter((runner) => runner.outliers.update(played.world.now()) === "ejected");
+      const out = [...router.fleet.all()].filter((runner) => runner.outliers.update(played.clock.now()) === "ejected");
       expect(out.filter((runner) => runner.region === "r1").length).toBeLessThanOrEqual(3);
       expect(out.filter((runner) => runner.region !== "r1")).toEqual([]);
     }
--- a/tests/selection.test.ts
+++ b/tests/selection.test.ts
@@ -4,7 +4,7 @@
 import * as play from "../src/whatif/play.js";
 import * as scenarios from "../src/whatif/scenario.js";
 import * as table from "../src/whatif/table.js";
-import * as worlds from "../src/whatif/world.js";
+import * as plannedClock from "../src/whatif/planned-clock.js";
 
 const EVENING = JSON.parse(fs.readFileSync("examples/evening.json", "utf8")) as Record<string, unknown>;
 
@@ -63,7 +63,7 @@
 });
 
 test("the planned world plays in order and leaves out what was stopped", () => {
-  const world = new worlds.PlannedWorld(3);
+  const world = new plannedClock.PlannedClock(3);
   const seen: number[] = [];
   const ticks = [50, 10, 30, 20, 40, 10].map((ms, index) => world.schedule(ms, () => seen.push(index)));
   ticks[2].stop();
--- a/tests/sim/simulated-runners.ts
+++ b/tests/sim/simulated-runners.ts
@@ -5,7 +5,7 @@
 import * as schema from "../../src/wire/schema.js";
 import * as types from "../../src/wire/types.js";
 import * as system from "../../src/whatif/system.js";
-import * as worlds from "../../src/whatif/world.js";
+import * as plannedClock from "../../src/whatif/planned-clock.js";
 import * as configurationCheck from "../../src/config/configuration-check.js";
 import * as routeTable from "../../src/config/route-table.js";
 
@@ -55,7 +55,7 @@
 }
 
 export class RunnersSim {
-  readonly world: worlds.PlannedWorld;
+  readonly clock: plannedClock.PlannedClock;
   readonly routers: system.ModelRouter[] = [];
   readonly met: Met[] = [];
   /** State changes of any runner as a router sees it: at, router, runner, to. */
@@ -64,7 +64,7 @@
   private requests = 0;
 
   constructor(private readonly shape: Shape) {
-    this.world = new worlds.PlannedWorld(shape.seed);
+    this.clock = new plannedClock.PlannedClock(shape.seed);
     const regions = Array.from({ length: shape.regions }, (_item, index) => `r${index}`);
     const list: schema.Instance[] = regions.flatMap((zone) =>
       Array.from({ length: shape.runnersEach }, (_item, index) => ({
@@ -79,19 +79,19 @@
       })),
     );
     for (let index = 0; index < shape.routers; index += 1) {
-      const router = new system.ModelRouter(regions[index % regions.length], this.world, regions, TABLE);
+      const router = new system.ModelRouter(regions[index % regions.length], this.clock, regions, TABLE);
       router.fleet.applySnapshot(list);
-      router.share.setRouterCount(shape.routers);
+      router.limits.setRouterCount(shape.routers);
       router.fleet.peerGroups.routers = shape.routers;
       this.routers.push(router);
-      this.world.schedule(100 * this.world.random(), () => this.tell(index));
+      this.clock.schedule(100 * this.clock.random(), () => this.tell(index));
     }
-    this.world.schedule(1, () => this.arrive());
-    this.world.schedule(1, () => this.report());
+    this.clock.schedule(1, () => this.arrive());
+    this.clock.schedule(1, () => this.report());
   }
 
   play(untilS: number): void {
-    this.world.play(untilS * 1000);
+    this.clock.play(untilS * 1000);
   }
 
   /** The part of the requests of a span that met a bad runner. */
@@ -106,35 +106,35 @@
   }
 
   states(isOf: (runner: string) => boolean): string[] {
-    const now = this.world.now();
+    const now = this.clock.now();
     return this.routers.flatMap((router) =>
       [...router.fleet.all()].filter((runner) => isOf(runner.id)).map((runner) => runner.outliers.update(now)),
     );
   }
 
   private tell(from: number): void {
-    this.world.schedule(100, () => this.tell(from));
+    this.clock.schedule(100, () => this.tell(from));
     const router = this.routers[from];
     const ids = router.fleet.takeNewSuspects();
     for (const runner of router.fleet.all()) this.note(from, runner);
     if (ids.length === 0) return;
-    this.world.schedule(5 + 40 * this.world.random(), () => {
+    this.clock.schedule(5 + 40 * this.clock.random(), () => {
       for (const other of this.routers) if (other !== router) other.fleet.recordRemoteSuspects(ids);
     });
   }
 
   private note(router: number, runner: runnerEndpoint.RunnerEndpoint): void {
-    const state = runner.outliers.update(this.world.now());
+    const state = runner.outliers.update(this.clock.now());
     const key = `${router}|${runner.id}`;
     if ((this.last.get(key) ?? "good") === state) return;
     this.last.set(key, state);
-    this.changes.push([this.world.now(), router, runner.id, state]);
+    this.changes.push([this.clock.now(), router, runner.id, state]);
   }
 
   private report(): void {
-    this.world.schedule(600, () => this.report());
+    this.clock.schedule(600, () => this.report());
     const { isSpeaking } = this.shape;
-    const now = this.world.now();
+    const now = this.clock.now();
     for (const router of this.routers) {
       const reports = [...router.fleet.all()].map((runner) => ({
         id: runner.id,
@@ -149,35 +149,35 @@
   }
 
   private arrive(): void {
-    this.world.schedule((-Math.log(1 - this.world.random()) * 1000) / this.shape.perS, () => this.arrive());
+    this.clock.schedule((-Math.log(1 - this.clock.random()) * 1000) / this.shape.perS, () => this.arrive());
     this.requests += 1;
-    const router = Math.floor(this.world.random() * this.routers.length);
-    const type = ["read_only", "mutating", "streaming"][Math.floor(this.world.random() * 3)];
+    const router = Math.floor(this.clock.random() * this.routers.length);
+    const type = ["read_only", "mutating", "streaming"][Math.floor(this.clock.random() * 3)];
     this.send(router, type, `q${this.requests}`, new Set());
   }
 
   private send(from: number, type: string, id: string, tried: Set<string>): void {
     const router = this.routers[from];
     const entry = TABLE.find("h", `/${type}/`)!;
-    const request = system.requestOf(
+    const request = system.buildRequest(
       entry,
       id,
       [
         { id: `k${this.requests % 400}`, tokens: 200 },
         { id, tokens: this.requests % 2 === 0 ? 50 : 2500 },
       ],
-      this.world.now() + 20_000,
+      this.clock.now() + 20_000,
     );
-    router.chooser.countRequest(request);
-    const choice = router.chooser.pick(request, tried, 0);
+    router.picker.countRequest(request);
+    const choice = router.picker.pick(request, tried, 0);
     if ("status" in choice) return;
     const { runner } = choice;
-    const answer = this.shape.play(runner, from, this.world.now(), this.world.random());
-    this.met.push({ at: this.world.now(), runner: runner.id, answer, isRepeatable: entry.isRepeatable });
+    const answer = this.shape.play(runner, from, this.clock.now(), this.clock.random());
+    this.met.push({ at: this.clock.now(), runner: runner.id, answer, isRepeatable: entry.isRepeatable });
     choice.connection.client.dispatch = (_options, handlers) => this.dispatch(answer, id, handlers as unknown as runnerAttempt.Attempt);
     const isStream = type === "streaming";
     const attempt = new runnerAttempt.Attempt(
-      this.world,
+      this.clock,
       runner,
       choice.connection,
       {
@@ -192,11 +192,11 @@
       { method: "POST", path: "/", headers: [], body: null, requestId: types.small(id), isStream, observer: choice.observer },
     );
     attempt.start(request.parts[1].tokens);
-    this.world.schedule(answer === "hang" ? 2000 : 20_000, () => attempt.cancel());
+    this.clock.schedule(answer === "hang" ? 2000 : 20_000, () => attempt.cancel());
   }
 
   private dispatch(answer: Answer, id: string, handlers: runnerAttempt.Attempt): boolean {
-    const { world } = this;
+    const { clock: world } = this;
     if (answer === "refused") world.schedule(1, () => handlers.onError());
     if (answer === "refused" || answer === "unreached") return true;
     handlers.onConnect(() => undefined);
--- a/tests/tallies/counter-log-compatibility.test.ts
+++ b/tests/tallies/counter-log-compatibility.test.ts
@@ -5,7 +5,7 @@
 import * as logRecords from "../../src/tallies/log-records.js";
 import * as simulated from "../sim/disk.js";
 import * as diskFixture from "../support/disk-fixture.js";
-import * as sims from "../sim/world.js";
+import * as simulatedClock from "../sim/simulated-clock.js";
 
 const FIXTURE = diskFixture.readDiskFixture("tallies-log");
 const SEED = 7;
@@ -13,7 +13,7 @@
 /** A store, an era and five adds, with a snapshot after the third. */
 async function writeHistory(disk: simulated.SimulatedDisk): Promise<void> {
   const state = new counterState.CounterState();
-  const { log } = await counterLog.CounterLog.open(new sims.SimWorld(SEED), disk.mount());
+  const { log } = await counterLog.CounterLog.open(new simulatedClock.SimulatedClock(SEED), disk.mount());
   await log.start({ beginSnapshot: () => logRecords.snapshotRecords(state), endSnapshot: () => undefined });
   await log.append([logRecords.storeRecord("s"), logRecords.completeRecord(), logRecords.eraRecord(2)]);
   for (let offset = 1; offset <= 5; offset += 1) {
@@ -27,9 +27,8 @@
 describe("a log of tallies written by an older build", () => {
   test("is read with all its totals", async () => {
     const disk = new simulated.SimulatedDisk();
-    for (const [name, content] of FIXTURE)
-      disk.files.set(name, { durable: content, current: content, unsynced: [], isNameDurable: true });
-    const { records } = await counterLog.CounterLog.open(new sims.SimWorld(SEED), disk.mount());
+    for (const [name, content] of FIXTURE) disk.files.set(name, { durable: content, current: content, unsynced: [], isNameDurable: true });
+    const { records } = await counterLog.CounterLog.open(new simulatedClock.SimulatedClock(SEED), disk.mount());
     const state = new counterState.CounterState();
     for (const record of records) logRecords.applyRecord(state, record);
     expect([state.offsetOf("s"), state.total("drafts"), state.total("reviews")]).toEqual([5, 90, 60]);
