--- a/src/feed/dialer.ts
+++ b/src/feed/dialer.ts
@@ -114,11 +114,6 @@
     return regions;
   }
 
-  /** Addresses of the control nodes with links. */
-  addresses(): string[] {
-    return [...this.controls.keys()];
-  }
-
   /** Ends silent links and dials what is due; called each 100 ms. */
   maintainLinks(): void {
     if (this.isClosed) return;
--- a/src/feed/feed-replica.ts
+++ b/src/feed/feed-replica.ts
@@ -47,19 +47,10 @@
     return this.topics.get(topic)?.items.digest ?? keyedItems.EMPTY_DIGEST;
   }
 
-  body(topic: string, key: string): Buffer | undefined {
-    return this.topics.get(topic)?.items.body(key);
-  }
-
   bodies(topic: string): Map<string, Buffer> {
     return this.topics.get(topic)?.items.bodies() ?? new Map<string, Buffer>();
   }
 
-  /** Incarnation of the publisher of the last change; offsets are valid within it alone. */
-  incarnation(topic: string): string {
-    return this.topics.get(topic)?.incarnation ?? "";
-  }
-
   /** Requests what this replica lacks of the topic: a delta where the publisher can make one. */
   subscription(topic: string, mode: feedPublisher.SubscriptionMode, place: string): schema.Wanted {
     const current = this.topics.get(topic);
--- a/src/feed/keyed-items.ts
+++ b/src/feed/keyed-items.ts
@@ -48,10 +48,6 @@
   private low = 0;
   digest: types.Digest = EMPTY_DIGEST;
 
-  get size(): number {
-    return this.items.size;
-  }
-
   keys(): Iterable<string> {
     return this.items.keys();
   }
--- a/src/load/region-interest.ts
+++ b/src/load/region-interest.ts
@@ -28,11 +28,4 @@
     }
     return found;
   }
-
-  /** Whether the region is followed now. */
-  has(region: string): boolean {
-    if (region === this.ownRegion) return true;
-    const at = this.lastUsedAt.get(region);
-    return at !== undefined && this.clock.now() - at < RETENTION_MS;
-  }
 }
--- a/src/router/policies/runner-policy.ts
+++ b/src/router/policies/runner-policy.ts
@@ -13,8 +13,6 @@
 const LOAD_SLACK = 4;
 const MAX_MEAN_LOAD_FACTOR = 1.5;
 const MAX_KV_CACHE_FRACTION = 0.92;
-/** A prefill of so many tokens is long: it delays every stream of its runner. */
-export const LONG_TOKENS = 2000;
 /** Costs in milliseconds: of each rank in the order of affinity, of each further cell, of a full load. */
 const AFFINITY_RANK_MS = 70;
 const AFFINITY_RANKS = 3;
--- a/src/tenants/tenant.ts
+++ b/src/tenants/tenant.ts
@@ -61,10 +61,6 @@
     return this.byName.size === 0;
   }
 
-  get size(): number {
-    return this.byName.size;
-  }
-
   /** The tenant that holds the key, if one does. */
   find(key: string): Tenant | null {
     return this.byDigest.get(digests.digestOf(key)) ?? null;
--- a/src/wire/schema.ts
+++ b/src/wire/schema.ts
@@ -91,9 +91,6 @@
   kvCapacity: number;
 }
 
-/** Codec of a node. */
-export const node = nodeType as unknown as avro.Schema<NodeInfo>;
-
 /** Where a control node is reached, and where it stands. */
 export interface ControlInfo {
   address: string;
