--- a/src/whatif/batch.ts
+++ b/src/whatif/batch.ts
@@ -8,41 +8,41 @@
 import * as types from "../wire/types.js";
 import type * as scenarios from "./scenario.js";
 
-/** One request as the runner sees it; its deadline in milliseconds of the planned clock. */
+/** One request as the runner sees it; its deadline in milliseconds of the simulated clock. */
 export interface Job {
   readonly parts: readonly promptParts.PromptPart[];
   readonly events: number;
   readonly priority: number;
   readonly deadline: number;
   /** Called when the first event leaves. */
-  first(): void;
+  onFirstEvent(): void;
   /** False: the deadline passed before its last event. */
-  ended(isWhole: boolean): void;
+  onEnd(isComplete: boolean): void;
 }
 
-interface Queued {
+interface QueuedJob {
   job: Job;
   order: number;
 }
 
-/** A queue as long as the batch, if the scenario tells none. */
-const QUEUE_PART = 1;
+/** Queue length per slot if the scenario sets none. */
+const DEFAULT_QUEUE_PER_SLOT = 1;
 
-/** One runner of an overload day; it acts at the times of the planned world alone. */
+/** One runner of an overload day; it acts only at the times of the planned clock. */
 export class BatchRunner {
   private readonly cachedPrompts = new prefillTracker.PrefillTracker();
-  private readonly queue: Queued[] = [];
-  private readingUntil = 0;
+  private readonly queue: QueuedJob[] = [];
+  private prefillEndsAt = 0;
   private order = 0;
   private active = 0;
   private kvUsed = 0;
-  /** Above 1: everything takes so much longer. */
-  slow = 1;
+  /** Prompt reading and events take this many times as long. */
+  slowdownFactor = 1;
 
   constructor(
     readonly id: string,
     readonly region: string,
-    private readonly figures: scenarios.Scenario["runner"],
+    private readonly parameters: scenarios.Scenario["runner"],
     private readonly clock: types.Clock,
   ) {}
 
@@ -52,16 +52,16 @@
     return sum;
   }
 
-  /** Places of the batch that are free; 0 while anybody queues. */
-  freePlaces(): number {
-    return this.queue.length > 0 ? 0 : Math.max(0, this.figures.capacity - this.active);
+  /** Free slots of the batch; 0 while a request is queued. */
+  freeSlots(): number {
+    return this.queue.length > 0 ? 0 : Math.max(0, this.parameters.capacity - this.active);
   }
 
-  /** False: handed back, and not run. */
+  /** Returns false if the job is rejected, and then not run. */
   submit(job: Job): boolean {
-    const { capacity, kv_tokens: memory } = this.figures;
+    const { capacity, kv_tokens: memory } = this.parameters;
     if (memory > 0 && this.tokensOf(job) > memory) return false;
-    if (this.queue.length >= (this.figures.queue ?? capacity * QUEUE_PART) && !this.fits(job)) return false;
+    if (this.queue.length >= (this.parameters.queue ?? capacity * DEFAULT_QUEUE_PER_SLOT) && !this.fits(job)) return false;
     this.order += 1;
     this.queue.push({ job, order: this.order });
     this.queue.sort(byUrgency);
@@ -70,14 +70,14 @@
   }
 
   private fits(job: Job): boolean {
-    const { capacity, kv_tokens: memory } = this.figures;
+    const { capacity, kv_tokens: memory } = this.parameters;
     return this.active < capacity && (memory === 0 || this.kvUsed + this.tokensOf(job) <= memory);
   }
 
   private startQueued(): void {
     for (let next = this.queue[0]; next && (this.fits(next.job) || next.job.deadline <= this.clock.now()); next = this.queue[0]) {
       this.queue.shift();
-      if (next.job.deadline <= this.clock.now()) next.job.ended(false);
+      if (next.job.deadline <= this.clock.now()) next.job.onEnd(false);
       else this.run(next.job);
     }
   }
@@ -90,19 +90,18 @@
     this.active += 1;
     const tokens = this.tokensOf(job);
     this.kvUsed += tokens;
-    this.readingUntil = Math.max(now, this.readingUntil) + (unread * this.slow) / this.figures.tokens_per_ms;
-    const eventMs = this.slow * this.figures.event_ms * (1 + this.active / this.figures.capacity);
-    const firstAt = this.readingUntil + eventMs;
+    this.prefillEndsAt = Math.max(now, this.prefillEndsAt) + (unread * this.slowdownFactor) / this.parameters.tokens_per_ms;
+    const eventMs = this.slowdownFactor * this.parameters.event_ms * (1 + this.active / this.parameters.capacity);
+    const firstAt = this.prefillEndsAt + eventMs;
     const endAt = firstAt + (job.events - 1) * eventMs;
-    const isWhole = endAt <= job.deadline;
-    if (firstAt <= job.deadline) this.clock.schedule(firstAt - now, job.first.bind(job));
-    function ended(this: BatchRunner): void {
+    const isComplete = endAt <= job.deadline;
+    if (firstAt <= job.deadline) this.clock.schedule(firstAt - now, () => job.onFirstEvent());
+    this.clock.schedule(Math.min(endAt, job.deadline) - now, () => {
       this.active -= 1;
       this.kvUsed -= tokens;
-      job.ended(isWhole);
+      job.onEnd(isComplete);
       this.startQueued();
-    }
-    this.clock.schedule(Math.min(endAt, job.deadline) - now, ended.bind(this));
+    });
   }
 
   /** What the runner would report now. */
@@ -113,11 +112,11 @@
       waiting: this.queue.length,
       active: this.active,
       kvUsed: this.kvUsed,
-      kvCapacity: this.figures.kv_tokens,
+      kvCapacity: this.parameters.kv_tokens,
     };
   }
 }
 
-function byUrgency(left: Queued, right: Queued): number {
+function byUrgency(left: QueuedJob, right: QueuedJob): number {
   return left.job.priority - right.job.priority || left.order - right.order;
 }
--- a/src/whatif/client.ts
+++ b/src/whatif/client.ts
@@ -1,4 +1,4 @@
-/** A client of an overload day: a deadline, retries as told by Retry-After, one router a try (design/admission 7). */
+/** A client of an overload day: a deadline, retries as told by Retry-After, one router an attempt (design/admission 7). */
 import type * as runnerEndpoint from "../runners/runner-endpoint.js";
 import type * as promptParts from "../routing/prompt-parts.js";
 import type * as attemptObserver from "../admission/attempt-observer.js";
@@ -8,51 +8,51 @@
 import type * as scenarios from "./scenario.js";
 import * as system from "./system.js";
 
-/** Tries of one request, and sends to runners within a try. */
-const MAX_TRIES = 4;
-const MAX_SENDS = 2;
-/** A client waits for at most this share of the time it has left. */
-const HONOURED_SHARE = 1 / 3;
+/** Attempts of one request, and sends to runners within an attempt. */
+const MAX_ATTEMPTS = 4;
+const MAX_SENDS_PER_ATTEMPT = 2;
+/** A client waits for at most this fraction of the time it has left. */
+const MAX_WAIT_FRACTION = 1 / 3;
 const MIN_TIME_LEFT_MS = 50;
 const SAME_REGION_TRIP_MS = 0.5;
-/** What a client is told when all runners tried have handed its request back. */
-const HANDED_BACK_RETRY_S = 0.3;
-/** Worth of a response within its aim at the first try, at a later one, and past its aim. */
-const WORTH = { inAim: 1, inAimAfterRetry: 0.5, late: 0.3 } as const;
+/** The Retry-After, in seconds, when all attempted runners have rejected the request. */
+const REJECTED_BY_RUNNERS_RETRY_AFTER_S = 0.3;
+/** Value of a response within its target latency at the first attempt, at a later one, and past the target. */
+const OUTCOME_VALUE = { onTarget: 1, onTargetAfterRetry: 0.5, late: 0.3 } as const;
 
 /** How a request ended; `open`: neither a response nor a refusal. */
 export type Outcome = "in_aim" | "late" | "too_late" | "refused" | "open";
 
-/** One request of a client, all its tries together. */
+/** One request of a client, all its attempts together. */
 export interface RequestRecord {
   kind: string;
-  at: number;
-  /** Over the usual size of its kind. */
-  size: number;
+  arrivedAt: number;
+  /** Size over the usual size of its kind. */
+  relativeSize: number;
   outcome: Outcome;
-  tries: number;
-  /** How long each refusal took, and the part of places free at that moment. */
-  refusedMs: number[];
+  attempts: number;
+  /** How long each refusal took; `freeCapacity` is the fraction of slots that was free at that moment. */
+  refusalLatenciesMs: number[];
   retryAfterS: number[];
-  unused: number[];
-  /** Times that a runner took it in; a second is never needed for what is not repeated. */
-  admitted: number;
-  /** What the outcome was worth, 0 to 1. */
-  worth: number;
+  freeCapacity: number[];
+  /** How often a runner accepted it. */
+  admissions: number;
+  /** The value of the outcome to the client, 0 to 1. */
+  value: number;
   session: string;
 }
 
-/** What the clients meet; the overload day is it. */
+/** The fleet as its clients see it; implemented by the overload day. */
 export interface OverloadedFleet {
   readonly clock: types.Clock;
   readonly runners: ReadonlyMap<string, batch.BatchRunner>;
   readonly routers: readonly system.ModelRouter[];
-  /** The router of one try, by chance. */
+  /** A random router for one attempt. */
   pickRouter(): system.ModelRouter;
-  /** Milliseconds by which the router's loop is late. */
-  lagOf(router: system.ModelRouter): number;
-  /** The part of all places that is free. */
-  unused(): number;
+  /** Delay of the router's event loop. */
+  eventLoopDelayMs(router: system.ModelRouter): number;
+  /** The fraction of all slots that is free. */
+  freeCapacity(): number;
 }
 
 /** A request on its way from a router to a runner. */
@@ -61,19 +61,19 @@
   /** The runner as the router sees it, and the model that does the work. */
   readonly runner: runnerEndpoint.RunnerEndpoint;
   readonly model: batch.BatchRunner;
-  readonly ticket: attemptObserver.AttemptObserver;
+  readonly observer: attemptObserver.AttemptObserver;
   readonly request: routeRequest.RouteRequest;
-  /** Ids of the runners that handed this try back. */
-  readonly tried: Set<string>;
-  /** Milliseconds between the two, one way. */
-  readonly tripMs: number;
+  /** Ids of the runners that rejected this attempt. */
+  readonly attemptedRunners: Set<string>;
+  /** Between router and runner. */
+  readonly oneWayDelayMs: number;
 }
 
-/** One request of a client and its returns. */
+/** One request of a client, with its retries. */
 export class ClientRequest {
-  private startedAt = 0;
+  private attemptStartedAt = 0;
   private readonly deadline: number;
-  private ids = 0;
+  private sends = 0;
 
   constructor(
     private readonly fleet: OverloadedFleet,
@@ -86,20 +86,21 @@
     this.deadline = fleet.clock.now() + kind.deadline_ms;
   }
 
-  /** Begins a try; called again by the request itself after a refusal. */
-  start(): void {
-    this.startedAt = this.fleet.clock.now();
-    this.record.tries += 1;
+  /** Begins an attempt; the request calls it again after a refusal. */
+  startAttempt(): void {
+    this.attemptStartedAt = this.fleet.clock.now();
+    this.record.attempts += 1;
     const router = this.fleet.pickRouter();
-    this.fleet.clock.schedule(this.fleet.lagOf(router), this.send.bind(this, router, new Set<string>()));
+    const attemptedRunners = new Set<string>();
+    this.fleet.clock.schedule(this.fleet.eventLoopDelayMs(router), () => this.send(router, attemptedRunners));
   }
 
-  private send(router: system.ModelRouter, tried: Set<string>): void {
+  private send(router: system.ModelRouter, attemptedRunners: Set<string>): void {
     const entry = router.picker.routeTable!.find("whatif", `/${this.kind.name}/`)!;
-    this.ids += 1;
-    const request = system.buildRequest(entry, `r-${this.record.at}-${this.ids}`, this.parts, this.deadline, this.events);
+    this.sends += 1;
+    const request = system.buildRequest(entry, `r-${this.record.arrivedAt}-${this.sends}`, this.parts, this.deadline, this.events);
     router.picker.countRequest(request);
-    const choice = router.picker.pick(request, tried, tried.size);
+    const choice = router.picker.pick(request, attemptedRunners, attemptedRunners.size);
     if ("status" in choice) {
       this.onRefusal(choice.retryAfterS);
       return;
@@ -107,71 +108,69 @@
     choice.runner.connections.release(choice.connection, true);
     const model = this.fleet.runners.get(choice.runner.id)!;
     choice.runner.inflight += 1;
-    const tripMs = router.region === model.region ? SAME_REGION_TRIP_MS : this.scenario.trip_ms;
-    const send: Send = { router, runner: choice.runner, model, ticket: choice.observer, request, tried, tripMs };
-    this.fleet.clock.schedule(tripMs, () => this.submit(send));
+    const oneWayDelayMs = router.region === model.region ? SAME_REGION_TRIP_MS : this.scenario.trip_ms;
+    const send: Send = { router, runner: choice.runner, model, observer: choice.observer, request, attemptedRunners, oneWayDelayMs };
+    this.fleet.clock.schedule(oneWayDelayMs, () => this.submit(send));
   }
 
   private submit(send: Send): void {
     const { fleet, kind } = this;
-    const { router, runner, model, ticket } = send;
+    const { router, runner, model, observer } = send;
     const tokens = system.publishPrefill(fleet.clock, fleet.routers, router, model.id, send.request);
     const sentAt = fleet.clock.now();
-    const recordFirstEvent = this.first.bind(this, send.tripMs);
-    const recordEnd = this.ended.bind(this);
     let hasFirst = false;
-    const isTaken = model.submit({
+    const isAccepted = model.submit({
       parts: this.parts,
       events: this.events,
       priority: kind.priority,
       deadline: this.deadline,
-      first(): void {
+      onFirstEvent: () => {
         hasFirst = true;
         router.prefillTracker.learnRate(tokens, fleet.clock.now() - sentAt);
         runner.recordReceived(fleet.clock.now());
-        ticket.recordFirstEvent();
-        recordFirstEvent();
+        observer.recordFirstEvent();
+        this.recordFirstEvent(send.oneWayDelayMs);
       },
-      ended(isWhole): void {
+      onEnd: (isComplete) => {
         runner.inflight -= 1;
-        ticket.recordEnd(isWhole ? "complete" : "stopped");
-        recordEnd(isWhole && hasFirst);
+        observer.recordEnd(isComplete ? "complete" : "stopped");
+        this.recordEnd(isComplete && hasFirst);
       },
     });
-    if (isTaken) {
-      this.record.admitted += 1;
+    if (isAccepted) {
+      this.record.admissions += 1;
       return;
     }
     runner.inflight -= 1;
-    ticket.recordEnd("not_run");
+    observer.recordEnd("not_run");
     runner.recordRejection(fleet.clock.now(), false);
-    send.tried.add(model.id);
-    if (send.tried.size < MAX_SENDS) this.send(router, send.tried);
-    else this.onRefusal(HANDED_BACK_RETRY_S);
+    send.attemptedRunners.add(model.id);
+    if (send.attemptedRunners.size < MAX_SENDS_PER_ATTEMPT) this.send(router, send.attemptedRunners);
+    else this.onRefusal(REJECTED_BY_RUNNERS_RETRY_AFTER_S);
   }
 
-  private first(tripMs: number): void {
-    const firstMs = this.fleet.clock.now() + tripMs - this.startedAt;
-    const isInAim = firstMs <= this.kind.aim_ms;
-    this.record.outcome = isInAim ? "in_aim" : "late";
-    if (!isInAim) this.record.worth = WORTH.late;
-    else this.record.worth = this.record.tries === 1 ? WORTH.inAim : WORTH.inAimAfterRetry;
+  private recordFirstEvent(oneWayDelayMs: number): void {
+    const firstEventMs = this.fleet.clock.now() + oneWayDelayMs - this.attemptStartedAt;
+    const isOnTarget = firstEventMs <= this.kind.aim_ms;
+    this.record.outcome = isOnTarget ? "in_aim" : "late";
+    if (!isOnTarget) this.record.value = OUTCOME_VALUE.late;
+    else this.record.value = this.record.attempts === 1 ? OUTCOME_VALUE.onTarget : OUTCOME_VALUE.onTargetAfterRetry;
   }
 
-  private ended(isWhole: boolean): void {
-    if (isWhole) return;
+  private recordEnd(isComplete: boolean): void {
+    if (isComplete) return;
     this.record.outcome = "too_late";
-    this.record.worth = 0;
+    this.record.value = 0;
   }
 
   private onRefusal(retryAfterS: number): void {
-    const { clock: world } = this.fleet;
-    this.record.refusedMs.push(world.now() - this.startedAt);
+    const { clock } = this.fleet;
+    this.record.refusalLatenciesMs.push(clock.now() - this.attemptStartedAt);
     this.record.retryAfterS.push(retryAfterS);
-    this.record.unused.push(this.fleet.unused());
-    const left = this.deadline - world.now();
-    const waitMs = Math.min(retryAfterS * 1000, left * HONOURED_SHARE);
-    if (this.record.tries >= MAX_TRIES || left - waitMs < MIN_TIME_LEFT_MS) this.record.outcome = "refused";
-    else world.schedule(waitMs, () => this.start());
+    this.record.freeCapacity.push(this.fleet.freeCapacity());
+    const remainingMs = this.deadline - clock.now();
+    const waitMs = Math.min(retryAfterS * 1000, remainingMs * MAX_WAIT_FRACTION);
+    if (this.record.attempts >= MAX_ATTEMPTS || remainingMs - waitMs < MIN_TIME_LEFT_MS) this.record.outcome = "refused";
+    else clock.schedule(waitMs, () => this.startAttempt());
   }
 }
--- a/src/whatif/outcome.ts
+++ b/src/whatif/outcome.ts
@@ -32,7 +32,7 @@
 const TENTH = 0.1;
 const THREE_TENTHS = 0.3;
 
-function at(sorted: readonly number[], share: number): number {
+function quantile(sorted: readonly number[], share: number): number {
   return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
 }
 
@@ -41,14 +41,14 @@
 }
 
 function bySize(left: client.RequestRecord, right: client.RequestRecord): number {
-  return right.size - left.size;
+  return right.relativeSize - left.relativeSize;
 }
 
 function isServed(item: client.RequestRecord): boolean {
   return item.outcome === "in_aim" || item.outcome === "late";
 }
 
-function shareServed(items: readonly client.RequestRecord[]): number {
+function servedFraction(items: readonly client.RequestRecord[]): number {
   return items.length === 0 ? 1 : Math.round((1000 * items.filter(isServed).length) / items.length) / 1000;
 }
 
@@ -58,13 +58,13 @@
   return values.length === 0 ? 0 : Math.round((1000 * sum) / values.length) / 1000;
 }
 
-function worthOf(item: client.RequestRecord): number {
-  return item.worth;
+function valueOf(item: client.RequestRecord): number {
+  return item.value;
 }
 
 /** Counts the requests of one kind. */
-export function rowOf(kind: string, isOn: boolean, items: readonly client.RequestRecord[]): Row {
-  const times = items.flatMap(refusedOf).sort(byNumber);
+export function buildRow(kind: string, isOn: boolean, items: readonly client.RequestRecord[]): Row {
+  const times = items.flatMap(refusalLatenciesOf).sort(byNumber);
   const sorted = [...items].sort(bySize);
   const tenth = Math.round(items.length * TENTH);
   const three = Math.round(items.length * THREE_TENTHS);
@@ -72,7 +72,7 @@
   let admitted = 0;
   for (const item of items) {
     counts.set(item.outcome, (counts.get(item.outcome) ?? 0) + 1);
-    if (item.admitted > 0) admitted += 1;
+    if (item.admissions > 0) admitted += 1;
   }
   return {
     kind,
@@ -85,23 +85,23 @@
     lost: counts.get("open") ?? 0,
     refused: counts.get("refused") ?? 0,
     refusals: times.length,
-    refusal_p50_ms: at(times, 0.5),
-    refusal_p99_ms: at(times, 0.99),
+    refusal_p50_ms: quantile(times, 0.5),
+    refusal_p99_ms: quantile(times, 0.99),
     refusal_worst_ms: Math.round(times[times.length - 1] ?? 0),
-    unused: mean(items.flatMap(unusedOf)),
-    worth: mean(items.map(worthOf)),
-    largest: shareServed(sorted.slice(0, tenth)),
-    large: shareServed(sorted.slice(tenth, three)),
-    served: shareServed(items),
+    unused: mean(items.flatMap(freeCapacityOf)),
+    worth: mean(items.map(valueOf)),
+    largest: servedFraction(sorted.slice(0, tenth)),
+    large: servedFraction(sorted.slice(tenth, three)),
+    served: servedFraction(items),
   };
 }
 
-function refusedOf(item: client.RequestRecord): number[] {
-  return item.refusedMs;
+function refusalLatenciesOf(item: client.RequestRecord): number[] {
+  return item.refusalLatenciesMs;
 }
 
-function unusedOf(item: client.RequestRecord): number[] {
-  return item.unused;
+function freeCapacityOf(item: client.RequestRecord): number[] {
+  return item.freeCapacity;
 }
 
 /** The same day with and without admission. */
@@ -109,12 +109,12 @@
   const made: Row[] = [];
   for (const isOn of [false, true]) {
     const records = new overload.OverloadDay(scenario, isOn).play();
-    for (const kind of scenario.kinds) made.push(rowOf(kind.name, isOn, records.filter(isOf.bind(null, kind.name))));
+    for (const kind of scenario.kinds) made.push(buildRow(kind.name, isOn, records.filter(isOfKind.bind(null, kind.name))));
   }
   return made;
 }
 
-function isOf(kind: string, item: client.RequestRecord): boolean {
+function isOfKind(kind: string, item: client.RequestRecord): boolean {
   return item.kind === kind;
 }
 
--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -10,10 +10,10 @@
 import * as system from "./system.js";
 import * as plannedClock from "./planned-clock.js";
 
-const REPORT_MS = 600;
-const DEAL_MS = 500;
-const TIMER_MS = 100;
-const LONGEST_SIZE = 3;
+const REPORT_INTERVAL_MS = 600;
+const LIMIT_ASSIGNMENT_INTERVAL_MS = 500;
+const LAG_SAMPLE_INTERVAL_MS = 100;
+const MAX_RELATIVE_SIZE = 3;
 
 /** One day; to be played once. The same scenario and seed give the same records. */
 export class OverloadDay implements client.OverloadedFleet {
@@ -22,11 +22,11 @@
   readonly clock: plannedClock.PlannedClock;
   readonly runners = new Map<string, batch.BatchRunner>();
   readonly routers: system.ModelRouter[] = [];
-  private readonly lags = new Map<system.ModelRouter, number>();
+  private readonly eventLoopDelays = new Map<system.ModelRouter, number>();
   private readonly owner: simulatedLeaseOwner.SimulatedLeaseOwner;
   private runnersStarted = 0;
-  /** Chance of its own, so that the same clients come whatever the routers do. */
-  private readonly chance: plannedClock.PlannedClock;
+  /** A random sequence of its own: arrivals are the same whatever the routers do. */
+  private readonly arrivalRandom: plannedClock.PlannedClock;
 
   constructor(
     private readonly scenario: scenarios.Scenario,
@@ -34,7 +34,7 @@
   ) {
     this.clock = new plannedClock.PlannedClock(scenario.seed);
     this.owner = new simulatedLeaseOwner.SimulatedLeaseOwner(this.clock, system.BOUNDS);
-    this.chance = new plannedClock.PlannedClock(scenario.seed + 1);
+    this.arrivalRandom = new plannedClock.PlannedClock(scenario.seed + 1);
     const table = system.buildRouteTable(scenario);
     const regions = scenario.regions.map(nameOf);
     for (const region of scenario.regions) {
@@ -55,32 +55,32 @@
 
   /** Plays the day to the end of its last request. */
   play(): client.RequestRecord[] {
-    const list = system.buildInstances([...this.runners.values()].map(standing), this.scenario.runner.capacity, new Map());
+    const list = system.buildInstances([...this.runners.values()].map(runnerState), this.scenario.runner.capacity, new Map());
     for (const router of this.routers) router.fleet.applySnapshot(list);
-    this.deal();
-    this.report();
-    this.onTimer();
+    this.assignLimitShares();
+    this.publishReports();
+    this.recordLags();
     for (const fault of this.scenario.faults) this.clock.schedule(fault.at_s * 1000, () => this.injectFault(fault));
-    for (const kind of this.scenario.kinds) this.clock.schedule(this.gap(kind), () => this.arrive(kind));
+    for (const kind of this.scenario.kinds) this.clock.schedule(this.nextInterarrivalMs(kind), () => this.generateArrival(kind));
     this.clock.play(this.scenario.length_s * 1000);
-    // What is at work at the end is played to its end; nobody new arrives.
+    // Requests in flight are played to their end; no new ones arrive.
     this.clock.play(this.scenario.length_s * 2000 + 60_000);
     return this.records;
   }
 
-  private isOver(): boolean {
+  private isArrivalPeriodOver(): boolean {
     return this.clock.now() >= this.scenario.length_s * 1000;
   }
 
-  private deal(): void {
+  private assignLimitShares(): void {
     for (const [index, router] of this.routers.entries()) {
       router.limits.setRouterCount(this.routers.length);
       this.owner.renewLeases(`router-${index}`, router.limits);
     }
-    this.clock.schedule(DEAL_MS, () => this.deal());
+    this.clock.schedule(LIMIT_ASSIGNMENT_INTERVAL_MS, () => this.assignLimitShares());
   }
 
-  private report(): void {
+  private publishReports(): void {
     for (const region of this.scenario.regions) {
       function isHere(runner: batch.BatchRunner): boolean {
         return runner.region === region.name;
@@ -91,24 +91,24 @@
         router.picker.admission.applyReport({ region: region.name, reports });
       }
     }
-    this.clock.schedule(REPORT_MS, () => this.report());
+    this.clock.schedule(REPORT_INTERVAL_MS, () => this.publishReports());
   }
 
-  private onTimer(): void {
-    for (const [router, ms] of this.lags) router.picker.admission.recordLag(ms);
-    this.clock.schedule(TIMER_MS, () => this.onTimer());
+  private recordLags(): void {
+    for (const [router, ms] of this.eventLoopDelays) router.picker.admission.recordLag(ms);
+    this.clock.schedule(LAG_SAMPLE_INTERVAL_MS, () => this.recordLags());
   }
 
   private injectFault(fault: scenarios.Fault): void {
     const end = fault.for_s * 1000;
-    const { lags } = this;
+    const { eventLoopDelays: lags } = this;
     function isThere(item: { region: string }): boolean {
       return item.region === fault.region;
     }
     if (fault.kind === "slow_router") {
       const router = this.routers.find(isThere);
       if (!router) return;
-      lags.set(router, fault.factor * TIMER_MS);
+      lags.set(router, fault.factor * LAG_SAMPLE_INTERVAL_MS);
       function quick(): void {
         lags.delete(router!);
       }
@@ -117,14 +117,14 @@
     if (fault.kind !== "slow_runner") return;
     const runner = [...this.runners.values()].find(isThere);
     if (!runner) return;
-    runner.slow = fault.factor;
+    runner.slowdownFactor = fault.factor;
     function healed(): void {
-      runner!.slow = 1;
+      runner!.slowdownFactor = 1;
     }
     this.clock.schedule(end, healed);
   }
 
-  private surge(kind: scenarios.Kind): number {
+  private surgeFactor(kind: scenarios.Kind): number {
     const at = this.clock.now() / 1000;
     let factor = 1;
     for (const surge of this.scenario.surges) {
@@ -133,15 +133,15 @@
     return factor;
   }
 
-  private gap(kind: scenarios.Kind): number {
-    return (-Math.log(1 - this.chance.random()) * 1000) / (kind.turns_per_s * this.surge(kind));
+  private nextInterarrivalMs(kind: scenarios.Kind): number {
+    return (-Math.log(1 - this.arrivalRandom.random()) * 1000) / (kind.turns_per_s * this.surgeFactor(kind));
   }
 
-  private arrive(kind: scenarios.Kind): void {
-    if (this.isOver()) return;
-    this.clock.schedule(this.gap(kind), () => this.arrive(kind));
-    const session = `${kind.name}-${Math.floor(this.chance.random() * kind.sessions)}`;
-    const size = Math.min(LONGEST_SIZE, 0.5 - 0.5 * Math.log(1 - this.chance.random()));
+  private generateArrival(kind: scenarios.Kind): void {
+    if (this.isArrivalPeriodOver()) return;
+    this.clock.schedule(this.nextInterarrivalMs(kind), () => this.generateArrival(kind));
+    const session = `${kind.name}-${Math.floor(this.arrivalRandom.random() * kind.sessions)}`;
+    const size = Math.min(MAX_RELATIVE_SIZE, 0.5 - 0.5 * Math.log(1 - this.arrivalRandom.random()));
     const parts: promptParts.PromptPart[] = [
       { id: `c-${kind.name}`, tokens: kind.common_tokens },
       { id: `s-${session}`, tokens: kind.session_tokens },
@@ -150,37 +150,37 @@
     const events = Math.max(1, Math.round(kind.events * size));
     const record: client.RequestRecord = {
       kind: kind.name,
-      at: this.clock.now(),
-      size,
+      arrivedAt: this.clock.now(),
+      relativeSize: size,
       outcome: "open",
-      tries: 0,
-      refusedMs: [],
+      attempts: 0,
+      refusalLatenciesMs: [],
       retryAfterS: [],
-      unused: [],
-      admitted: 0,
-      worth: 0,
+      freeCapacity: [],
+      admissions: 0,
+      value: 0,
       session,
     };
     this.records.push(record);
-    new client.ClientRequest(this, this.scenario, kind, parts, events, record).start();
+    new client.ClientRequest(this, this.scenario, kind, parts, events, record).startAttempt();
   }
 
   pickRouter(): system.ModelRouter {
     return this.routers[Math.floor(this.clock.random() * this.routers.length)];
   }
 
-  lagOf(router: system.ModelRouter): number {
-    return this.lags.get(router) ?? 0;
+  eventLoopDelayMs(router: system.ModelRouter): number {
+    return this.eventLoopDelays.get(router) ?? 0;
   }
 
-  unused(): number {
+  freeCapacity(): number {
     let free = 0;
-    for (const runner of this.runners.values()) free += runner.freePlaces();
+    for (const runner of this.runners.values()) free += runner.freeSlots();
     return free / (this.runners.size * this.scenario.runner.capacity);
   }
 }
 
-function standing(runner: batch.BatchRunner): system.RunnerState {
+function runnerState(runner: batch.BatchRunner): system.RunnerState {
   return { id: runner.id, region: runner.region, isUp: true };
 }
 
--- a/src/whatif/play.ts
+++ b/src/whatif/play.ts
@@ -7,7 +7,7 @@
 import * as system from "./system.js";
 import * as plannedClock from "./planned-clock.js";
 
-/** Where a request lies to the faults of the day. */
+/** When a request arrived, relative to the faults of the day. */
 export type Phase = "before" | "during" | "after";
 
 /** One request; `firstMs` is null where it was denied, tokens are those of the earlier turns. */
@@ -36,7 +36,7 @@
 const DEADLINE_MS = 60_000;
 const SAME_REGION_TRIP_MS = 0.5;
 const LIMIT_ASSIGNMENT_INTERVAL_MS = 100;
-/** How long routers go on sending to lost runners. */
+/** How long routers keep sending to lost runners. */
 const LOSS_DETECTION_MS = 600;
 
 /** One day; to be played once. The same scenario and seed give the same records. */
@@ -100,16 +100,16 @@
     if (fault.kind === "drain") {
       this.evacuated.add(fault.region);
       this.publishEvacuations();
-      this.clock.schedule(end, this.endEvacuation.bind(this, fault.region));
+      this.clock.schedule(end, () => this.endEvacuation(fault.region));
       return;
     }
     for (const runner of [...this.runners.values()]) {
       if (runner.region !== fault.region || !runner.isUp) continue;
-      runner.lose();
+      runner.fail();
       this.clock.schedule(end, () => this.replaceRunner(runner));
       if (fault.kind === "lose_runner") break;
     }
-    // Routers hear of it when the report stays out; until then sends there fail and go on.
+    // Routers detect the loss by the missing report; until then their requests to these runners fail and are retried.
     this.clock.schedule(LOSS_DETECTION_MS, () => this.publishRunners());
   }
 
@@ -180,11 +180,10 @@
     runner.inflight += 1;
     runner.recordReceived(now);
     this.count(turn, now - turn.startedAt + 2 * tripMs + firstMs, unread, model.id);
-    function ended(): void {
+    this.clock.schedule(endMs, () => {
       model.active -= 1;
       runner.inflight -= 1;
-    }
-    this.clock.schedule(endMs, ended);
+    });
   }
 
   private currentPhase(): Phase {
--- a/src/whatif/runner.ts
+++ b/src/whatif/runner.ts
@@ -16,19 +16,19 @@
 /** One runner of a what-if day. */
 export class ModelRunner {
   private readonly cachedPrompts = new prefillTracker.PrefillTracker();
-  private readingUntil = 0;
+  private prefillEndsAt = 0;
   active = 0;
   isUp = true;
 
   constructor(
     readonly id: string,
     readonly region: string,
-    private readonly figures: scenarios.Scenario["runner"],
+    private readonly parameters: scenarios.Scenario["runner"],
   ) {}
 
   /** It hands requests back. */
   isFull(): boolean {
-    return this.active >= this.figures.capacity * 2;
+    return this.active >= this.parameters.capacity * 2;
   }
 
   /** When the first and the last event leave, from now on. */
@@ -36,16 +36,16 @@
     const keys = promptParts.prefixKeys(parts);
     const unread = this.cachedPrompts.uncachedTokens(this.id, parts, keys);
     this.cachedPrompts.recordPrefill(this.id, unread, keys, nowMs);
-    this.readingUntil = Math.max(nowMs, this.readingUntil) + unread / this.figures.tokens_per_ms;
-    const eventMs = this.figures.event_ms * (1 + this.active / this.figures.capacity);
-    const firstMs = this.readingUntil - nowMs + eventMs;
+    this.prefillEndsAt = Math.max(nowMs, this.prefillEndsAt) + unread / this.parameters.tokens_per_ms;
+    const eventMs = this.parameters.event_ms * (1 + this.active / this.parameters.capacity);
+    const firstMs = this.prefillEndsAt - nowMs + eventMs;
     return { firstMs, endMs: firstMs + (events - 1) * eventMs, unread };
   }
 
   /** The runner is lost with all it had cached. */
-  lose(): void {
+  fail(): void {
     this.isUp = false;
     this.cachedPrompts.retainOnly(new Set());
-    this.readingUntil = 0;
+    this.prefillEndsAt = 0;
   }
 }
--- a/src/whatif/simulated-lease-owner.ts
+++ b/src/whatif/simulated-lease-owner.ts
@@ -23,7 +23,7 @@
     this.owner = new leaseOwner.LeaseOwner(clock, INCARNATION, bounds, tenure);
   }
 
-  /** What a router's turn of asking comes to, without a way between. */
+  /** Sends a router's lease request to the owner and applies the reply, both without delay. */
   renewLeases(router: string, limits: leasedLimits.LeasedLimits): void {
     const request: leaseSchema.LeaseAsk = {
       router,
--- a/src/whatif/system.ts
+++ b/src/whatif/system.ts
@@ -1,4 +1,4 @@
-/** The router's own policies, several routers of them, over a planned world and model runners (design 11.2). */
+/** The router's own policies, several routers of them, over a planned clock and model runners (design 11.2). */
 import * as configurationCheck from "../config/configuration-check.js";
 import * as routeTable from "../config/route-table.js";
 import * as runnerPicker from "../router/runner-picker.js";
@@ -38,7 +38,7 @@
     this.picker.routeTable = table;
   }
 
-  /** As the router's program does: a reading is known to the weighing and to the status of its runner. */
+  /** Records a prefill for runner selection and for the runner's status, as a router process does. */
   recordPrefill(runner: string, unread: number, keys: readonly number[], now: number): void {
     this.prefillTracker.recordPrefill(runner, unread, keys, now);
     this.fleet.recordPrefill(types.small(runner), unread / this.prefillTracker.tokensPerMs);
@@ -78,7 +78,7 @@
   };
 }
 
-/** A runner as the list of the platform shows it. */
+/** A runner as the platform's list shows it. */
 export interface RunnerState {
   readonly id: string;
   readonly region: string;
@@ -108,7 +108,7 @@
   return made;
 }
 
-/** A request as the router's front would make it. */
+/** Builds a request as the router's HTTP server would. */
 export function buildRequest(
   entry: routeTable.RouteEntry,
   requestId: string,
@@ -133,7 +133,10 @@
   };
 }
 
-/** Notes a reading where it is sent from, and tells the other routers a moment later, as signs do. */
+/**
+ * Records a prefill at the sending router, and at the others after the delay of a hint.
+ * Returns the number of uncached tokens.
+ */
 export function publishPrefill(
   clock: types.Clock,
   routers: readonly ModelRouter[],
--- a/src/whatif/table.ts
+++ b/src/whatif/table.ts
@@ -27,14 +27,14 @@
           return item.kind === kind && item.phase === phase && item.isFirstTurn === isFirst;
         }
         const items = records.filter(isIn);
-        if (items.length > 0) made.push(rowOf(kind, phase, isFirst ? "first" : "later", items));
+        if (items.length > 0) made.push(buildRow(kind, phase, isFirst ? "first" : "later", items));
       }
     }
   }
   return made;
 }
 
-function rowOf(kind: string, phase: play.Phase, turns: string, items: readonly play.RequestRecord[]): Row {
+function buildRow(kind: string, phase: play.Phase, turns: string, items: readonly play.RequestRecord[]): Row {
   const times: number[] = [];
   let tokens = 0;
   let unread = 0;
@@ -52,14 +52,14 @@
     turns,
     count: items.length,
     denied: items.length - times.length,
-    p50: at(times, 0.5),
-    p99: at(times, 0.99),
+    p50: quantile(times, 0.5),
+    p99: quantile(times, 0.99),
     keptPercent: tokens > 0 ? Math.round((100 * (tokens - unread)) / tokens) : 0,
     moved,
   };
 }
 
-function at(sorted: readonly number[], share: number): number {
+function quantile(sorted: readonly number[], share: number): number {
   return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
 }
 
--- a/tests/overload.test.ts
+++ b/tests/overload.test.ts
@@ -50,7 +50,7 @@
   const scenario = scenarioOf(AFTERNOON, { faults: [] });
   const asked = new overload.OverloadDay(scenario, true).play();
   const rows = scenario.kinds.map((kind) =>
-    outcome.rowOf(
+    outcome.buildRow(
       kind.name,
       true,
       asked.filter((item) => item.kind === kind.name),
@@ -59,11 +59,11 @@
   expect(sum(rows, "too_late")).toBeLessThanOrEqual(sum(rows, "admitted") / 100);
   expect(asked.filter((item) => item.outcome === "open")).toEqual([]);
   // Every refusal is told at once; Retry-After does not send the refused back together.
-  expect(Math.max(...asked.flatMap((item) => item.refusedMs))).toBeLessThanOrEqual(200);
+  expect(Math.max(...asked.flatMap((item) => item.refusalLatenciesMs))).toBeLessThanOrEqual(200);
   expect(new Set(asked.flatMap((item) => item.retryAfterS).map((value) => value.toFixed(2))).size).toBeGreaterThan(50);
   // Sessions that keep asking are served at last.
   const asking = new Map<string, boolean[]>();
-  for (const item of asked) asking.set(item.session, [...(asking.get(item.session) ?? []), item.worth > 0]);
+  for (const item of asked) asking.set(item.session, [...(asking.get(item.session) ?? []), item.value > 0]);
   const starved = [...asking.values()].filter((list) => list.length >= 4 && !list.includes(true));
   expect(starved).toEqual([]);
 });
@@ -72,7 +72,7 @@
   const scenario = scenarioOf(NIGHT);
   const asked = new overload.OverloadDay(scenario, true).play();
   const rows = scenario.kinds.map((kind) =>
-    outcome.rowOf(
+    outcome.buildRow(
       kind.name,
       true,
       asked.filter((item) => item.kind === kind.name),
@@ -86,7 +86,7 @@
 test("a day without surges beyond the room denies nobody", () => {
   const scenario = scenarioOf(AFTERNOON, { faults: [], length_s: 40, surges: [{ at_s: 10, for_s: 10, kind: "price-draft", factor: 1.2 }] });
   const asked = new overload.OverloadDay(scenario, true).play();
-  expect(asked.flatMap((item) => item.refusedMs)).toEqual([]);
+  expect(asked.flatMap((item) => item.refusalLatenciesMs)).toEqual([]);
   expect(asked.filter((item) => item.outcome !== "in_aim").length).toBeLessThanOrEqual(asked.length / 100);
 });
 
--- a/tests/selection.test.ts
+++ b/tests/selection.test.ts
@@ -62,7 +62,7 @@
   expect(scenario.isErr && scenario.error.message).toMatch(message);
 });
 
-test("the planned world plays in order and leaves out what was stopped", () => {
+test("the planned clock plays in order and leaves out what was stopped", () => {
   const world = new plannedClock.PlannedClock(3);
   const seen: number[] = [];
   const ticks = [50, 10, 30, 20, 40, 10].map((ms, index) => world.schedule(ms, () => seen.push(index)));
--- a/tests/sim/simulated-runners.ts
+++ b/tests/sim/simulated-runners.ts
@@ -1,4 +1,4 @@
-// Many routers before many runners in a planned world: the very fleets, policies and attempts, with runners
+// Many routers before many runners on a planned clock: the very fleets, policies and attempts, with runners
 // played by a function, and signs between the routers.
 import * as runnerAttempt from "../../src/router/runner-attempt.js";
 import type * as runnerEndpoint from "../../src/runners/runner-endpoint.js";
