--- a/src/control/leases/lease-server.ts
+++ b/src/control/leases/lease-server.ts
@@ -48,13 +48,13 @@
     this.quotas.registerHandlers(handlers, contact);
   }
 
-  private handleLease(request: leaseSchema.LeaseAsk, contact: quorumContact.QuorumContact): leaseSchema.LeaseReply {
+  private handleLease(request: leaseSchema.LeaseRequest, contact: quorumContact.QuorumContact): leaseSchema.LeaseReply {
     this.applyChosen();
     return this.owner.reply(request, contact.isConfirmed() ? this.replica.acceptedVoterEpoch : null);
   }
 
   /** What this voter knows of the voters, for another control node that wants to own its slot. */
-  private handleFence(request: leaseSchema.FenceAsk): leaseSchema.FenceReply {
+  private handleFence(request: leaseSchema.FenceRequest): leaseSchema.FenceReply {
     this.applyChosen();
     const { disk, acceptedVoterEpoch, acceptedEpoch, chosen } = this.replica;
     return {
--- a/src/control/leases/quota-server.ts
+++ b/src/control/leases/quota-server.ts
@@ -56,7 +56,7 @@
     handlers.on(calls.quota, (_from, request) => this.reply(request, contact));
   }
 
-  private reply(request: tenantSchema.QuotaAsk, contact: quorumContact.QuorumContact): tenantSchema.QuotaReply {
+  private reply(request: tenantSchema.QuotaRequest, contact: quorumContact.QuorumContact): tenantSchema.QuotaReply {
     this.applyChosen();
     const { replica } = this;
     const given = this.owner.reply(request, replica.acceptedVoterEpoch);
--- a/src/control/members/membership-exchange.ts
+++ b/src/control/members/membership-exchange.ts
@@ -43,7 +43,7 @@
       const update = this.ownMembership.deltaSince(offset ?? -1);
       if (update.isWhole) log.count("members.snapshots");
       log.count("members.entries", update.nodes.length + update.gone.length);
-      to.send(calls.sessions, haveControlsChanged || update.isWhole ? { ...update, controls } : update);
+      to.send(calls.rosterUpdate, haveControlsChanged || update.isWhole ? { ...update, controls } : update);
       if (offset === undefined) to.once("end", () => this.forgetOffset(to));
       this.offsets.set(to, this.ownMembership.newestNumber);
     }
@@ -61,7 +61,7 @@
   }
 
   /** Applies a peer's update; after a gap a snapshot is requested from it. */
-  receive(peer: string, from: link.Link, update: schema.Sessions): void {
+  receive(peer: string, from: link.Link, update: schema.RosterUpdate): void {
     const report = this.reports.get(peer) ?? this.newReport();
     const now = this.clock.now();
     report.receivedAt = now;
@@ -69,7 +69,7 @@
     if (report.membership.applyUpdate(update) || now - report.requestedAt < SNAPSHOT_REQUEST_INTERVAL_MS) return;
     report.requestedAt = now;
     log.count("members.gap");
-    from.send(calls.whole, { _: false });
+    from.send(calls.requestRoster, { _: false });
   }
 
   private newReport(): PeerReport {
--- a/src/control/members/membership.ts
+++ b/src/control/members/membership.ts
@@ -51,7 +51,7 @@
   }
 
   /** A heartbeat of a node with a session: whether it is ready, and the epoch in force there. */
-  receiveHeartbeat(from: link.Link, heartbeat: schema.Beat): void {
+  receiveHeartbeat(from: link.Link, heartbeat: schema.Heartbeat): void {
     const session = this.sessions.ofLink(from);
     if (!session) return;
     const { node } = session;
@@ -63,7 +63,7 @@
   }
 
   /** A snapshot or delta of a peer's membership; after a gap a snapshot is requested from it. */
-  receivePeerMembership(from: link.Link, update: schema.Sessions): void {
+  receivePeerMembership(from: link.Link, update: schema.RosterUpdate): void {
     const session = this.sessions.ofLink(from);
     if (!session) return;
     const peer = session.node.name;
@@ -93,12 +93,12 @@
    * Sends a heartbeat to each node with a session, with the number of routers: connections and capacities are divided by it
    * (design 7.6). Control nodes get `base.index`, the features of this node, and each router its index among the routers.
    */
-  sendHeartbeats(base: Omit<schema.Beat, "members">): void {
+  sendHeartbeats(base: Omit<schema.Heartbeat, "members">): void {
     const routers = this.routers();
     const indexes = new Map(routers.map(({ node }, index) => [node.name, index]));
     for (const { node, link } of this.sessions.all()) {
       const index = node.role === "control" ? base.index : (indexes.get(node.name) ?? 0);
-      link.send(calls.beat, { ...base, index, members: Math.max(1, routers.length) });
+      link.send(calls.heartbeat, { ...base, index, members: Math.max(1, routers.length) });
     }
   }
 
--- a/src/control/members/peer-membership.ts
+++ b/src/control/members/peer-membership.ts
@@ -18,7 +18,7 @@
   }
 
   /** Applies a snapshot or a delta. False: an update is missing, so that the caller must request a snapshot. */
-  applyUpdate(update: schema.Sessions): boolean {
+  applyUpdate(update: schema.RosterUpdate): boolean {
     if (update.isWhole) this.clear();
     else if (update.life !== this.incarnation || update.from !== this.number) return false;
     for (const name of update.gone) this.set(name, null);
--- a/src/control/members/published-membership.ts
+++ b/src/control/members/published-membership.ts
@@ -89,10 +89,10 @@
   }
 
   /** The delta since change `from`; a snapshot when the peer's number is unknown (-1) or older than what is remembered. */
-  deltaSince(from: number): schema.Sessions {
+  deltaSince(from: number): schema.RosterUpdate {
     const isSnapshot = from < this.oldestDeltaNumber || from > this.number;
     const after = isSnapshot ? BEFORE_ALL : from;
-    const update: schema.Sessions = {
+    const update: schema.RosterUpdate = {
       life: this.incarnation,
       isWhole: isSnapshot,
       from: after,
--- a/src/control/members/session-handlers.ts
+++ b/src/control/members/session-handlers.ts
@@ -30,18 +30,18 @@
     if (hello.node.role === "control") dial.dialWithoutBackoff(hello.node.address);
     return { node: parts.describe(), controls: parts.controls(), place: parts.feedIncarnation, isConfirmed: contact.isConfirmed() };
   });
-  handlers.on(calls.beat, (from, heartbeat) => {
+  handlers.on(calls.heartbeat, (from, heartbeat) => {
     members.receiveHeartbeat(from, heartbeat);
     dial.receiveHeartbeat(from, heartbeat);
     if (heartbeat.epoch > (replica.chosen?.epoch ?? types.NO_EPOCH)) void replica.catchUp(from, heartbeat.epoch);
     return null;
   });
-  handlers.on(calls.sessions, (from, update) => {
+  handlers.on(calls.rosterUpdate, (from, update) => {
     members.receivePeerMembership(from, update);
     dial.addControls(update.controls);
     return null;
   });
-  handlers.on(calls.whole, (from) => {
+  handlers.on(calls.requestRoster, (from) => {
     members.forgetOffset(from);
     return null;
   });
--- a/src/control/platform/endpoint-watcher.ts
+++ b/src/control/platform/endpoint-watcher.ts
@@ -60,7 +60,7 @@
   }
 
   /** Applies a peer's update. The reply names the list held now: on a difference, the peer sends a snapshot. */
-  receiveUpdate(change: schema.Change): schema.HeldList {
+  receiveUpdate(change: schema.Change): schema.ListPosition {
     this.receivedAt = this.clock.now();
     if (change.digest !== this.endpoints.digest || !this.hasList) {
       const plan = this.endpoints.applyUpdate(change, this.clock.now());
--- a/src/control/platform/fleet-observer.ts
+++ b/src/control/platform/fleet-observer.ts
@@ -70,7 +70,7 @@
   /** Registers the calls of peers and routers. */
   registerHandlers(handlers: link.Handlers): void {
     handlers.on(calls.instances, (_from, change) => this.watcher.receiveUpdate(change));
-    handlers.on(calls.signs, (from, hints) => {
+    handlers.on(calls.hints, (from, hints) => {
       this.relay.receive(from, hints);
       return null;
     });
--- a/src/experiment/tenants.ts
+++ b/src/experiment/tenants.ts
@@ -111,7 +111,7 @@
     times,
     keyCheckUs,
     grantUs: grantUs(clock, list, times),
-    askBytes: tenantSchema.quotaAsk.toBuffer(ask).length,
+    askBytes: tenantSchema.quotaRequest.toBuffer(ask).length,
     replyBytes: tenantSchema.quotaReply.toBuffer(reply).length,
     itemBytes: items.get("tenant:tenant-1")!.length,
     firstSplitMs,
--- a/src/feed/control-node.ts
+++ b/src/feed/control-node.ts
@@ -8,7 +8,7 @@
   node: schema.NodeInfo;
   feedIncarnation: string;
   link: link.Link;
-  heartbeat: schema.Beat | null;
+  heartbeat: schema.Heartbeat | null;
   /** When the last heartbeat came, or the hello, on the own clock. */
   heartbeatAt: number;
   /** Whether its hello said that it is confirmed; isConfirmed() uses the newest heartbeat. */
--- a/src/feed/dialer.ts
+++ b/src/feed/dialer.ts
@@ -220,7 +220,7 @@
   }
 
   /** Records a heartbeat; one over a link that this side did not dial is ignored. */
-  receiveHeartbeat(from: link.Link, beat: schema.Beat): void {
+  receiveHeartbeat(from: link.Link, beat: schema.Heartbeat): void {
     for (const control of this.controls.values()) {
       if (control.link !== from) continue;
       control.heartbeat = beat;
@@ -231,8 +231,8 @@
   }
 
   /** Sends a heartbeat to all control nodes with links. */
-  sendHeartbeats(beat: schema.Beat): void {
-    for (const control of this.controls.values()) control.link.send(calls.beat, beat);
+  sendHeartbeats(beat: schema.Heartbeat): void {
+    for (const control of this.controls.values()) control.link.send(calls.heartbeat, beat);
   }
 
   /** Ends all links for good. */
--- a/src/feed/feed-publisher.ts
+++ b/src/feed/feed-publisher.ts
@@ -61,7 +61,7 @@
   }
 
   /** The offset up to which the subscriber holds the topic; null when it needs a snapshot. */
-  offsetToResumeFrom(place: string, own: string, wanted: schema.Wanted): number | null {
+  offsetToResumeFrom(place: string, own: string, wanted: schema.TopicSubscription): number | null {
     const isOwn = place === own && wanted.from > 0 && wanted.from <= this.offset;
     const from = isOwn ? wanted.from : this.offsetsByDigest.get(wanted.digest);
     return from !== undefined && from >= this.oldestOffset ? from : null;
@@ -155,14 +155,14 @@
 
   /** Registers the handler of subscriptions. */
   registerHandlers(handlers: link.Handlers): void {
-    handlers.on(calls.follow, (from, ask) => {
+    handlers.on(calls.subscribe, (from, ask) => {
       this.subscribe(from, ask);
       return null;
     });
   }
 
   /** Sets what the subscriber receives, and sends at once what it lacks of each topic. */
-  subscribe(subscriber: link.Link, ask: schema.Follow): void {
+  subscribe(subscriber: link.Link, ask: schema.Subscribe): void {
     let modes = this.subscribers.get(subscriber);
     if (!modes) {
       modes = new Map();
@@ -181,7 +181,7 @@
   }
 
   /** What the subscriber lacks as a delta, or a snapshot. */
-  private missingChange(place: string, wanted: schema.Wanted, topic: Topic): schema.Change {
+  private missingChange(place: string, wanted: schema.TopicSubscription, topic: Topic): schema.Change {
     const from = topic.offsetToResumeFrom(place, this.incarnation, wanted);
     if (from === null) return this.changeMessage(wanted.topic, topic, keyedItems.EMPTY_DIGEST, true, topic.snapshot());
     return this.changeMessage(wanted.topic, topic, wanted.digest, false, keyedItems.packChanges(topic.changesSince(from)));
--- a/src/feed/feed-replica.ts
+++ b/src/feed/feed-replica.ts
@@ -52,13 +52,13 @@
   }
 
   /** Requests what this replica lacks of the topic: a delta where the publisher can make one. */
-  subscription(topic: string, mode: feedPublisher.SubscriptionMode, place: string): schema.Wanted {
+  subscription(topic: string, mode: feedPublisher.SubscriptionMode, place: string): schema.TopicSubscription {
     const current = this.topics.get(topic);
     return { topic, mode, from: current && current.incarnation === place ? current.offset : 0, digest: this.digest(topic) };
   }
 
   /** Requests a snapshot of the topic. */
-  snapshotSubscription(topic: string, mode: feedPublisher.SubscriptionMode): schema.Wanted {
+  snapshotSubscription(topic: string, mode: feedPublisher.SubscriptionMode): schema.TopicSubscription {
     return { topic, mode, from: 0, digest: types.small("") };
   }
 
--- a/src/feed/feed-subscriber.ts
+++ b/src/feed/feed-subscriber.ts
@@ -52,7 +52,7 @@
   ) {
     handlers.on(calls.change, (from, change) => this.receiveChange(from, change));
     handlers.on(calls.notice, (from, notice) => this.receiveNotice(from, notice));
-    handlers.on(calls.beat, (from, heartbeat) => this.receiveHeartbeat(from, heartbeat));
+    handlers.on(calls.heartbeat, (from, heartbeat) => this.receiveHeartbeat(from, heartbeat));
     dial.on("up", (control) => this.addControlNode(control));
     dial.on("down", (control) => this.removeControlNode(control));
   }
@@ -68,11 +68,11 @@
     this.selectPrimary();
   }
 
-  private requestTopics(control: controlNode.ControlNode, topics: schema.Wanted[]): void {
-    control.link.send(calls.follow, { place: control.feedIncarnation, topics });
+  private requestTopics(control: controlNode.ControlNode, topics: schema.TopicSubscription[]): void {
+    control.link.send(calls.subscribe, { place: control.feedIncarnation, topics });
   }
 
-  private receiveHeartbeat(from: link.Link, heartbeat: schema.Beat): null {
+  private receiveHeartbeat(from: link.Link, heartbeat: schema.Heartbeat): null {
     this.dial.receiveHeartbeat(from, heartbeat);
     return null;
   }
@@ -103,7 +103,7 @@
   }
 
   private unsubscribe(control: controlNode.ControlNode): void {
-    const topics: schema.Wanted[] = [];
+    const topics: schema.TopicSubscription[] = [];
     for (const topic of this.subscribed) {
       topics.push(this.replica.subscription(topic, topic === feedTopics.REGISTER_TOPIC ? "notices" : "none", control.feedIncarnation));
     }
@@ -117,19 +117,19 @@
 
   /** `known`: the topics that the primary already sends. */
   private resubscribe(known: ReadonlySet<string>): void {
-    const { primary: main, replica: mirror } = this;
-    if (!main) return;
+    const { primary, replica } = this;
+    if (!primary) return;
     const needed = new Set([feedTopics.REGISTER_TOPIC, ...this.topics()]);
-    const topics: schema.Wanted[] = [];
-    for (const topic of needed) if (!known.has(topic)) topics.push(mirror.subscription(topic, "items", main.feedIncarnation));
+    const topics: schema.TopicSubscription[] = [];
+    for (const topic of needed) if (!known.has(topic)) topics.push(replica.subscription(topic, "items", primary.feedIncarnation));
     for (const topic of this.subscribed) {
       if (needed.has(topic)) continue;
-      if (known.has(topic)) topics.push(mirror.subscription(topic, "none", main.feedIncarnation));
-      const keys = mirror.remove(topic);
+      if (known.has(topic)) topics.push(replica.subscription(topic, "none", primary.feedIncarnation));
+      const keys = replica.remove(topic);
       this.listener.onUnsubscribe(topic, keys);
     }
     this.subscribed = needed;
-    if (topics.length > 0) this.requestTopics(main, topics);
+    if (topics.length > 0) this.requestTopics(primary, topics);
   }
 
   /** Whether the first snapshot of each needed topic of a kind has come. */
--- a/src/hints/hint-batch.ts
+++ b/src/hints/hint-batch.ts
@@ -15,7 +15,7 @@
   /** Hashes of runners that became unresponsive with requests in flight. */
   silent: number[];
   /** Long prompts sent to a runner: its hash, the uncached tokens, and the keys of the parts. */
-  readings: schema.ReadingSign[];
+  readings: schema.PrefillHint[];
 }
 
 function dropOldest(entries: Map<number, unknown> | Set<number>): void {
@@ -29,7 +29,7 @@
 /** The hints until the next frame, bounded in entries and keys. */
 export class HintBatch {
   private readonly unresponsive = new Set<number>();
-  private readonly prefills = new Map<number, schema.ReadingSign>();
+  private readonly prefills = new Map<number, schema.PrefillHint>();
 
   /** Whether there is nothing to send. */
   get isEmpty(): boolean {
@@ -43,7 +43,7 @@
   }
 
   /** Adds a prompt that was sent to a runner to the runner's earlier ones. */
-  addPrefill(prefill: schema.ReadingSign): void {
+  addPrefill(prefill: schema.PrefillHint): void {
     const before = this.prefills.get(prefill.runner);
     const keys = new Set([...(before?.keys ?? []), ...prefill.keys]);
     this.prefills.set(prefill.runner, {
@@ -64,6 +64,6 @@
 }
 
 /** An upper bound of an entry's bytes in a frame: varints of the hash, tokens and keys, and the ends of its array. */
-export function maxBytesOf(prefill: schema.ReadingSign): number {
+export function maxBytesOf(prefill: schema.PrefillHint): number {
   return 10 + 5 * prefill.keys.length;
 }
--- a/src/hints/hint-exchange.ts
+++ b/src/hints/hint-exchange.ts
@@ -28,14 +28,14 @@
     clock: types.Clock,
     private readonly runnerHashes: runnerHash.RunnerHashes<types.RunnerId>,
     private readonly handler: HintHandler,
-    private readonly publish: (hints: schema.Signs) => void,
+    private readonly publish: (hints: schema.Hints) => void,
   ) {
     this.throttle = new throttle.Throttle(clock, () => this.flush());
   }
 
   /** Registers the call by which hints arrive. */
   register(handlers: link.Handlers): void {
-    handlers.on(calls.signs, (_from, hints) => {
+    handlers.on(calls.hints, (_from, hints) => {
       this.receive(hints);
       return null;
     });
@@ -59,7 +59,7 @@
   }
 
   /** Hints of other routers have arrived; unknown runners are counted and ignored. */
-  receive(hints: schema.Signs): void {
+  receive(hints: schema.Hints): void {
     const unresponsive: types.RunnerId[] = [];
     for (const hash of hints.silent) {
       const id = this.runnerHashes.idOf(hash);
--- a/src/hints/hint-relay.ts
+++ b/src/hints/hint-relay.ts
@@ -77,7 +77,7 @@
   }
 
   /** Hints have arrived by this link, from a router or from another control node. */
-  receive(from: Peer, hints: schema.Signs): void {
+  receive(from: Peer, hints: schema.Hints): void {
     let pending = this.pending.get(from);
     if (!pending) {
       pending = { from, isRelayed: hints.isRelayed, batch: new hintBatch.HintBatch() };
@@ -99,7 +99,7 @@
     this.pending.clear();
     if (!toPeers.isEmpty) {
       const frame = { isRelayed: true, ...toPeers.drain() };
-      for (const peer of this.targets.peers()) peer.send(calls.signs, frame);
+      for (const peer of this.targets.peers()) peer.send(calls.hints, frame);
     }
     const perS = routerBytesPerS(this.targets.routerCount());
     for (const [router, batch] of toRouters) this.send(router, batch.drain(), perS);
@@ -135,7 +135,7 @@
   /** Sends all unresponsive runners, and of the prefills the newest that the router's token bucket allows. */
   private send(router: Peer, frame: hintBatch.HintFrame, perS: number): void {
     const bucket = this.bucketOf(router, perS);
-    const prefills: schema.ReadingSign[] = [];
+    const prefills: schema.PrefillHint[] = [];
     for (const prefill of [...frame.readings].reverse()) {
       const bytes = hintBatch.maxBytesOf(prefill);
       if (bytes > bucket.bytes) break;
@@ -145,7 +145,7 @@
     if (prefills.length < frame.readings.length) log.count("signs.dropped", frame.readings.length - prefills.length);
     if (prefills.length === 0 && frame.silent.length === 0) return;
     log.count("signs.relayed");
-    router.send(calls.signs, { isRelayed: true, silent: frame.silent, readings: prefills.reverse() });
+    router.send(calls.hints, { isRelayed: true, silent: frame.silent, readings: prefills.reverse() });
   }
 
   private bucketOf(router: Peer, perS: number): TokenBucket {
--- a/src/limits/lease-owner.ts
+++ b/src/limits/lease-owner.ts
@@ -51,7 +51,7 @@
   }
 
   /** Replies to a router. `accepted`: the newest voter epoch on the own disk; null: this node is not confirmed now and grants nothing. */
-  reply(ask: leaseSchema.LeaseAsk, accepted: types.Epoch | null): leaseSchema.LeaseReply {
+  reply(ask: leaseSchema.LeaseRequest, accepted: types.Epoch | null): leaseSchema.LeaseReply {
     const now = this.clock.now();
     this.expireLeases(now);
     if (ask.life === this.incarnation) for (const done of ask.done) this.endLease(ask.router, done, now);
@@ -67,7 +67,7 @@
     if (amount <= 0) return;
     const id = this.nextId;
     this.nextId += 1;
-    const lifeMs = need.kind === leaseSchema.COLD ? WARM_UP_LEASE_MS : RETRY_LEASE_MS;
+    const lifeMs = need.kind === leaseSchema.SLOW_START ? WARM_UP_LEASE_MS : RETRY_LEASE_MS;
     this.leases.set(id, { router, pool: limit, amount, reportDueAt: now + lifeMs + REPORT_TIMEOUT_MS });
     grants.push({ id, kind: need.kind, key: need.key, amount, lifeMs });
   }
@@ -108,7 +108,7 @@
   private shareFor(key: string, perS: number): limitShares.LimitShare {
     const { slot, slots } = this.ownership;
     const name = key.slice(1);
-    if (key.startsWith(String(leaseSchema.COLD))) return limitShares.warmUpShare(this.bounds, slots, slot, name, perS);
+    if (key.startsWith(String(leaseSchema.SLOW_START))) return limitShares.warmUpShare(this.bounds, slots, slot, name, perS);
     return limitShares.retryShare(this.bounds, slots, slot, name);
   }
 
@@ -120,7 +120,7 @@
     const key = `${need.kind}${need.key}`;
     let limit = this.limits.get(key);
     if (!limit) {
-      const memoryMs = need.kind === leaseSchema.COLD ? WARM_UP_MEMORY_MS : this.bounds.retry_window_s * 1000;
+      const memoryMs = need.kind === leaseSchema.SLOW_START ? WARM_UP_MEMORY_MS : this.bounds.retry_window_s * 1000;
       limit = {
         pool: new tokenPool.TokenPool(this.shareFor(key, need.perS), this.earnedSince(), now, memoryMs),
         perS: need.perS,
--- a/src/limits/leased-limits.ts
+++ b/src/limits/leased-limits.ts
@@ -81,8 +81,8 @@
 
   /** Whether a retry is available now; one that is not is recorded as demand. */
   canRetry(service: string): boolean {
-    if (this.hasOwnRetry(this.windowOf(service)) || this.leases.has(leaseSchema.TRIES, service)) return true;
-    this.leases.recordDemand(leaseSchema.TRIES, service, 0);
+    if (this.hasOwnRetry(this.windowOf(service)) || this.leases.has(leaseSchema.RETRY_BUDGET, service)) return true;
+    this.leases.recordDemand(leaseSchema.RETRY_BUDGET, service, 0);
     this.leases.isShort = true;
     return false;
   }
@@ -95,8 +95,8 @@
       this.recordTaken(window, null);
       return true;
     }
-    this.leases.recordDemand(leaseSchema.TRIES, service, 0);
-    const lease = this.leases.takeUnit(leaseSchema.TRIES, service);
+    this.leases.recordDemand(leaseSchema.RETRY_BUDGET, service, 0);
+    const lease = this.leases.takeUnit(leaseSchema.RETRY_BUDGET, service);
     if (lease) this.recordTaken(window, lease);
     return lease !== null;
   }
@@ -116,8 +116,8 @@
 
   /** Takes one send to a warming runner; false when no lease on it is left. */
   takeWarmUpSend(runner: string, perS: number): boolean {
-    this.leases.recordDemand(leaseSchema.COLD, runner, perS);
-    return this.leases.takeUnit(leaseSchema.COLD, runner) !== null;
+    this.leases.recordDemand(leaseSchema.SLOW_START, runner, perS);
+    return this.leases.takeUnit(leaseSchema.SLOW_START, runner) !== null;
   }
 
   /** Seconds until such a send may be available again, if all routers demand it alike. */
--- a/src/limits/router-leases.ts
+++ b/src/limits/router-leases.ts
@@ -53,7 +53,7 @@
 
   /** Keeps one unit ready for a demand that may come soon, while the owners have plenty. */
   keepStandby(key: string, forMs: number): void {
-    this.demandOf(leaseSchema.TRIES, key, 0).standbyUntil = this.clock.now() + forMs;
+    this.demandOf(leaseSchema.RETRY_BUDGET, key, 0).standbyUntil = this.clock.now() + forMs;
   }
 
   private demandOf(kind: leaseSchema.Kind, key: string, perS: number): Demand {
@@ -61,7 +61,7 @@
     const demand = this.demands.get(name) ?? { kind, key, perS, requestedAt: [], standbyUntil: 0 };
     demand.perS = perS;
     // The one demanded last stands last.
-    if (kind === leaseSchema.COLD) this.demands.delete(name);
+    if (kind === leaseSchema.SLOW_START) this.demands.delete(name);
     this.demands.set(name, demand);
     return demand;
   }
@@ -87,7 +87,7 @@
     this.ended.set(lease.ownerIncarnation, done);
     lease.ownerIncarnation = "";
     // Capacity of a warming runner is scarce: the end of this lease is reported to its owner at once.
-    if (lease.kind === leaseSchema.COLD) this.isShort = true;
+    if (lease.kind === leaseSchema.SLOW_START) this.isShort = true;
   }
 
   has(kind: leaseSchema.Kind, key: string): boolean {
@@ -111,7 +111,7 @@
   private availableUnits(demand: Demand, now: number): number {
     let held = 0;
     for (const lease of this.openLeases(demand.kind, demand.key))
-      if (lease.expiresAt > now + EXPIRING_MS / (demand.kind === leaseSchema.COLD ? 4 : 1)) held += lease.unitsLeft;
+      if (lease.expiresAt > now + EXPIRING_MS / (demand.kind === leaseSchema.SLOW_START ? 4 : 1)) held += lease.unitsLeft;
     return held;
   }
 
@@ -122,7 +122,7 @@
     const needs: leaseSchema.Need[] = [];
     const cold: leaseSchema.Need[] = [];
     for (const [name, demand] of this.demands) {
-      const isCold = demand.kind === leaseSchema.COLD;
+      const isCold = demand.kind === leaseSchema.SLOW_START;
       const since = now - (isCold ? WARM_UP_DEMAND_WINDOW_MS : DEMAND_WINDOW_MS);
       while (demand.requestedAt.length > 0 && demand.requestedAt[0] < since) demand.requestedAt.shift();
       const isHot = demand.requestedAt.length > 0;
--- a/src/load/load-publisher.ts
+++ b/src/load/load-publisher.ts
@@ -27,7 +27,7 @@
   private instances: readonly schema.Instance[] = [];
   private regions: ReadonlyMap<types.RunnerId, string> = new Map();
   private readonly capacities = new Map<types.RunnerId, number>();
-  private readonly summaries = new Map<string, schema.Summary>();
+  private readonly summaries = new Map<string, schema.CellSummary>();
   private summarizedAt = -Infinity;
 
   constructor(
@@ -91,7 +91,7 @@
     const now = this.clock.now();
     if (now - this.summarizedAt < SUMMARY_INTERVAL_MS) return;
     this.summarizedAt = now;
-    const current = new Map<string, schema.Summary>();
+    const current = new Map<string, schema.CellSummary>();
     for (const known of this.regionReports.values()) {
       const here = this.instances.filter((instance) => this.regions.get(instance.id) === known.region);
       for (const [service, summary] of loadSummary.summarizeRegion(known, here, now)) {
--- a/src/load/load-summary.ts
+++ b/src/load/load-summary.ts
@@ -44,7 +44,7 @@
   known: regionReports.RegionReports,
   instances: Iterable<schema.Instance>,
   now: number,
-): Map<string, schema.Summary> {
+): Map<string, schema.CellSummary> {
   const sums = new Map<string, Totals>();
   for (const instance of instances) {
     let sum = sums.get(instance.service);
@@ -55,7 +55,7 @@
     addInstance(sum, instance, known.reports.get(instance.id));
   }
   const isFresh = now - known.receivedAt <= STALE_MS;
-  const summaries = new Map<string, schema.Summary>();
+  const summaries = new Map<string, schema.CellSummary>();
   for (const [service, { total, healthy, used, capacity, free }] of sums) {
     summaries.set(service, { isFresh, total, good: healthy, usage: toSteps(used, capacity), room: toSteps(free, capacity) });
   }
@@ -67,14 +67,14 @@
 }
 
 /** The summary to publish: a value that moves by only one step stays as published, so that it does not flap. */
-export function withHysteresis(published: schema.Summary | undefined, summary: schema.Summary): schema.Summary {
+export function withHysteresis(published: schema.CellSummary | undefined, summary: schema.CellSummary): schema.CellSummary {
   if (!published) return summary;
   return { ...summary, usage: keepWithinStep(published.usage, summary.usage), room: keepWithinStep(published.room, summary.room) };
 }
 
 /** The router's side: summaries by region and service, and the regions that need more than a summary. */
 export class LoadSummaries {
-  private readonly byKey = new Map<string, schema.Summary>();
+  private readonly byKey = new Map<string, schema.CellSummary>();
   private detailedRegions: ReadonlySet<string> = new Set();
   private requestedRegions = new Set<string>();
 
@@ -102,7 +102,7 @@
   }
 
   /** The summary; null when it is not fresh, or the region's reports are followed. */
-  summaryOf(region: string, service: string): schema.Summary | null {
+  summaryOf(region: string, service: string): schema.CellSummary | null {
     if (this.detailedRegions.has(region)) return null;
     const found = this.byKey.get(summaryKey(region, service));
     return found?.isFresh ? found : null;
@@ -110,6 +110,6 @@
 }
 
 /** The mean requests at a runner of this capacity by a summary's usage. */
-export function meanRequests(summary: schema.Summary, capacity: number): number {
+export function meanRequests(summary: schema.CellSummary, capacity: number): number {
   return (summary.usage / STEPS) * capacity;
 }
--- a/src/router/limit-borrower.ts
+++ b/src/router/limit-borrower.ts
@@ -21,7 +21,7 @@
   const base = Math.floor(need.wanted / ownerCount);
   const remainder = need.wanted % ownerCount;
   const isNext = (index + round) % ownerCount < remainder;
-  const wanted = base + (isNext || (need.isHot && need.kind === leaseSchema.TRIES && remainder > 0) ? 1 : 0);
+  const wanted = base + (isNext || (need.isHot && need.kind === leaseSchema.RETRY_BUDGET && remainder > 0) ? 1 : 0);
   return wanted > 0 ? { ...need, wanted } : null;
 }
 
--- a/src/router/prefill-sharing.ts
+++ b/src/router/prefill-sharing.ts
@@ -20,7 +20,7 @@
     private readonly fleet: runnerFleet.RunnerFleet,
     private readonly prefills: prefillTracker.PrefillTracker,
     private readonly load: loadReader.LoadReader,
-    send: (hints: schema.Signs) => void,
+    send: (hints: schema.Hints) => void,
   ) {
     this.hintExchange = new hintExchange.HintExchange(clock, load.runnerHashes, this, send);
   }
--- a/src/router/router-program.ts
+++ b/src/router/router-program.ts
@@ -165,8 +165,8 @@
     this.suspectUnreachableRegions();
   }
 
-  private sendHints(hints: schema.Signs): void {
-    this.follower.primary?.link.send(calls.signs, hints);
+  private sendHints(hints: schema.Hints): void {
+    this.follower.primary?.link.send(calls.hints, hints);
   }
 
   /** The runners of a region that can't be reached from here are suspected. */
--- a/src/tallies/peer-session.ts
+++ b/src/tallies/peer-session.ts
@@ -63,7 +63,7 @@
       isFull: this.acknowledgedOffsets === null,
       held,
     };
-    const reply = await this.control.link.call(calls.tallyBeat, heartbeat, HEARTBEAT_TIMEOUT_MS);
+    const reply = await this.control.link.call(calls.counterHeartbeat, heartbeat, HEARTBEAT_TIMEOUT_MS);
     this.isHeartbeatInFlight = false;
     if (!reply) return { isBehind: false };
     this.peers.recordAnswer(this.peer, sentAt);
@@ -91,7 +91,7 @@
       sending.sent += adds.length;
       sending.inFlight += 1;
       const sentAt = clock.now();
-      void this.control.link.call(calls.tallyPush, { stream, from, adds }, PUSH_TIMEOUT_MS).then((reply) => {
+      void this.control.link.call(calls.counterPush, { stream, from, adds }, PUSH_TIMEOUT_MS).then((reply) => {
         sending.inFlight -= 1;
         if (reply) {
           this.peers.recordAnswer(peer, sentAt);
--- a/src/tallies/peer-table.ts
+++ b/src/tallies/peer-table.ts
@@ -2,7 +2,7 @@
  * What this node knows of its peers: the durable offsets of their disks, and when they last answered a call (design/tallies 4).
  * Receiving heartbeats is not being in touch: behind a one-way partition heartbeats come in, and calls get no answer.
  */
-import type { TallyBeat } from "../wire/tally-schema.js";
+import type { CounterHeartbeat } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
 
 /** A peer is in touch while it has answered a call sent within this time: two heartbeats and a long round trip. */
@@ -60,7 +60,7 @@
   }
 
   /** Applies a heartbeat of a peer. */
-  applyHeartbeat(beat: TallyBeat): Peer {
+  applyHeartbeat(beat: CounterHeartbeat): Peer {
     const peer = this.getOrAdd(beat.address);
     if (peer.diskId !== beat.store) {
       peer.diskId = beat.store;
--- a/src/tallies/replication.ts
+++ b/src/tallies/replication.ts
@@ -9,7 +9,7 @@
 import * as calls from "../wire/calls.js";
 import * as features from "../wire/features.js";
 import type * as link from "../wire/link.js";
-import type { TallyBeat, TallyHeard, TallyKept, TallyPush } from "../wire/tally-schema.js";
+import type { CounterHeartbeat, CounterHeartbeatReply, CounterPushReply, TallyPush } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
 import type * as peerTable from "./peer-table.js";
 import * as peerSession from "./peer-session.js";
@@ -61,9 +61,9 @@
 
   /** Registers the handlers of the peers' calls. */
   registerHandlers(handlers: link.Handlers): void {
-    handlers.on(calls.tallyBeat, (from, beat) => this.receiveHeartbeat(from, beat));
-    handlers.on(calls.tallyPush, (_from, push) => this.receivePush(push));
-    handlers.on(calls.tallySnapshot, (_from, ask) => this.snapshots.readPart(ask));
+    handlers.on(calls.counterHeartbeat, (from, beat) => this.receiveHeartbeat(from, beat));
+    handlers.on(calls.counterPush, (_from, push) => this.receivePush(push));
+    handlers.on(calls.counterSnapshot, (_from, ask) => this.snapshots.readPart(ask));
   }
 
   /** Called each 100 ms. */
@@ -100,7 +100,7 @@
     });
   }
 
-  private receiveHeartbeat(from: link.Link, beat: TallyBeat): TallyHeard {
+  private receiveHeartbeat(from: link.Link, beat: CounterHeartbeat): CounterHeartbeatReply {
     if (beat.isFull) this.linksWithFullState.add(from);
     if (!this.linksWithFullState.has(from)) return { isKnown: false, isBehind: false };
     const peer = this.parts.peers.applyHeartbeat(beat);
@@ -116,7 +116,7 @@
     return false;
   }
 
-  private async receivePush({ stream, from, adds }: TallyPush): Promise<TallyKept | null> {
+  private async receivePush({ stream, from, adds }: TallyPush): Promise<CounterPushReply | null> {
     const { store } = this.parts;
     if (!store.isOpen) return null;
     await store.appendAdds(stream, from, adds);
--- a/src/tallies/snapshot-transfer.ts
+++ b/src/tallies/snapshot-transfer.ts
@@ -4,7 +4,7 @@
  */
 import * as calls from "../wire/calls.js";
 import type * as link from "../wire/link.js";
-import type { TallyRecord, TallySnapshotAsk, TallySnapshotPart } from "../wire/tally-schema.js";
+import type { TallyRecord, CounterSnapshotRequest, TallySnapshotPart } from "../wire/tally-schema.js";
 import type * as types from "../wire/types.js";
 import * as log from "../runtime/log.js";
 import type * as counterStore from "./counter-store.js";
@@ -35,7 +35,7 @@
   ) {}
 
   /** Returns the requested part; an empty token in the reply says that the snapshot has expired. */
-  readPart(ask: TallySnapshotAsk): TallySnapshotPart {
+  readPart(ask: CounterSnapshotRequest): TallySnapshotPart {
     const token = ask.token === "" ? this.begin() : ask.token;
     const snapshot = this.open.get(token);
     if (!snapshot || snapshot.next !== ask.part) return EXPIRED;
@@ -89,7 +89,7 @@
     const records: TallyRecord[] = [];
     let token = "";
     for (let part = 0; ; part += 1) {
-      const reply = await from.call(calls.tallySnapshot, { token, part }, PART_TIMEOUT_MS);
+      const reply = await from.call(calls.counterSnapshot, { token, part }, PART_TIMEOUT_MS);
       if (!reply || reply.token === "") return null;
       for (const record of reply.records) records.push(record);
       if (reply.isLast) return records;
--- a/src/tenants/quota-client.ts
+++ b/src/tenants/quota-client.ts
@@ -115,7 +115,7 @@
     if (claim.isPending) this.requestFromNextOwner(claim);
   }
 
-  private async call(source: quotaSources.Source, takings: tenantSchema.Taking[]): Promise<QuotaReply | null> {
+  private async call(source: quotaSources.Source, takings: tenantSchema.UnitRequest[]): Promise<QuotaReply | null> {
     const sentAt = this.clock.now();
     const reply = await source.control.link.call(calls.quota, { life: source.incarnation, takings }, UNIT_LIFETIME_MS);
     if (!reply) return null;
@@ -164,7 +164,7 @@
 }
 
 interface QuotaReply {
-  grants: readonly tenantSchema.Given[];
+  grants: readonly tenantSchema.UnitGrant[];
   until: types.SteadyMs;
   /** The units arrived after they expired: no request may use them. */
   isLate: boolean;
--- a/src/tenants/quota-owner.ts
+++ b/src/tenants/quota-owner.ts
@@ -59,13 +59,13 @@
   }
 
   /** accepted: the newest voter epoch on the own disk. Null: this node grants nothing now. */
-  reply(ask: tenantSchema.QuotaAsk, accepted: types.Epoch): tenantSchema.Given[] | null {
+  reply(ask: tenantSchema.QuotaRequest, accepted: types.Epoch): tenantSchema.UnitGrant[] | null {
     if (!this.tenure.isGranting(accepted)) return null;
     this.sweep();
     return ask.takings.map((taking) => this.give(taking, ask.life === this.life));
   }
 
-  private give(taking: tenantSchema.Taking, isOwnLife: boolean): tenantSchema.Given {
+  private give(taking: tenantSchema.UnitRequest, isOwnLife: boolean): tenantSchema.UnitGrant {
     const { tenant } = taking;
     const limit = this.limits.get(tenant);
     // A tenant without a limit here: the router's configuration is another than the chosen one for a moment.
--- a/src/tenants/quota-sources.ts
+++ b/src/tenants/quota-sources.ts
@@ -58,8 +58,8 @@
   }
 
   /** The same of all tenants. */
-  takeAllUnused(): tenantSchema.Taking[] {
-    const takings: tenantSchema.Taking[] = [];
+  takeAllUnused(): tenantSchema.UnitRequest[] {
+    const takings: tenantSchema.UnitRequest[] = [];
     for (const [tenant, unused] of this.unused) takings.push({ tenant, wanted: 0, unused });
     this.unused.clear();
     return takings;
--- a/src/whatif/simulated-lease-owner.ts
+++ b/src/whatif/simulated-lease-owner.ts
@@ -25,7 +25,7 @@
 
   /** Sends a router's lease request to the owner and applies the reply, both without delay. */
   renewLeases(router: string, limits: leasedLimits.LeasedLimits): void {
-    const request: leaseSchema.LeaseAsk = {
+    const request: leaseSchema.LeaseRequest = {
       router,
       life: INCARNATION,
       needs: limits.leases.needs(),
--- a/src/wire/calls.ts
+++ b/src/wire/calls.ts
@@ -7,10 +7,10 @@
 import * as tenantSchema from "./tenant-schema.js";
 
 /** A call: its code on the wire, and the codecs of both directions. */
-export interface Call<Ask, Reply> {
+export interface Call<Request, Reply> {
   readonly code: number;
   readonly name: string;
-  readonly request: schema.Schema<Ask>;
+  readonly request: schema.Schema<Request>;
   readonly reply: schema.Schema<Reply>;
 }
 
@@ -48,45 +48,45 @@
   return known.get(code);
 }
 
-/** A node introduces itself on a new link. */
+/** A node identifies itself on a new link. */
 export const hello = defineCall(1, "hello", schema.hello, schema.known);
 /** Sent with each heartbeat. */
-export const beat = defineCall(2, "beat", schema.beat, schema.empty);
-/** A control node's roster, to its siblings. */
-export const sessions = defineCall(3, "sessions", schema.sessions, schema.empty);
-/** First phase of a round. */
+export const heartbeat = defineCall(2, "beat", schema.heartbeat, schema.empty);
+/** What changed in a control node's roster, to its peers. */
+export const rosterUpdate = defineCall(3, "sessions", schema.sessions, schema.empty);
+/** First phase of a ballot. */
 export const prepare = defineCall(4, "prepare", schema.prepare, schema.vote);
-/** Second phase of a round. */
+/** Second phase of a ballot. */
 export const accept = defineCall(5, "accept", schema.accept, schema.vote);
 /** A value is known to be chosen. */
 export const chosen = defineCall(6, "chosen", schema.chosen, schema.empty);
-/** Asks for a newer chosen value. */
+/** Requests a newer chosen value. */
 export const ask = defineCall(7, "ask", schema.ask, schema.chosen);
-/** Which topics to send. */
-export const follow = defineCall(8, "follow", schema.follow, schema.empty);
+/** Subscribes to topics of the feed. */
+export const subscribe = defineCall(8, "follow", schema.subscribe, schema.empty);
 /** Items of a topic that changed. */
 export const change = defineCall(9, "change", schema.change, schema.empty);
 /** Changes of the platform's list, between control nodes. */
-export const instances = defineCall(10, "instances", schema.change, schema.heldList);
+export const instances = defineCall(10, "instances", schema.change, schema.listPosition);
 /** Reports of a region, between control nodes. */
 export const report = defineCall(11, "report", schema.cellReport, schema.empty);
 /** What routers saw of runners. */
-export const signs = defineCall(12, "signs", schema.signs, schema.empty);
+export const hints = defineCall(12, "signs", schema.hints, schema.empty);
 /** A topic has moved on. */
 export const notice = defineCall(13, "notice", schema.notice, schema.empty);
 /** A router asks for leases. */
-export const lease = defineCall(40, "lease", leaseSchema.leaseAsk, leaseSchema.leaseReply);
+export const lease = defineCall(40, "lease", leaseSchema.leaseRequest, leaseSchema.leaseReply);
 /** Asks what a voter knows. */
-export const fence = defineCall(41, "fence", leaseSchema.fenceAsk, leaseSchema.fenceReply);
-/** Control nodes that were met. */
+export const fence = defineCall(41, "fence", leaseSchema.fenceRequest, leaseSchema.fenceReply);
+/** Control nodes known to the sender. */
 export const controls = defineCall(20, "controls", schema.controls, schema.empty);
-/** Asks for a whole roster. */
-export const whole = defineCall(21, "whole", schema.empty, schema.empty);
+/** Requests a snapshot of a peer's roster. */
+export const requestRoster = defineCall(21, "whole", schema.empty, schema.empty);
 
 // Of batches (design/batch 11).
-/** First phase of a round of the batch register. */
+/** First phase of a ballot of the batch register. */
 export const batchPrepare = defineOptionalCall(44, "batch_prepare", schema.prepare, schema.vote);
-/** Second phase of a round of the batch register. */
+/** Second phase of a ballot of the batch register. */
 export const batchAccept = defineOptionalCall(45, "batch_accept", schema.accept, schema.vote);
 /** A value of the batch register is known to be chosen. */
 export const batchChosen = defineOptionalCall(46, "batch_chosen", schema.chosen, schema.empty);
@@ -107,7 +107,7 @@
 
 // Of tenants: used only while a configuration with tenants is in force (design/tenants 6).
 /** A router asks for units of quotas, and for a control node's word on the configuration. */
-export const quota = defineOptionalCall(54, "quota", tenantSchema.quotaAsk, tenantSchema.quotaReply);
+export const quota = defineOptionalCall(54, "quota", tenantSchema.quotaRequest, tenantSchema.quotaReply);
 
 // Of orders: sent only to nodes that name the feature in their beats (features.ts).
 /** An operator's order, passed on to the control node that proposes for all. */
@@ -115,8 +115,8 @@
 
 // Of tallies: sent only to nodes that name the feature in their beats (design/tallies 4).
 /** What a control node holds of all tallies. */
-export const tallyBeat = defineOptionalCall(56, "tally_beat", tallySchema.tallyBeat, tallySchema.tallyHeard);
+export const counterHeartbeat = defineOptionalCall(56, "tally_beat", tallySchema.counterHeartbeat, tallySchema.counterHeartbeatReply);
 /** Adds that a control node lacks; replied to once they are durable there. */
-export const tallyPush = defineOptionalCall(57, "tally_push", tallySchema.tallyPush, tallySchema.tallyKept);
+export const counterPush = defineOptionalCall(57, "tally_push", tallySchema.tallyPush, tallySchema.counterPushReply);
 /** Asks for a part of a snapshot of all tallies. */
-export const tallySnapshot = defineOptionalCall(58, "tally_snapshot", tallySchema.tallySnapshotAsk, tallySchema.tallySnapshotPart);
+export const counterSnapshot = defineOptionalCall(58, "tally_snapshot", tallySchema.counterSnapshotRequest, tallySchema.tallySnapshotPart);
--- a/src/wire/features.ts
+++ b/src/wire/features.ts
@@ -14,6 +14,6 @@
 export const OWN_FEATURES = FORWARDED_ORDERS | TALLIES;
 
 /** Whether the sender of the beat has the feature; builds from before features say 0. */
-export function hasFeature(beat: schema.Beat, feature: number): boolean {
+export function hasFeature(beat: schema.Heartbeat, feature: number): boolean {
   return (beat.index & feature) !== 0;
 }
--- a/src/wire/feed-schema.ts
+++ b/src/wire/feed-schema.ts
@@ -4,19 +4,19 @@
 import type * as types from "./types.js";
 
 /** mode: items, notices, once or none (design/parts 1.3). */
-export interface Wanted {
+export interface TopicSubscription {
   topic: string;
   mode: string;
   from: number;
   digest: types.Digest;
 }
 /** Topics that a follower wants. */
-export interface Follow {
+export interface Subscribe {
   place: string;
-  topics: Wanted[];
+  topics: TopicSubscription[];
 }
 /** Codec of Follow. */
-export const follow = avro.record<Follow>("Follow", [
+export const subscribe = avro.record<Subscribe>("Follow", [
   { name: "place", type: "string" },
   {
     name: "topics",
--- a/src/wire/signs-schema.ts
+++ b/src/wire/hint-schema.ts
@@ -3,7 +3,7 @@
 import * as avro from "./avro.js";
 
 /** A prompt sent to be read: the runner's mark, its unread tokens, the chained keys of the unread parts. */
-export interface ReadingSign {
+export interface PrefillHint {
   runner: number;
   unread: number;
   keys: number[];
@@ -19,13 +19,13 @@
 });
 
 /** What routers tell each other of runners: marks of silent ones, and readings. isRelayed ends its way (design/usage 2). */
-export interface Signs {
+export interface Hints {
   isRelayed: boolean;
   silent: number[];
-  readings: ReadingSign[];
+  readings: PrefillHint[];
 }
 /** Codec of Signs. */
-export const signs = avro.record<Signs>("Signs", [
+export const hints = avro.record<Hints>("Signs", [
   { name: "isRelayed", type: "boolean" },
   { name: "silent", type: { type: "array", items: "int" } },
   { name: "readings", type: { type: "array", items: readingSignType } },
--- a/src/wire/lease-schema.ts
+++ b/src/wire/lease-schema.ts
@@ -4,11 +4,11 @@
 import * as types from "./types.js";
 
 /** Further tries of a service. */
-export const TRIES = 0;
+export const RETRY_BUDGET = 0;
 /** Sends to a cold runner. */
-export const COLD = 1;
+export const SLOW_START = 1;
 /** What is leased. */
-export type Kind = typeof TRIES | typeof COLD;
+export type Kind = typeof RETRY_BUDGET | typeof SLOW_START;
 
 const needType = avscTypes.Type.forSchema({
   type: "record",
@@ -64,14 +64,14 @@
 }
 
 /** router: the life of the asking process; life: the life of the owner whose leases ended. */
-export interface LeaseAsk {
+export interface LeaseRequest {
   router: string;
   life: string;
   needs: Need[];
   done: Done[];
 }
 /** Codec of LeaseAsk. */
-export const leaseAsk = schema.record<LeaseAsk>("LeaseAsk", [
+export const leaseRequest = schema.record<LeaseRequest>("LeaseAsk", [
   { name: "router", type: "string" },
   { name: "life", type: "string" },
   { name: "needs", type: { type: "array", items: needType } },
@@ -92,11 +92,11 @@
 ]);
 
 /** What the asker holds to be chosen. */
-export interface FenceAsk {
+export interface FenceRequest {
   voterEpoch: types.Epoch;
 }
 /** Codec of FenceAsk. */
-export const fenceAsk = schema.record<FenceAsk>("FenceAsk", [{ name: "voterEpoch", type: "long" }]);
+export const fenceRequest = schema.record<FenceRequest>("FenceAsk", [{ name: "voterEpoch", type: "long" }]);
 
 /** The newest voter epoch accepted on that disk, and for how long (ms) the asked one is known as chosen; -1: not. */
 export interface FenceState {
--- a/src/wire/usage-schema.ts
+++ b/src/wire/load-schema.ts
@@ -2,7 +2,7 @@
 import * as avro from "./avro.js";
 
 /** A runner's report in the topic of its cell; the key names the runner. kvStep: sixty-fourths of kvCapacity (design/usage 3.1). */
-export interface Usage {
+export interface RunnerUsage {
   isSpeaking: boolean;
   active: number;
   waiting: number;
@@ -10,7 +10,7 @@
   kvCapacity: number;
 }
 /** Codec of Usage. */
-export const usage = avro.record<Usage>("Usage", [
+export const usage = avro.record<RunnerUsage>("Usage", [
   { name: "isSpeaking", type: "boolean" },
   { name: "active", type: "int" },
   { name: "waiting", type: "int" },
@@ -19,7 +19,7 @@
 ]);
 
 /** One service in one region; usage and room in sixteenths of its capacity (design/usage 4.2). */
-export interface Summary {
+export interface CellSummary {
   isFresh: boolean;
   total: number;
   good: number;
@@ -27,7 +27,7 @@
   room: number;
 }
 /** Codec of Summary. */
-export const summary = avro.record<Summary>("Summary", [
+export const summary = avro.record<CellSummary>("Summary", [
   { name: "isFresh", type: "boolean" },
   { name: "total", type: "int" },
   { name: "good", type: "int" },
--- a/src/wire/schema.ts
+++ b/src/wire/schema.ts
@@ -6,8 +6,8 @@
 export * from "./avro.js";
 export * from "./feed-schema.js";
 export * from "./register-schema.js";
-export * from "./signs-schema.js";
-export * from "./usage-schema.js";
+export * from "./hint-schema.js";
+export * from "./load-schema.js";
 
 /** The release of the frames' layout. Add one with any change to a message or its code (design/edge 3.4). */
 export const RELEASE = 2;
@@ -145,7 +145,7 @@
  * name is that of a field which older builds send as 0. silentRegions: of these it hears no control node now
  * (design/members 4).
  */
-export interface Beat {
+export interface Heartbeat {
   isReady: boolean;
   epoch: types.Epoch;
   isSettled: boolean;
@@ -154,7 +154,7 @@
   silentRegions: string[];
 }
 /** Codec of Beat. */
-export const beat = avro.record<Beat>("Beat", [
+export const heartbeat = avro.record<Heartbeat>("Beat", [
   { name: "isReady", type: "boolean" },
   { name: "epoch", type: "long" },
   { name: "isSettled", type: "boolean" },
@@ -167,7 +167,7 @@
  * A control node's roster (itself, and the routers whose sessions it holds): what changed after number `from` of the
  * sender's life, or all of it when isWhole. count and digest are those of the whole roster at `number`.
  */
-export interface Sessions {
+export interface RosterUpdate {
   life: string;
   isWhole: boolean;
   from: number;
@@ -180,7 +180,7 @@
   controls: ControlInfo[];
 }
 /** Codec of Sessions. */
-export const sessions = avro.record<Sessions>("Sessions", [
+export const sessions = avro.record<RosterUpdate>("Sessions", [
   { name: "life", type: "string" },
   { name: "isWhole", type: "boolean" },
   { name: "from", type: "long" },
@@ -205,11 +205,11 @@
 ]);
 
 /** What a sibling holds of a list after it was told a change. */
-export interface HeldList {
+export interface ListPosition {
   digest: types.Digest;
 }
 /** Codec of HeldList. */
-export const heldList = avro.record<HeldList>("HeldList", [{ name: "digest", type: "string" }]);
+export const listPosition = avro.record<ListPosition>("HeldList", [{ name: "digest", type: "string" }]);
 
 /** Reports of one region. */
 export interface CellReport {
--- a/src/wire/tally-schema.ts
+++ b/src/wire/tally-schema.ts
@@ -49,7 +49,7 @@
 }
 
 /** A node's word on what it holds on disk, to another control node, each 300 ms. */
-export interface TallyBeat {
+export interface CounterHeartbeat {
   /** The node's internal address, and whether its loss is counted. */
   address: string;
   isCounted: boolean;
@@ -63,7 +63,7 @@
   held: StreamPosition[];
 }
 /** Codec of TallyBeat. */
-export const tallyBeat = avro.record<TallyBeat>("TallyBeat", [
+export const counterHeartbeat = avro.record<CounterHeartbeat>("TallyBeat", [
   { name: "address", type: "string" },
   { name: "isCounted", type: "boolean" },
   { name: "store", type: "string" },
@@ -74,12 +74,12 @@
 ]);
 
 /** `isKnown`: false where all streams must be told; `isBehind`: the teller lacks adds that only a snapshot has. */
-export interface TallyHeard {
+export interface CounterHeartbeatReply {
   isKnown: boolean;
   isBehind: boolean;
 }
 /** Codec of TallyHeard. */
-export const tallyHeard = avro.record<TallyHeard>("TallyHeard", [
+export const counterHeartbeatReply = avro.record<CounterHeartbeatReply>("TallyHeard", [
   { name: "isKnown", type: "boolean" },
   { name: "isBehind", type: "boolean" },
 ]);
@@ -98,23 +98,23 @@
 ]);
 
 /** Told once the pushed adds are durable: how much of the stream the disk holds. */
-export interface TallyKept {
+export interface CounterPushReply {
   store: string;
   position: number;
 }
 /** Codec of TallyKept. */
-export const tallyKept = avro.record<TallyKept>("TallyKept", [
+export const counterPushReply = avro.record<CounterPushReply>("TallyKept", [
   { name: "store", type: "string" },
   { name: "position", type: "long" },
 ]);
 
 /** Asks for a part of a snapshot; the first ask of one has part 0 and no token. */
-export interface TallySnapshotAsk {
+export interface CounterSnapshotRequest {
   token: string;
   part: number;
 }
 /** Codec of TallySnapshotAsk. */
-export const tallySnapshotAsk = avro.record<TallySnapshotAsk>("TallySnapshotAsk", [
+export const counterSnapshotRequest = avro.record<CounterSnapshotRequest>("TallySnapshotAsk", [
   { name: "token", type: "string" },
   { name: "part", type: "int" },
 ]);
--- a/src/wire/tenant-schema.ts
+++ b/src/wire/tenant-schema.ts
@@ -23,27 +23,27 @@
 });
 
 /** wanted: requests that wait for a unit; unused: ids of earlier grants, each as often as units of it were not used. */
-export interface Taking {
+export interface UnitRequest {
   tenant: string;
   wanted: number;
   unused: number[];
 }
 
 /** amount: units granted, all under one id; waitMs: how long until the next one where fewer were granted than wanted, else 0. */
-export interface Given {
+export interface UnitGrant {
   amount: number;
   id: number;
   waitMs: number;
 }
 
 /** A router's ask; without takings it only asks for the owner's word on the configuration. */
-export interface QuotaAsk {
+export interface QuotaRequest {
   /** The owner's life that the unused units came from. */
   life: string;
-  takings: Taking[];
+  takings: UnitRequest[];
 }
 /** Codec of QuotaAsk. */
-export const quotaAsk = schema.record<QuotaAsk>("QuotaAsk", [
+export const quotaRequest = schema.record<QuotaRequest>("QuotaAsk", [
   { name: "life", type: "string" },
   { name: "takings", type: { type: "array", items: takingType } },
 ]);
@@ -54,7 +54,7 @@
   /** Whether a majority of the voters confirmed the epoch as the newest (design/hardening/1-cut-off). */
   isConfirmed: boolean;
   epoch: types.Epoch;
-  given: Given[];
+  given: UnitGrant[];
 }
 /** Codec of QuotaReply. */
 export const quotaReply = schema.record<QuotaReply>("QuotaReply", [
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -176,7 +176,7 @@
   await fleet.clock.play(8000);
   for (const router of fleet.routers.slice(0, 6)) router.kill();
   await fleet.clock.play(1000);
-  const places = (): schema.Beat[] => fleet.routers.slice(6).map((router) => [...router.dial.controls.values()][0].heartbeat!);
+  const places = (): schema.Heartbeat[] => fleet.routers.slice(6).map((router) => [...router.dial.controls.values()][0].heartbeat!);
   for (const control of fleet.controls.values()) expect(view(control)).toHaveLength(12);
   expect(places().map((beat) => beat.members)).toEqual([12, 12, 12, 12, 12, 12]);
   await fleet.clock.play(2500);
--- a/tests/hint-exchange.test.ts
+++ b/tests/hint-exchange.test.ts
@@ -11,10 +11,10 @@
 
 function makeExchange(clock: simulatedClock.SimulatedClock): {
   exchange: hintExchange.HintExchange;
-  published: schema.Signs[];
+  published: schema.Hints[];
   received: unknown[];
 } {
-  const published: schema.Signs[] = [];
+  const published: schema.Hints[] = [];
   const received: unknown[] = [];
   const handler: hintExchange.HintHandler = {
     onUnresponsive: (silent) => received.push(silent),
--- a/tests/hint-relay.test.ts
+++ b/tests/hint-relay.test.ts
@@ -10,7 +10,7 @@
 function relayTo(
   clock: simulatedClock.SimulatedClock,
   routers = 3,
-): { relay: hintRelay.HintRelay; links: Map<string, hints.FakeLink>; hear(name: string, told: schema.Signs): void } {
+): { relay: hintRelay.HintRelay; links: Map<string, hints.FakeLink>; hear(name: string, told: schema.Hints): void } {
   const links = new Map(["r1", "r2", "r3", "s1", "s2"].map((name) => [name, new hints.FakeLink()]));
   // r1 and r2 follow north, r3 follows both cells.
   const followers = new Map([
@@ -105,7 +105,7 @@
     relay.receive(hints.linkOf(links.get("r1")!), { isRelayed: false, silent: [runnerHash.runnerHash("i-3")], readings: [] }),
   );
   await clock.play(10_100);
-  const bytes = links.get("r2")!.sent.reduce((sum, told) => sum + schema.signs.toBuffer(told).length, 0);
+  const bytes = links.get("r2")!.sent.reduce((sum, told) => sum + schema.hints.toBuffer(told).length, 0);
   const perS = hintRelay.routerBytesPerS(routers);
   expect(bytes).toBeLessThan(perS * (hintRelay.BURST_S + 10.1));
   expect(bytes).toBeGreaterThan(perS * 5);
--- a/tests/leaving.test.ts
+++ b/tests/leaving.test.ts
@@ -6,7 +6,7 @@
 import * as systems from "./sim/system.js";
 
 function isGranting(node: simControlNode.ControlNode): boolean {
-  const ask: leaseSchema.LeaseAsk = { router: "r", life: "", needs: [], done: [] };
+  const ask: leaseSchema.LeaseRequest = { router: "r", life: "", needs: [], done: [] };
   const reply = node.handlers.get(calls.lease.code)!(null as never, ask as never) as leaseSchema.LeaseReply;
   return reply.isGranting;
 }
--- a/tests/link.test.ts
+++ b/tests/link.test.ts
@@ -139,7 +139,7 @@
     place: name,
     isConfirmed: true,
   }));
-  side.handlers.on(calls.follow, (from, ask) => {
+  side.handlers.on(calls.subscribe, (from, ask) => {
     feed.subscribe(from, ask);
     return null;
   });
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -42,11 +42,11 @@
   }
 }
 
-function heartbeat(isReady: boolean): schema.Beat {
+function heartbeat(isReady: boolean): schema.Heartbeat {
   return { isReady, epoch: types.small(1), isSettled: true, index: 0, members: 1, silentRegions: [] };
 }
 
-function snapshotOf(nodes: schema.NodeInfo[]): schema.Sessions {
+function snapshotOf(nodes: schema.NodeInfo[]): schema.RosterUpdate {
   const peer = new publishedMembership.PublishedMembership("peer");
   peer.update(nodes, []);
   return peer.deltaSince(-1);
--- a/tests/order-load.test.ts
+++ b/tests/order-load.test.ts
@@ -85,7 +85,7 @@
 });
 
 test("no orders are forwarded to a node of a build without the feature", () => {
-  const beat = { isReady: true, epoch: 0, isSettled: true, index: 0, members: 1, silentRegions: [] } as unknown as schema.Beat;
+  const beat = { isReady: true, epoch: 0, isSettled: true, index: 0, members: 1, silentRegions: [] } as unknown as schema.Heartbeat;
   expect(features.hasFeature(beat, features.FORWARDED_ORDERS)).toBe(false);
   expect(features.hasFeature({ ...beat, index: features.OWN_FEATURES }, features.FORWARDED_ORDERS)).toBe(true);
 });
--- a/tests/published-membership.test.ts
+++ b/tests/published-membership.test.ts
@@ -30,7 +30,7 @@
 
 interface Gap {
   description: string;
-  damage(update: schema.Sessions): schema.Sessions;
+  damage(update: schema.RosterUpdate): schema.RosterUpdate;
 }
 
 const GAPS: Gap[] = [
--- a/tests/router-parts.test.ts
+++ b/tests/router-parts.test.ts
@@ -49,8 +49,8 @@
 );
 
 const GRANTS: leaseSchema.Grant[] = [
-  { id: 1, kind: leaseSchema.TRIES, key: "s", amount: 2, lifeMs: 1800 },
-  { id: 2, kind: leaseSchema.COLD, key: "i-1", amount: 1, lifeMs: 900 },
+  { id: 1, kind: leaseSchema.RETRY_BUDGET, key: "s", amount: 2, lifeMs: 1800 },
+  { id: 2, kind: leaseSchema.SLOW_START, key: "i-1", amount: 1, lifeMs: 900 },
 ];
 
 test("leases expire counted from their request: a partitioned or new router sends nothing to runners that warm up and retries only within its own share", async function expired() {
--- a/tests/sim/durable-node.ts
+++ b/tests/sim/durable-node.ts
@@ -107,12 +107,12 @@
       if (ask.node.role === "control") dial.dialWithoutBackoff(ask.node.address);
       return { node: this.describe(), controls: [], place: feed.incarnation, isConfirmed: true };
     });
-    handlers.on(calls.beat, (from, told) => {
+    handlers.on(calls.heartbeat, (from, told) => {
       dial.receiveHeartbeat(from, told);
       if (told.epoch > this.epoch) void core.catchUp(from, told.epoch);
       return null;
     });
-    handlers.on(calls.follow, (from, ask) => {
+    handlers.on(calls.subscribe, (from, ask) => {
       feed.subscribe(from, ask);
       return null;
     });
--- a/tests/sim/feed-links.ts
+++ b/tests/sim/feed-links.ts
@@ -96,12 +96,12 @@
   }
 
   join(name: string, region: string, feed: feedPublisher.FeedPublisher, delayMs = 20): Session {
-    const codes: Record<string, number> = { change: calls.change.code, notice: calls.notice.code, follow: calls.follow.code };
+    const codes: Record<string, number> = { change: calls.change.code, notice: calls.notice.code, follow: calls.subscribe.code };
     const down: SimLink = new SimLink(this.clock, delayMs, (code, ask) =>
       this.handlers.get(codes[code])!(up as unknown as link.Link, ask as never),
     );
     const up: SimLink = new SimLink(this.clock, delayMs, (_code, ask) =>
-      feed.subscribe(down as unknown as link.Link, ask as schema.Follow),
+      feed.subscribe(down as unknown as link.Link, ask as schema.Subscribe),
     );
     const control = {
       address: name,
--- a/tests/sim/hints.ts
+++ b/tests/sim/hints.ts
@@ -7,10 +7,10 @@
 export const ids = (...names: string[]): types.RunnerId[] => names.map((name) => types.small(name));
 
 export class FakeLink {
-  readonly sent: schema.Signs[] = [];
+  readonly sent: schema.Hints[] = [];
   readonly ends: (() => void)[] = [];
   send(_pair: unknown, ask: unknown): void {
-    this.sent.push(ask as schema.Signs);
+    this.sent.push(ask as schema.Hints);
   }
   once(_event: string, run: () => void): this {
     this.ends.push(run);
@@ -23,11 +23,11 @@
 
 export const linkOf = (made: FakeLink): never => made as unknown as never;
 
-export function prefillHint(runner: string, unread = 1000, keys: number[] = [1]): schema.ReadingSign {
+export function prefillHint(runner: string, unread = 1000, keys: number[] = [1]): schema.PrefillHint {
   return { runner: runnerHash.runnerHash(runner), unread, keys };
 }
 
-export function hintsOf(...told: schema.ReadingSign[]): schema.Signs {
+export function hintsOf(...told: schema.PrefillHint[]): schema.Hints {
   return { isRelayed: false, silent: [], readings: told };
 }
 
--- a/tests/sim/leases.ts
+++ b/tests/sim/leases.ts
@@ -78,7 +78,7 @@
       const own = needs
         .map((need) => (place < 0 ? null : limitBorrower.splitNeed(need, place, granting.length, router.turn)))
         .filter((need) => need !== null);
-      const ask: leaseSchema.LeaseAsk = {
+      const ask: leaseSchema.LeaseRequest = {
         router: router.name,
         life: node.life,
         needs: own,
--- a/tests/sim/quotas.ts
+++ b/tests/sim/quotas.ts
@@ -108,7 +108,7 @@
   }
 
   link(owner: Owner, region: string, tripMs: number): void {
-    const call = (_pair: unknown, ask: tenantSchema.QuotaAsk, withinMs: number): Promise<tenantSchema.QuotaReply | null> =>
+    const call = (_pair: unknown, ask: tenantSchema.QuotaRequest, withinMs: number): Promise<tenantSchema.QuotaReply | null> =>
       this.call(owner, ask, withinMs, tripMs);
     const node = { region } as schema.NodeInfo;
     Object.defineProperty(node, "life", { get: () => owner.life });
@@ -116,7 +116,7 @@
     this.controls.set(owner.disk, control);
   }
 
-  private call(owner: Owner, ask: tenantSchema.QuotaAsk, withinMs: number, tripMs: number): Promise<tenantSchema.QuotaReply | null> {
+  private call(owner: Owner, ask: tenantSchema.QuotaRequest, withinMs: number, tripMs: number): Promise<tenantSchema.QuotaReply | null> {
     this.asks += 1;
     return new Promise((resolve) => {
       const tick = this.sim.clock.schedule(withinMs, () => this.whenAwake(() => resolve(null)));
@@ -196,7 +196,7 @@
     for (const node of this.nodes) node.owner.setLimits(this.limits);
   }
 
-  ask(router: Router, owner: Owner, ask: tenantSchema.QuotaAsk, tripMs: number, reply: (told: tenantSchema.QuotaReply) => void): void {
+  ask(router: Router, owner: Owner, ask: tenantSchema.QuotaRequest, tripMs: number, reply: (told: tenantSchema.QuotaReply) => void): void {
     this.toNode(
       router.name,
       owner,
--- a/tests/sim/sim-control-node.ts
+++ b/tests/sim/sim-control-node.ts
@@ -146,7 +146,7 @@
       controls: () => this.controls(),
       feedIncarnation: feed.incarnation,
     });
-    handlers.on(calls.follow, (from, ask) => {
+    handlers.on(calls.subscribe, (from, ask) => {
       feed.subscribe(from, ask);
       return null;
     });
--- a/tests/sim/simulated-nodes.ts
+++ b/tests/sim/simulated-nodes.ts
@@ -59,12 +59,12 @@
       if (ask.node.role === "control") this.dial.dialWithoutBackoff(ask.node.address);
       return { node: this.describe(), controls: [info, ...this.dial.connectedControls()], place: info.name, isConfirmed: this.isSettled };
     });
-    this.handlers.on(calls.beat, (from, told) => {
+    this.handlers.on(calls.heartbeat, (from, told) => {
       this.members.receiveHeartbeat(from, told);
       this.dial.receiveHeartbeat(from, told);
       return null;
     });
-    this.handlers.on(calls.sessions, (from, told) => {
+    this.handlers.on(calls.rosterUpdate, (from, told) => {
       if (fleet.losesNews()) return null;
       if (told.isWhole) this.wholes += 1;
       else this.entries += told.nodes.length + told.gone.length;
@@ -72,7 +72,7 @@
       this.dial.addControls(told.controls);
       return null;
     });
-    this.handlers.on(calls.whole, (from) => {
+    this.handlers.on(calls.requestRoster, (from) => {
       this.members.forgetOffset(from);
       return null;
     });
@@ -126,7 +126,7 @@
       this.dials.push({ address, at: fleet.clock.now() });
       return fleet.connect(address, this.handlers);
     };
-    this.handlers.on(calls.beat, (from, told) => {
+    this.handlers.on(calls.heartbeat, (from, told) => {
       this.dial.receiveHeartbeat(from, told);
       return null;
     });
--- a/tests/sim/watch.ts
+++ b/tests/sim/watch.ts
@@ -12,7 +12,7 @@
 }
 
 /** A sibling that holds what it is told, or what `reply` says. */
-export function dialTo(told: Told[], reply = (ask: schema.Change): schema.HeldList => ({ digest: ask.digest })): dialer.Dialer {
+export function dialTo(told: Told[], reply = (ask: schema.Change): schema.ListPosition => ({ digest: ask.digest })): dialer.Dialer {
   const tell = (pair: { name: string }, ask: schema.Change) => told.push({ pair, ask });
   const call = async (pair: { name: string }, ask: schema.Change) => {
     tell(pair, ask);
--- a/tests/tenant-gate.test.ts
+++ b/tests/tenant-gate.test.ts
@@ -19,7 +19,7 @@
 
   constructor() {
     const node = { life: "life", region: "r" };
-    const call = (_pair: unknown, ask: tenantSchema.QuotaAsk): Promise<tenantSchema.QuotaReply> => this.answer(ask);
+    const call = (_pair: unknown, ask: tenantSchema.QuotaRequest): Promise<tenantSchema.QuotaReply> => this.answer(ask);
     this.controls.set("a", { address: "a", node, link: { isOpen: true, call }, roundTripMs: 1 } as unknown as controlNode.ControlNode);
   }
 
@@ -30,7 +30,7 @@
     this.gate.isOpen = false;
   }
 
-  private async answer(ask: tenantSchema.QuotaAsk): Promise<tenantSchema.QuotaReply> {
+  private async answer(ask: tenantSchema.QuotaRequest): Promise<tenantSchema.QuotaReply> {
     const reply = this.reply(ask);
     if (this.gate.isOpen) return reply;
     await new Promise<void>((resolve) => (this.gate.open = resolve));
@@ -38,7 +38,7 @@
     return reply;
   }
 
-  private reply(ask: tenantSchema.QuotaAsk): tenantSchema.QuotaReply {
+  private reply(ask: tenantSchema.QuotaRequest): tenantSchema.QuotaReply {
     const given = ask.takings.map(({ wanted, unused }) => {
       this.unused.push(...unused);
       const amount = Math.min(wanted, this.units);
