--- a/src/cli/try.ts
+++ b/src/cli/try.ts
@@ -4,8 +4,8 @@
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as path from "node:path";
-import * as platforms from "../emulator/platform.js";
-import * as runners from "../emulator/runner.js";
+import * as platformEmulator from "../emulator/platform-emulator.js";
+import * as runnerEmulator from "../emulator/runner-emulator.js";
 import type * as commands from "./commands.js";
 
 const REGIONS = ["north", "south", "west"];
@@ -79,12 +79,18 @@
   return `${ipOf(index, 1)}:${CONTROL_PORT}`;
 }
 
-async function startStandIns(): Promise<platforms.StandInPlatform> {
-  const platform = new platforms.StandInPlatform();
+async function startStandIns(): Promise<platformEmulator.PlatformEmulator> {
+  const platform = new platformEmulator.PlatformEmulator();
   await platform.start();
   for (const [index, region] of REGIONS.entries()) {
     for (let count = 1; count <= RUNNERS_EACH; count += 1) {
-      const runner = new runners.StandInRunner({ id: `i-${region}-${count}`, eventMs: 40, tokensPerMs: 20, events: 25, capacity: 16 });
+      const runner = new runnerEmulator.RunnerEmulator({
+        id: `i-${region}-${count}`,
+        eventMs: 40,
+        tokensPerMs: 20,
+        events: 25,
+        capacity: 16,
+      });
       await runner.start(ipOf(index, 10 + count));
       platform.instances.push({
         instance_id: runner.id,
--- a/src/emulator/platform.ts
+++ b/src/emulator/platform-emulator.ts
@@ -1,9 +1,9 @@
-// A stand-in for the platform: it keeps the list of runners (design 11.1).
+/** Emulates the platform's paged list of runners (design 11.1). */
 import * as nodeHttp from "node:http";
 import * as listen from "../wire/listen.js";
 
 /** An entry of the list, as the protocol has it. */
-export interface Listed {
+export interface ListedInstance {
   instance_id: string;
   service: string;
   address: string;
@@ -16,8 +16,8 @@
 }
 
 /** Listens on loopback. */
-export class StandInPlatform {
-  instances: Listed[] = [];
+export class PlatformEmulator {
+  instances: ListedInstance[] = [];
   calls = 0;
   address = "";
   private readonly server = nodeHttp.createServer((incoming, outgoing) => this.reply(incoming, outgoing));
--- a/src/emulator/runner.ts
+++ b/src/emulator/runner-emulator.ts
@@ -1,13 +1,15 @@
-// A stand-in for a model runner: it speaks the runners' side of the protocol, keeps parts of prompts, and
-// misbehaves on demand. For tests and for trying the system out (design 11.1).
+/**
+ * Emulates a model runner: the runners' side of the protocol, a cache of prompt prefixes, and faults on demand.
+ * For tests and for trying the system out (design 11.1).
+ */
 import * as crypto from "node:crypto";
 import * as nodeHttp from "node:http";
 import type * as net from "node:net";
 import * as listen from "../wire/listen.js";
 import * as names from "../wire/names.js";
-import * as prompts from "./prompts.js";
+import * as prefixCache from "./prefix-cache.js";
 
-/** How a stand-in behaves. */
+/** How an emulated runner behaves. */
 export interface RunnerOptions {
   id: string;
   capacity: number;
@@ -15,24 +17,32 @@
   eventMs: number;
   tokensPerMs: number;
   events: number;
-  /** Connections idle for longer are forgotten: what comes over them next is reset, unread. */
+  /** A request on a connection that was idle for longer is reset, unread. */
   forgetMs: number;
   /** The clock of forgetMs, in ms. */
   now: () => number;
 }
 
-function steady(): number {
+function steadyNowMs(): number {
   return performance.now();
 }
 
-/** What to do with the next request instead of serving it. */
-export type Mishap = "shed" | "reset" | "cut" | "stall" | "stray" | "silent" | "no_seal" | "no_id" | "fail";
-
-/** A quick runner that forgets nothing. */
-export const DEFAULTS: RunnerOptions = { id: "i-1", capacity: 8, eventMs: 0, tokensPerMs: 0, events: 4, forgetMs: Infinity, now: steady };
-
-/** A request as it reached the runner. */
-export interface Seen {
+/** A fault to inject into the next request. */
+export type Fault = "shed" | "reset" | "cut" | "stall" | "stray" | "silent" | "no_seal" | "no_id" | "fail";
+
+/** A fast runner without an idle timeout. */
+export const DEFAULTS: RunnerOptions = {
+  id: "i-1",
+  capacity: 8,
+  eventMs: 0,
+  tokensPerMs: 0,
+  events: 4,
+  forgetMs: Infinity,
+  now: steadyNowMs,
+};
+
+/** A request as the runner received it. */
+export interface ReceivedRequest {
   requestId: string;
   target: string;
   method: string;
@@ -45,25 +55,25 @@
 }
 
 /** Listens on loopback. */
-export class StandInRunner {
-  readonly seen: Seen[] = [];
-  readonly mishaps: Mishap[] = [];
-  /** A mishap "stall" ends when this is called: the stream goes on where it fell silent. */
-  goOn: (() => void) | null = null;
-  /** A mishap "cut" breaks the stream off after so many events, "stall" falls silent after them. */
-  cutAfter = 2;
-  private readonly prompts = new prompts.KeptPrompts();
+export class RunnerEmulator {
+  readonly receivedRequests: ReceivedRequest[] = [];
+  readonly faults: Fault[] = [];
+  /** Ends the fault "stall" when called: the stream resumes where it stopped. */
+  resumeStalledStream: (() => void) | null = null;
+  /** The fault "cut" ends the connection after this many events, "stall" stops sending after them. */
+  faultAfterEvents = 2;
+  private readonly prefixCache = new prefixCache.PrefixCache();
   private readonly server: nodeHttp.Server;
   private readonly sockets = new Set<net.Socket>();
   private readonly repliedAt = new WeakMap<net.Socket, number>();
   private active = 0;
-  opened = 0;
+  openedConnections = 0;
   private readonly options: RunnerOptions;
   address = "";
 
   constructor(options: Partial<RunnerOptions> = {}) {
     this.options = { ...DEFAULTS, ...options };
-    this.server = nodeHttp.createServer({ keepAliveTimeout: 20_000 }, (incoming, outgoing) => this.take(incoming, outgoing));
+    this.server = nodeHttp.createServer({ keepAliveTimeout: 20_000 }, (incoming, outgoing) => this.handleRequest(incoming, outgoing));
     this.server.on("connection", (socket) => this.accept(socket));
   }
 
@@ -77,9 +87,9 @@
 
   private accept(socket: net.Socket): void {
     const { sockets } = this;
-    this.opened += 1;
+    this.openedConnections += 1;
     sockets.add(socket);
-    socket.once("close", sockets.delete.bind(sockets, socket));
+    socket.once("close", () => sockets.delete(socket));
   }
 
   async start(host = "127.0.0.1"): Promise<void> {
@@ -87,13 +97,13 @@
     this.address = listen.bound(this.server);
   }
 
-  /** Gone at once, as when the process is killed. */
+  /** Closes all connections at once, as when the process is killed. */
   stop(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
   }
 
-  private take(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
+  private handleRequest(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse): void {
     const { socket } = incoming;
     const { repliedAt, options } = this;
     if (options.now() - (repliedAt.get(socket) ?? Infinity) > options.forgetMs) {
@@ -104,19 +114,18 @@
       repliedAt.set(socket, options.now());
     });
     const parts: Buffer[] = [];
-    const serve = this.serve.bind(this, incoming, outgoing, parts);
-    incoming.on("data", parts.push.bind(parts));
-    incoming.on("end", serve);
+    incoming.on("data", (part: Buffer) => parts.push(part));
+    incoming.on("end", () => this.dispatch(incoming, outgoing, parts));
   }
 
-  private serve(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, parts: Buffer[]): void {
+  private dispatch(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, parts: Buffer[]): void {
     const path = incoming.url ?? "/";
-    if (path === "/-/report") this.report(outgoing);
+    if (path === "/-/report") this.replyReport(outgoing);
     else if (path === "/health") outgoing.writeHead(200, { [names.HEADER.instance]: this.id }).end();
-    else this.run(incoming, outgoing, Buffer.concat(parts).toString());
+    else this.admitRequest(incoming, outgoing, Buffer.concat(parts).toString());
   }
 
-  private report(outgoing: nodeHttp.ServerResponse): void {
+  private replyReport(outgoing: nodeHttp.ServerResponse): void {
     const body = {
       phase: "combined",
       models: [],
@@ -131,23 +140,23 @@
     outgoing.writeHead(200, { "Content-Type": "application/json" }).end(JSON.stringify(body));
   }
 
-  private deny(outgoing: nodeHttp.ServerResponse, requestId: string, status: number): void {
+  private rejectRequest(outgoing: nodeHttp.ServerResponse, requestId: string, status: number): void {
     const headers = { "X-Cranewind-Not-Executed": "1", "X-Cranewind-Instance-Id": this.id, "Content-Length": 0 };
-    // Every answer echoes the id, also one that denies.
+    // Every response echoes the id, also a rejection.
     outgoing.writeHead(status, requestId === "" ? headers : { ...headers, "X-Cranewind-Request-Id": requestId }).end();
   }
 
-  private run(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, body: string): void {
-    const header = headerOf.bind(null, incoming);
+  private admitRequest(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, body: string): void {
+    const header = (name: string): string => headerOf(incoming, name);
     const requestId = header(names.HEADER.requestId);
     const target = header(names.HEADER.target);
-    const mishap = this.mishaps.shift();
-    if (requestId === "") this.deny(outgoing, requestId, 400);
-    else if (target !== "" && target !== this.id) this.deny(outgoing, requestId, 421);
-    else if (mishap === "shed" || this.active >= this.options.capacity) this.deny(outgoing, requestId, 503);
+    const fault = this.faults.shift();
+    if (requestId === "") this.rejectRequest(outgoing, requestId, 400);
+    else if (target !== "" && target !== this.id) this.rejectRequest(outgoing, requestId, 421);
+    else if (fault === "shed" || this.active >= this.options.capacity) this.rejectRequest(outgoing, requestId, 503);
     else {
       const lastEventId = header(names.HEADER.lastEventId);
-      this.seen.push({
+      this.receivedRequests.push({
         requestId,
         target,
         method: incoming.method ?? "",
@@ -156,66 +165,63 @@
         headers: incoming.headers,
         lastEventId: lastEventId === "" ? null : lastEventId,
         budgetMs: Number(header(names.HEADER.budgetMs)),
-        readTokens: this.prompts.read(header(names.HEADER.prefix)),
+        readTokens: this.prefixCache.read(header(names.HEADER.prefix)),
       });
-      this.reply(incoming, outgoing, requestId, mishap);
+      this.reply(incoming, outgoing, requestId, fault);
     }
   }
 
-  private reply(
-    incoming: nodeHttp.IncomingMessage,
-    outgoing: nodeHttp.ServerResponse,
-    requestId: string,
-    mishap: Mishap | undefined,
-  ): void {
-    if (mishap === "silent") return;
-    if (mishap === "reset") {
+  private reply(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, requestId: string, fault: Fault | undefined): void {
+    if (fault === "silent") return;
+    if (fault === "reset") {
       incoming.socket.destroy();
       return;
     }
     const headers: Record<string, string> = {
-      "X-Cranewind-Request-Id": mishap === "stray" ? "another" : requestId,
+      "X-Cranewind-Request-Id": fault === "stray" ? "another" : requestId,
       "X-Cranewind-Response-Seal": `seal-${this.id}-${crypto.createHash("sha1").update(requestId).digest("hex").slice(0, 6)}`,
     };
-    if (mishap === "no_seal") delete headers["X-Cranewind-Response-Seal"];
-    if (mishap === "no_id") delete headers["X-Cranewind-Request-Id"];
-    if (mishap === "fail") {
+    if (fault === "no_seal") delete headers["X-Cranewind-Response-Seal"];
+    if (fault === "no_id") delete headers["X-Cranewind-Request-Id"];
+    if (fault === "fail") {
       outgoing.writeHead(500, { ...headers, "Content-Length": 4 }).end("fail");
       return;
     }
     this.active += 1;
-    outgoing.once("close", () => this.closed());
+    outgoing.once("close", () => this.onResponseClosed());
     if (headerOf(incoming, names.HEADER.tokens) === "") {
       outgoing.writeHead(200, { ...headers, "Content-Type": "application/json" }).end(JSON.stringify({ by: this.id }));
       return;
     }
     outgoing.writeHead(200, { ...headers, "Content-Type": "text/event-stream" });
-    this.stream(incoming, outgoing, mishap);
+    this.streamEvents(incoming, outgoing, fault);
   }
 
-  private closed(): void {
+  private onResponseClosed(): void {
     this.active -= 1;
   }
 
-  private stream(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, mishap: Mishap | undefined): void {
+  private streamEvents(incoming: nodeHttp.IncomingMessage, outgoing: nodeHttp.ServerResponse, fault: Fault | undefined): void {
     const { events, eventMs, tokensPerMs } = this.options;
-    const { cutAfter } = this;
-    const stall = this.stall.bind(this);
+    const { faultAfterEvents: cutAfter } = this;
+    const stallStream = (resume: () => void): void => {
+      this.resumeStalledStream = resume;
+    };
     let at = Number(headerOf(incoming, names.HEADER.lastEventId) || 0);
     const started = at;
-    const readMs = tokensPerMs > 0 ? (this.seen[this.seen.length - 1]?.readTokens ?? 0) / tokensPerMs : 0;
+    const readMs = tokensPerMs > 0 ? (this.receivedRequests[this.receivedRequests.length - 1]?.readTokens ?? 0) / tokensPerMs : 0;
     function cut(): void {
       incoming.socket.destroy();
     }
     function next(): void {
       if (outgoing.destroyed) return;
-      if (mishap === "cut" && at - started >= cutAfter) {
+      if (fault === "cut" && at - started >= cutAfter) {
         outgoing.write(`id: ${at + 1}\ndata: half`, cut);
         return;
       }
-      if (mishap === "stall" && at - started >= cutAfter) {
-        mishap = undefined;
-        stall(next);
+      if (fault === "stall" && at - started >= cutAfter) {
+        fault = undefined;
+        stallStream(next);
         return;
       }
       if (at >= events) {
@@ -230,10 +236,6 @@
     if (readMs + eventMs > 0) setTimeout(next, readMs + eventMs);
     else next();
   }
-
-  private stall(goOn: () => void): void {
-    this.goOn = goOn;
-  }
 }
 
 function headerOf(incoming: nodeHttp.IncomingMessage, name: string): string {
--- a/src/experiment/hosts.ts
+++ b/src/experiment/hosts.ts
@@ -2,7 +2,7 @@
  * What a run asks of the processes that hold hollow nodes, whether they are processes of their own or, in tests, this
  * one (design/experiment 2).
  */
-import type * as platform from "../emulator/platform.js";
+import type * as platformEmulator from "../emulator/platform-emulator.js";
 import type * as types from "../wire/types.js";
 import * as routers from "./routers.js";
 import * as runners from "./runners.js";
@@ -12,7 +12,7 @@
  */
 export type HostCommand =
   | { kind: "routers"; routers: routers.HollowRouterOptions[] }
-  | { kind: "runners"; platform: string; instances: platform.Listed[]; listChangesPerS: number }
+  | { kind: "runners"; platform: string; instances: platformEmulator.ListedInstance[]; listChangesPerS: number }
   | { kind: "guard"; pids: number[] }
   | { kind: "census" }
   | { kind: "report" };
--- a/src/experiment/layout.ts
+++ b/src/experiment/layout.ts
@@ -1,6 +1,6 @@
 /** Addresses, names, settings and the configuration of an experiment's nodes (design/experiment 2). */
 import * as path from "node:path";
-import type * as platform from "../emulator/platform.js";
+import type * as platformEmulator from "../emulator/platform-emulator.js";
 import * as textHash from "../limits/text-hash.js";
 import * as experiment from "./options.js";
 
@@ -119,8 +119,8 @@
   }
 
   /** The platform's list of hollow runners. */
-  instances(): platform.Listed[] {
-    const listed: platform.Listed[] = [];
+  instances(): platformEmulator.ListedInstance[] {
+    const listed: platformEmulator.ListedInstance[] = [];
     for (let index = 0; index < this.options.runners; index += 1) {
       const ip = `127.${this.net + NETS}.${Math.floor(index / IN_A_ROW)}.${1 + (index % IN_A_ROW)}`;
       listed.push({
--- a/src/experiment/runners.ts
+++ b/src/experiment/runners.ts
@@ -4,7 +4,7 @@
  */
 import * as nodeHttp from "node:http";
 import * as net from "node:net";
-import * as platform from "../emulator/platform.js";
+import * as platformEmulator from "../emulator/platform-emulator.js";
 import * as listen from "../wire/listen.js";
 import * as names from "../wire/names.js";
 import * as types from "../wire/types.js";
@@ -16,7 +16,7 @@
 
 /** All hollow runners and the platform of a run. */
 export class RunnerGroup {
-  private readonly platform = new platform.StandInPlatform(PAGE);
+  private readonly platform = new platformEmulator.PlatformEmulator(PAGE);
   private readonly idAt = new Map<string, string>();
   private readonly front = nodeHttp.createServer({ keepAliveTimeout: 20_000 }, (incoming, outgoing) => this.onRequest(incoming, outgoing));
   private readonly sockets = new Set<net.Socket>();
@@ -28,7 +28,7 @@
   constructor(private readonly clock: types.Clock) {}
 
   /** Listens at each runner's address, then at the platform's. */
-  async start(platformAddress: string, instances: platform.Listed[], listChangesPerS: number): Promise<void> {
+  async start(platformAddress: string, instances: platformEmulator.ListedInstance[], listChangesPerS: number): Promise<void> {
     for (const instance of instances) {
       const server = net.createServer((socket) => this.opened(socket));
       await listen.listen(server, instance.address);
--- a/src/whatif/batch-cells.ts
+++ b/src/whatif/batch-cells.ts
@@ -5,8 +5,8 @@
 
 const SECOND_MS = 1000;
 const DAY_HOURS = 24;
-/** The load's stray keeps this part of itself from one second to the next: it lasts for about an hour. */
-const STRAY_KEPT = 0.9995;
+/** Autocorrelation of the load's random deviation from one second to the next: it lasts for about an hour. */
+const DEVIATION_AUTOCORRELATION = 0.9995;
 
 /** A draw of the standard normal distribution (Box and Muller). */
 export function normal(clock: types.Clock): number {
@@ -17,7 +17,7 @@
 export class ModelCell {
   /** Interactive requests that end in each of the coming seconds. */
   private readonly endings: number[] = [];
-  private stray = 0;
+  private deviation = 0;
   /** Requests and batch items that hold a place now. */
   interactive = 0;
   batchItems = 0;
@@ -32,17 +32,18 @@
     private readonly clock: types.Clock,
   ) {}
 
-  /** Requests a second by the hour of the day and the stray. */
+  /** Requests a second by the hour of the day and the random deviation. */
   private rate(): number {
     const { low_per_s: low, peak_per_s: peak, peak_at_h: peakAt } = this.region;
     const phase = (this.clock.now() / loads.DAY_MS - peakAt / DAY_HOURS) * 2 * Math.PI;
-    return (low + ((peak - low) * (1 + Math.cos(phase))) / 2) * Math.exp(this.stray);
+    return (low + ((peak - low) * (1 + Math.cos(phase))) / 2) * Math.exp(this.deviation);
   }
 
   /** Arrivals and ends of one second. */
-  second(): void {
+  simulateSecond(): void {
     const { held_ms: heldMs, noise } = this.scenario;
-    this.stray = STRAY_KEPT * this.stray + noise * Math.sqrt(1 - STRAY_KEPT ** 2) * normal(this.clock);
+    this.deviation =
+      DEVIATION_AUTOCORRELATION * this.deviation + noise * Math.sqrt(1 - DEVIATION_AUTOCORRELATION ** 2) * normal(this.clock);
     const mean = this.rate();
     const arrivals = Math.max(0, Math.round(mean + Math.sqrt(mean) * normal(this.clock)));
     this.interactive += arrivals - (this.endings.shift() ?? 0);
--- a/src/whatif/batch-day.ts
+++ b/src/whatif/batch-day.ts
@@ -16,12 +16,12 @@
 import * as plannedClock from "./planned-clock.js";
 
 const SECOND_MS = 1000;
-const REPORT_MS = 600;
-const CHANGE_MS = 350;
-const LOAD_REPORT_S = 5;
+const REPORT_INTERVAL_MS = 600;
+const TABLE_UPDATE_INTERVAL_MS = 350;
+const LOAD_REPORT_INTERVAL_S = 5;
 const ROUTE = "interactive";
 const SERVICE = "model";
-const LIFE = "owner";
+const OWNER_INCARNATION = "owner";
 /** Items of one batch differ by so much, as the standard deviation of the logarithm. */
 const ITEM_SPREAD = 0.35;
 
@@ -31,7 +31,7 @@
   atMs: number;
   count: number;
   /** Part of all places that interactive requests held when it was submitted. */
-  load: number;
+  interactiveLoad: number;
   quote: quotes.Quote;
   beganMs: number;
   endedMs: number;
@@ -42,11 +42,11 @@
   private readonly clock: plannedClock.PlannedClock;
   private readonly forecast: loads.LoadForecast;
   private readonly cells: batchCells.ModelCell[];
-  private readonly atWork = new Map<string, worklist.AtWork>();
+  private readonly itemsInFlight = new Map<string, worklist.AtWork>();
   private readonly ended: steps.EndedAttempt[] = [];
   private readonly worklist: worklist.Worklist;
   private readonly heldMs = new Map<string, number>();
-  private table: schema.BatchTable = { ...tables.EMPTY, owner: LIFE, term: 1 };
+  private table: schema.BatchTable = { ...tables.EMPTY, owner: OWNER_INCARNATION, term: 1 };
   private changedAt = 0;
   constructor(private readonly scenario: batchScenario.BatchScenario) {
     this.clock = new plannedClock.PlannedClock(scenario.seed);
@@ -54,12 +54,12 @@
     this.cells = scenario.batch_regions.map((region) => new batchCells.ModelCell(region, scenario, this.clock));
     this.worklist = new worklist.Worklist(this.clock, {
       serviceOf: () => SERVICE,
-      roomsOf: (batch) => this.rooms(batch.homes),
+      roomsOf: (batch) => this.regionCapacity(batch.homes),
       unreadOf: () => 0,
     });
   }
 
-  private rooms(homes: readonly string[]): outlook.Room[] {
+  private regionCapacity(homes: readonly string[]): outlook.Room[] {
     const here = this.cells.filter(({ region }) => homes.length === 0 || homes.includes(region.name));
     return here.map(({ region, reportedUse, batchItems }) => ({
       region: region.name,
@@ -74,8 +74,8 @@
   /** Plays the learning days, then every submission to the end of its batch. */
   async play(): Promise<BatchRecord[]> {
     const learningMs = this.scenario.learning_days * loads.DAY_MS;
-    this.clock.schedule(0, () => this.second(0));
-    this.clock.schedule(0, () => this.report());
+    this.clock.schedule(0, () => this.simulateSecond(0));
+    this.clock.schedule(0, () => this.updateReportedUse());
     const planned: { atMs: number; kind: batchScenario.BatchScenario["batches"][number] }[] = [];
     for (const kind of this.scenario.batches) {
       for (let turn = 0; turn < kind.times; turn += 1)
@@ -100,16 +100,16 @@
   }
 
   private async submit(kind: batchScenario.BatchScenario["batches"][number]): Promise<BatchRecord> {
-    this.change([]);
+    this.advanceTable([]);
     // All cells count: batches before this one may run in others.
-    const rooms = this.rooms([]);
+    const rooms = this.regionCapacity([]);
     const works: projection.Work[] = tables.openBatches(this.table).map((batch) => this.workOf(batch));
     const pastErrors = outlook.pastErrors(this.table);
     const own = {
       count: kind.count,
       heldMs: kind.item_held_ms,
       unread: 0,
-      regions: new Set(this.rooms(kind.homes).map((room) => room.region)),
+      regions: new Set(this.regionCapacity(kind.homes).map((room) => room.region)),
     };
     const quote = await quotes.answer({
       cells: outlook.cellsOf(rooms, this.forecast, () => this.scenario.held_ms),
@@ -121,18 +121,18 @@
     });
     const number = this.table.nextNumber;
     this.heldMs.set(String(number), kind.item_held_ms);
-    this.take(kind, quote, number);
-    return { number, atMs: this.clock.now(), count: kind.count, load: this.load(), quote, beganMs: 0, endedMs: 0 };
+    this.submitToTable(kind, quote, number);
+    return { number, atMs: this.clock.now(), count: kind.count, interactiveLoad: this.load(), quote, beganMs: 0, endedMs: 0 };
   }
 
   private workOf(batch: schema.Batch): projection.Work {
     const counts = items.tally(batch.items);
-    const regions = new Set(this.rooms(batch.homes).map((room) => room.region));
+    const regions = new Set(this.regionCapacity(batch.homes).map((room) => room.region));
     const count = (counts.get("waiting") ?? 0) + (counts.get("sent") ?? 0);
     return { count, heldMs: this.heldMs.get(batch.digest)!, unread: 0, regions };
   }
 
-  private take(kind: batchScenario.BatchScenario["batches"][number], quote: quotes.Quote, number: number): void {
+  private submitToTable(kind: batchScenario.BatchScenario["batches"][number], quote: quotes.Quote, number: number): void {
     const { end, begin, modelMs } = quote;
     const projected = {
       beginMs: begin.p50 ?? Infinity,
@@ -156,7 +156,7 @@
     const outcome = steps.submit(this.table, submission);
     if (outcome.isErr) throw outcome.error;
     this.table = outcome.value;
-    this.clock.schedule(CHANGE_MS, () => this.work());
+    this.clock.schedule(TABLE_UPDATE_INTERVAL_MS, () => this.startDispatching());
   }
 
   /** Interactive load over all places. */
@@ -170,60 +170,65 @@
     return held / places;
   }
 
-  private change(sends: worklist.Send[]): void {
+  private advanceTable(sends: worklist.Send[]): void {
     const now = this.clock.now();
-    const outcome = steps.advance(this.table, LIFE, { term: 1, elapsedMs: now - this.changedAt, ended: this.ended.splice(0), sends });
+    const outcome = steps.advance(this.table, OWNER_INCARNATION, {
+      term: 1,
+      elapsedMs: now - this.changedAt,
+      ended: this.ended.splice(0),
+      sends,
+    });
     if (outcome.isErr) throw outcome.error;
     this.table = outcome.value;
     this.changedAt = now;
   }
 
   /** The owner's loop, while a batch is open. */
-  private work(): void {
-    if (this.isWorking) return;
-    this.isWorking = true;
+  private startDispatching(): void {
+    if (this.isDispatching) return;
+    this.isDispatching = true;
     const turn = (): void => {
-      const sends = this.worklist.next(this.table, this.atWork.values());
-      this.change(sends);
+      const sends = this.worklist.next(this.table, this.itemsInFlight.values());
+      this.advanceTable(sends);
       for (const send of sends) this.send(send);
-      this.isWorking = tables.openBatches(this.table).length > 0;
-      if (this.isWorking) this.clock.schedule(CHANGE_MS, turn);
+      this.isDispatching = tables.openBatches(this.table).length > 0;
+      if (this.isDispatching) this.clock.schedule(TABLE_UPDATE_INTERVAL_MS, turn);
     };
     turn();
   }
 
-  private isWorking = false;
+  private isDispatching = false;
 
   private send(send: worklist.Send): void {
     const cell = this.cells.find(({ region }) => region.name === send.region)!;
     const key = worklist.keyOf(send);
-    this.atWork.set(key, { ...send, sentAt: this.clock.now() });
+    this.itemsInFlight.set(key, { ...send, sentAt: this.clock.now() });
     cell.batchItems += 1;
     const heldMs = this.heldMs.get(String(send.number))! * Math.exp(ITEM_SPREAD * batchCells.normal(this.clock) - ITEM_SPREAD ** 2 / 2);
     this.clock.schedule(heldMs, () => {
       cell.batchItems -= 1;
-      this.atWork.delete(key);
+      this.itemsInFlight.delete(key);
       this.ended.push({ ...send, end: "done" });
     });
   }
 
   /** Arrivals and ends of interactive requests, a second at a time. */
-  private second(index: number): void {
-    for (const cell of this.cells) cell.second();
-    if (index % LOAD_REPORT_S === 0) this.tellLoads();
-    this.clock.schedule(SECOND_MS, this.second.bind(this, index + 1));
+  private simulateSecond(index: number): void {
+    for (const cell of this.cells) cell.simulateSecond();
+    if (index % LOAD_REPORT_INTERVAL_S === 0) this.reportLoads();
+    this.clock.schedule(SECOND_MS, () => this.simulateSecond(index + 1));
   }
 
-  private tellLoads(): void {
+  private reportLoads(): void {
     const { held_ms: heldMs } = this.scenario;
     const told = this.cells.map((cell) => ({ region: cell.region.name, route: ROUTE, arrivals: cell.arrivals, heldMs, unread: 0 }));
-    this.forecast.take({ spanMs: LOAD_REPORT_S * SECOND_MS, readRate: 0, loads: told });
+    this.forecast.take({ spanMs: LOAD_REPORT_INTERVAL_S * SECOND_MS, readRate: 0, loads: told });
     for (const cell of this.cells) cell.arrivals = 0;
     this.forecast.turn();
   }
 
-  private report(): void {
+  private updateReportedUse(): void {
     for (const cell of this.cells) cell.reportedUse = cell.interactive + cell.batchItems;
-    this.clock.schedule(REPORT_MS, () => this.report());
+    this.clock.schedule(REPORT_INTERVAL_MS, () => this.updateReportedUse());
   }
 }
--- a/src/whatif/batch-table.ts
+++ b/src/whatif/batch-table.ts
@@ -30,7 +30,7 @@
     batch: record.number,
     at_h: Math.round((record.atMs / MS_PER_S / S_PER_H) * 100) / 100,
     items: record.count,
-    load: Math.round(record.load * 100) / 100,
+    load: Math.round(record.interactiveLoad * 100) / 100,
     projected_s: seconds(p50),
     early_s: seconds(p05),
     late_s: seconds(p95),
--- a/src/whatif/outcome.ts
+++ b/src/whatif/outcome.ts
@@ -109,15 +109,18 @@
   const made: Row[] = [];
   for (const isOn of [false, true]) {
     const records = new overload.OverloadDay(scenario, isOn).play();
-    for (const kind of scenario.kinds) made.push(buildRow(kind.name, isOn, records.filter(isOfKind.bind(null, kind.name))));
+    for (const kind of scenario.kinds)
+      made.push(
+        buildRow(
+          kind.name,
+          isOn,
+          records.filter((item) => item.kind === kind.name),
+        ),
+      );
   }
   return made;
 }
 
-function isOfKind(kind: string, item: client.RequestRecord): boolean {
-  return item.kind === kind;
-}
-
 const COLUMNS: readonly (keyof Row)[] = [
   "asked",
   "admitted",
--- a/tests/batches/system.test.ts
+++ b/tests/batches/system.test.ts
@@ -5,8 +5,8 @@
 import * as client from "../../src/cli/client.js";
 import * as controlProgram from "../../src/control/control-program.js";
 import * as routerProgram from "../../src/router/router-program.js";
-import * as platforms from "../../src/emulator/platform.js";
-import * as runners from "../../src/emulator/runner.js";
+import * as platformEmulator from "../../src/emulator/platform-emulator.js";
+import * as runnerEmulator from "../../src/emulator/runner-emulator.js";
 import type * as settings from "../../src/settings/settings.js";
 import * as timers from "../../src/runtime/timers.js";
 import * as loopback from "../sim/loopback.js";
@@ -17,8 +17,8 @@
 const UNTIL_MS = 60_000;
 
 let folder: string;
-let platform: platforms.StandInPlatform;
-let runner: runners.StandInRunner;
+let platform: platformEmulator.PlatformEmulator;
+let runner: runnerEmulator.RunnerEmulator;
 let controls: controlProgram.ControlProgram[];
 let edge: routerProgram.RouterProgram;
 
@@ -74,9 +74,9 @@
 
 beforeAll(async () => {
   folder = fs.mkdtempSync(path.join(os.tmpdir(), "cranewind-batches-"));
-  platform = new platforms.StandInPlatform();
+  platform = new platformEmulator.PlatformEmulator();
   await platform.start();
-  runner = new runners.StandInRunner({ id: "i-a", capacity: 32, eventMs: 10 });
+  runner = new runnerEmulator.RunnerEmulator({ id: "i-a", capacity: 32, eventMs: 10 });
   await runner.start();
   const listed = { instance_id: "i-a", service: "model", address: runner.address, zone: "a1", revision: "v1", capacity: 32 };
   platform.instances.push({ ...listed, state: "ready", warmup_left_ms: 0 });
@@ -108,9 +108,9 @@
 
 test("every item is answered once by an ordinary request behind all others, and its answer can be read", async () => {
   await until("all done", async () => (await itemsOf(1))["done"] === 40);
-  expect(new Set(runner.seen.map((seen) => seen.body)).size).toBe(40);
-  expect(new Set(runner.seen.map((seen) => seen.headers["x-cranewind-request-priority"]))).toEqual(new Set(["9"]));
-  expect(runner.seen.some((seen) => seen.headers["x-cranewind-batch-pass"])).toBe(false);
+  expect(new Set(runner.receivedRequests.map((seen) => seen.body)).size).toBe(40);
+  expect(new Set(runner.receivedRequests.map((seen) => seen.headers["x-cranewind-request-priority"]))).toEqual(new Set(["9"]));
+  expect(runner.receivedRequests.some((seen) => seen.headers["x-cranewind-batch-pass"])).toBe(false);
   const results = (await call("GET", "/-/Batches.Results/1?from=38", undefined, 2)).json["items"] as {
     id: string;
     result: { status: number; body: string };
@@ -130,7 +130,7 @@
     const { done = 0, unclear = 0 } = await itemsOf(2);
     return done + unclear === 60;
   });
-  const bodies = runner.seen.map((seen) => seen.body).filter((body) => body.startsWith("once/"));
+  const bodies = runner.receivedRequests.map((seen) => seen.body).filter((body) => body.startsWith("once/"));
   expect(new Set(bodies).size).toBe(bodies.length);
 }, 120_000);
 
--- a/tests/early-response.test.ts
+++ b/tests/early-response.test.ts
@@ -11,7 +11,7 @@
 /** Answers each request from its head alone, and stops reading until it is told to go on. */
 class EarlyRunner {
   readonly id = "i-1";
-  readonly seen: never[] = [];
+  readonly receivedRequests: never[] = [];
   address = "";
   connections = 0;
   received = Buffer.alloc(0);
--- a/tests/idle-timeout.test.ts
+++ b/tests/idle-timeout.test.ts
@@ -168,12 +168,12 @@
   test("loses one request; the next ones open new connections, and none runs twice", async () => {
     expect(await ask("once", 0)).toBe("200");
     expect(await ask("once", 1000)).toBe("200");
-    expect(edge.runners[0].opened).toBe(1);
+    expect(edge.runners[0].openedConnections).toBe(1);
     expect(await ask("once", 2000)).toBe("502"); // may have run: nothing says that it has not
     expect(await ask("once", 5000)).toBe("200");
     for (let turn = 0; turn < 4; turn += 1) expect(await ask("once", 2000)).toBe("200");
     expect(await ask("once", 1200)).toBe("200");
-    expect(edge.runners[0].opened).toBe(6); // the last one was within the learned limit and reused
+    expect(edge.runners[0].openedConnections).toBe(6); // the last one was within the learned limit and reused
     const ids = edge.seen().map((seen) => seen.requestId);
     expect(new Set(ids).size).toBe(ids.length);
     expect(ids).not.toContain("q3");
--- a/tests/processes/nodes.ts
+++ b/tests/processes/nodes.ts
@@ -2,8 +2,8 @@
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as path from "node:path";
-import * as platform from "../../src/emulator/platform.js";
-import * as runners from "../../src/emulator/runner.js";
+import * as platformEmulator from "../../src/emulator/platform-emulator.js";
+import * as runnerEmulator from "../../src/emulator/runner-emulator.js";
 
 const CONTROL_PORT = 9101;
 const DIRECTORY_PORT = 9102;
@@ -41,7 +41,7 @@
 
 /** Nodes of one system; `count` control nodes, each in a zone and region of its own. */
 export class ProcessSystem {
-  readonly platform = new platform.StandInPlatform();
+  readonly platform = new platformEmulator.PlatformEmulator();
   private readonly stops: (() => void)[] = [];
 
   constructor(
@@ -59,7 +59,7 @@
   }
 
   private async startRunner(index: number, place: number): Promise<void> {
-    const runner = new runners.StandInRunner({ id: `i-${index}-${place}`, eventMs: 5, tokensPerMs: 20, events: 4, capacity: 16 });
+    const runner = new runnerEmulator.RunnerEmulator({ id: `i-${index}-${place}`, eventMs: 5, tokensPerMs: 20, events: 4, capacity: 16 });
     await runner.start(`127.${FIRST_NET}.${index + 1}.${10 + place}`);
     this.stops.push(() => runner.stop());
     const listed = { service: "model", address: runner.address, zone: `z${index}`, revision: "v1", capacity: 16 };
--- a/tests/region-orchestrator.test.ts
+++ b/tests/region-orchestrator.test.ts
@@ -1,13 +1,13 @@
 // Which control node polls the load reports of a region, and who takes over (design 4.5).
 import * as regionOrchestrator from "../src/control/platform/region-orchestrator.js";
-import * as runners from "../src/emulator/runner.js";
+import * as runnerEmulator from "../src/emulator/runner-emulator.js";
 import * as schema from "../src/wire/schema.js";
 import * as types from "../src/wire/types.js";
 import * as simulatedClock from "./sim/simulated-clock.js";
 import * as watch from "./sim/watch.js";
 
 test("a runner whose report is missing counts as unresponsive", async () => {
-  const runner = new runners.StandInRunner({ id: "i-1" });
+  const runner = new runnerEmulator.RunnerEmulator({ id: "i-1" });
   await runner.start();
   const instance: schema.Instance = {
     id: types.small("i-1"),
--- a/tests/router.test.ts
+++ b/tests/router.test.ts
@@ -11,7 +11,7 @@
 import * as routerServer from "../src/router/client/router-server.js";
 import * as tenantGate from "../src/router/tenant-gate.js";
 import * as leasedLimits from "../src/limits/leased-limits.js";
-import * as runner from "../src/emulator/runner.js";
+import * as runnerEmulator from "../src/emulator/runner-emulator.js";
 import * as types from "../src/wire/types.js";
 import * as routerEdge from "./sim/router-edge.js";
 import * as rawBytes from "./sim/raw-bytes.js";
@@ -40,7 +40,7 @@
 }
 
 let clock: simulatedClock.SkewedClock;
-let runners: runner.StandInRunner[];
+let runners: runnerEmulator.RunnerEmulator[];
 let server: routerServer.RouterServer;
 let share: leasedLimits.LeasedLimits;
 let port = 0;
@@ -71,7 +71,7 @@
     "r1",
     new prefillTracker.PrefillTracker(),
   );
-  runners = [new runner.StandInRunner({ id: "i-1" }), new runner.StandInRunner({ id: "i-2" })];
+  runners = [new runnerEmulator.RunnerEmulator({ id: "i-1" }), new runnerEmulator.RunnerEmulator({ id: "i-2" })];
   for (const runner of runners) await runner.start();
   fleet.applySnapshot(
     runners.map((runner, index) => ({
@@ -137,8 +137,8 @@
   for (let at = from; at <= to; at += 1) text += `id: ${at}\ndata: piece ${at}\n\n`;
   return text;
 }
-function seenBy(): runner.Seen[] {
-  return [...runners[0].seen, ...runners[1].seen];
+function seenBy(): runnerEmulator.ReceivedRequest[] {
+  return [...runners[0].receivedRequests, ...runners[1].receivedRequests];
 }
 
 test("a request reaches one runner unchanged, named, with the budget that is left", async function plain() {
@@ -153,38 +153,38 @@
 
 test("homes bind: nothing goes elsewhere, even when the home is gone", async function homes() {
   expect((await ask("/home/x")).status).toBe(200);
-  expect(runners[1].seen).toHaveLength(1);
-  runners[1].mishaps.push("shed");
+  expect(runners[1].receivedRequests).toHaveLength(1);
+  runners[1].faults.push("shed");
   expect((await ask("/home/x")).status).toBe(503);
-  expect(runners[0].seen).toHaveLength(0);
+  expect(runners[0].receivedRequests).toHaveLength(0);
 });
 
 test("a handed-back request moves on; with no try left it is a 503 that says when", async function handBack() {
-  runners[0].mishaps.push("shed");
+  runners[0].faults.push("shed");
   expect((await ask("/once/x")).status).toBe(200);
-  expect(runners[1].seen).toHaveLength(1);
-  runners[0].mishaps.push("shed");
-  runners[1].mishaps.push("shed");
+  expect(runners[1].receivedRequests).toHaveLength(1);
+  runners[0].faults.push("shed");
+  runners[1].faults.push("shed");
   const denied = await ask("/once/x");
   expect(denied.status).toBe(503);
   expect(Number(denied.headers["retry-after"])).toBeGreaterThan(0);
 });
 
 test("what may have run is never run again and never promised not to have run", async function once() {
-  runners[0].mishaps.push("reset");
+  runners[0].faults.push("reset");
   const got = await ask("/once/x");
   expect(got.status).toBe(502);
   expect(seenBy()).toHaveLength(1);
 });
 
 test.each(["reset", "stray", "no_seal", "fail"] as const)("a repeatable request gets over %s", async function repeat(mishap) {
-  runners[0].mishaps.push(mishap);
+  runners[0].faults.push(mishap);
   const got = await ask("/read/x");
   expect([got.status, JSON.parse(got.body)]).toEqual([200, { by: "i-2" }]);
 });
 
 test("a failure of the runner's own reaches the client unchanged where the request may not be repeated", async function failed() {
-  runners[0].mishaps.push("fail");
+  runners[0].faults.push("fail");
   const got = await ask("/once/x");
   expect([got.status, got.body, got.isComplete]).toEqual([500, "fail", true]);
   expect(got.headers["x-cranewind-response-seal"]).toMatch(/^seal-i-1/);
@@ -193,15 +193,15 @@
 });
 
 test("a resumable stream goes on at another runner from the last whole event, in the same reply", async function resume() {
-  runners[0].mishaps.push("cut");
+  runners[0].faults.push("cut");
   const got = await ask("/stream/x", STREAM);
   expect([got.status, got.body, got.isComplete]).toEqual([200, pieces(1, 4), true]);
   expect(got.headers["x-cranewind-response-seal"]).toMatch(/^seal-i-1/);
-  expect(runners[1].seen[0]).toMatchObject({ lastEventId: "2", requestId: `r${ids}` });
+  expect(runners[1].receivedRequests[0]).toMatchObject({ lastEventId: "2", requestId: `r${ids}` });
 });
 
 test("a stream that may not be resumed ends visibly broken", async function broken() {
-  runners[0].mishaps.push("cut");
+  runners[0].faults.push("cut");
   const got = await ask("/single/x", STREAM);
   expect(got.isComplete).toBe(false);
   expect(seenBy()).toHaveLength(1);
@@ -212,25 +212,25 @@
   ["moves on with a granted try", true],
 ])("a stream whose runner falls silent %s", async function silent(_name, isGranted) {
   while (!isGranted && share.takeRetry("s")) continue;
-  runners[0].mishaps.push("stall");
+  runners[0].faults.push("stall");
   const reply = ask("/stream/x", STREAM);
-  while (runners[0].goOn === null) await new Promise(setImmediate);
+  while (runners[0].resumeStalledStream === null) await new Promise(setImmediate);
   clock.aheadMs = 400;
   server.checkSilence();
-  runners[0].goOn();
+  runners[0].resumeStalledStream();
   expect(await reply).toMatchObject({ status: 200, body: pieces(1, 4), isComplete: true });
-  expect(runners[1].seen).toHaveLength(isGranted ? 1 : 0);
+  expect(runners[1].receivedRequests).toHaveLength(isGranted ? 1 : 0);
 });
 
 test("with the shares spent nothing is repeated", async function spent() {
   while (share.takeRetry("s")) continue;
-  runners[0].mishaps.push("shed");
+  runners[0].faults.push("shed");
   expect((await ask("/once/x")).status).toBe(503);
-  expect(runners[1].seen).toHaveLength(0);
+  expect(runners[1].receivedRequests).toHaveLength(0);
 });
 
 test("silence until the deadline is a 504, no promise", async function late() {
-  runners[0].mishaps.push("silent");
+  runners[0].faults.push("silent");
   expect((await ask("/once/x", { "X-Cranewind-Time-Budget-Ms": "120" })).status).toBe(504);
 });
 
@@ -245,12 +245,12 @@
     ...STREAM,
   });
   for (let turn = 0; turn < 4; turn += 1) await ask("/stream/x", prefix(turn));
-  const home = runners.find((runner) => runner.seen.length > 0)!;
-  expect(home.seen.map((seen) => seen.readTokens)).toEqual([2500, 100, 100, 100]);
+  const home = runners.find((runner) => runner.receivedRequests.length > 0)!;
+  expect(home.receivedRequests.map((seen) => seen.readTokens)).toEqual([2500, 100, 100, 100]);
   const other = runners.find((runner) => runner !== home)!;
   home.stop();
   for (let turn = 4; turn < 8; turn += 1) expect((await ask("/stream/x", prefix(turn))).status).toBe(200);
-  expect(other.seen.map((seen) => seen.readTokens)).toEqual([2500, 100, 100, 100]);
+  expect(other.receivedRequests.map((seen) => seen.readTokens)).toEqual([2500, 100, 100, 100]);
 });
 
 test("a leaving router finishes what comes and closes the connections after", async function leaving() {
@@ -302,10 +302,10 @@
 });
 
 test("a client that goes away lets its runner go", async function gone() {
-  runners[0].mishaps.push("silent");
+  runners[0].faults.push("silent");
   const socket = net.connect(port, "127.0.0.1");
   socket.write("POST /once/x HTTP/1.1\r\nHost: h\r\nX-Cranewind-Request-Id: q\r\nContent-Length: 0\r\n\r\n");
-  while (runners[0].seen.length === 0) await new Promise(setImmediate);
+  while (runners[0].receivedRequests.length === 0) await new Promise(setImmediate);
   socket.destroy();
   while (runners[0].connections > 0) await new Promise(setImmediate);
   expect(server.activeCount).toBe(0);
--- a/tests/sim/raw-runner.ts
+++ b/tests/sim/raw-runner.ts
@@ -69,7 +69,7 @@
 
 export class RawRunner {
   readonly streams: Stream[] = [];
-  readonly seen: never[] = [];
+  readonly receivedRequests: never[] = [];
   readonly sockets: memoryNet.TestSocket[] = [];
   address = "";
   /** A script with "silent" took effect, and nothing more will come. */
--- a/tests/sim/router-edge.ts
+++ b/tests/sim/router-edge.ts
@@ -10,7 +10,7 @@
 import * as routerServer from "../../src/router/client/router-server.js";
 import * as tenantGate from "../../src/router/tenant-gate.js";
 import * as leasedLimits from "../../src/limits/leased-limits.js";
-import * as runner from "../../src/emulator/runner.js";
+import * as runnerEmulator from "../../src/emulator/runner-emulator.js";
 import * as types from "../../src/wire/types.js";
 import * as memoryNet from "./memory-net.js";
 import * as rawBytes from "./raw-bytes.js";
@@ -44,12 +44,12 @@
 export interface EdgeRunner {
   readonly id: string;
   readonly address: string;
-  readonly seen: runner.Seen[];
+  readonly receivedRequests: runnerEmulator.ReceivedRequest[];
   start(): Promise<void>;
   stop(): void;
 }
 
-export class Edge<Runner extends EdgeRunner = runner.StandInRunner> {
+export class Edge<Runner extends EdgeRunner = runnerEmulator.RunnerEmulator> {
   readonly fleet: runnerFleet.RunnerFleet;
   readonly server: routerServer.RouterServer;
   isReady = true;
@@ -103,10 +103,10 @@
     this.server.applyLimits(CONFIG.limits);
   }
 
-  static start(clock: types.Clock, options: Partial<runner.RunnerOptions>[], gate?: tenantGate.TenantGate): Promise<Edge> {
+  static start(clock: types.Clock, options: Partial<runnerEmulator.RunnerOptions>[], gate?: tenantGate.TenantGate): Promise<Edge> {
     return Edge.over(
       clock,
-      options.map((item) => new runner.StandInRunner(item)),
+      options.map((item) => new runnerEmulator.RunnerEmulator(item)),
       gate,
     );
   }
@@ -133,8 +133,8 @@
   }
 
   /** All that reached any runner. */
-  seen(): runner.Seen[] {
-    return this.runners.flatMap((runner) => runner.seen);
+  seen(): runnerEmulator.ReceivedRequest[] {
+    return this.runners.flatMap((runner) => runner.receivedRequests);
   }
 
   /** Sends bytes as they are; what came back until the connection ended, or one whole reply of the router's own. */
--- a/tests/sim/watch.ts
+++ b/tests/sim/watch.ts
@@ -1,7 +1,7 @@
 /** What the tests of the list and of the reports share: siblings, a stand-in platform, a clock beside real sockets. */
 import type * as dialer from "../../src/feed/dialer.js";
 import * as keyedItems from "../../src/feed/keyed-items.js";
-import * as platforms from "../../src/emulator/platform.js";
+import * as platformEmulator from "../../src/emulator/platform-emulator.js";
 import * as schema from "../../src/wire/schema.js";
 import * as timers from "../../src/runtime/timers.js";
 import * as simulatedClock from "./simulated-clock.js";
@@ -25,7 +25,7 @@
   return [...keyedItems.unpackChanges(change).keys()];
 }
 
-export function listed(count: number, more: Partial<platforms.Listed> = {}): platforms.Listed[] {
+export function listed(count: number, more: Partial<platformEmulator.ListedInstance> = {}): platformEmulator.ListedInstance[] {
   return Array.from({ length: count }, (_item, index) => ({
     instance_id: `i-${index}`,
     service: "s",
@@ -51,8 +51,8 @@
   }
 }
 
-export async function withPlatform(run: (platform: platforms.StandInPlatform) => Promise<void>): Promise<void> {
-  const platform = new platforms.StandInPlatform(2);
+export async function withPlatform(run: (platform: platformEmulator.PlatformEmulator) => Promise<void>): Promise<void> {
+  const platform = new platformEmulator.PlatformEmulator(2);
   await platform.start();
   await run(platform);
   platform.stop();
--- a/tests/system.test.ts
+++ b/tests/system.test.ts
@@ -7,8 +7,8 @@
 import * as commands from "../src/cli/commands.js";
 import * as controlProgram from "../src/control/control-program.js";
 import * as routerProgram from "../src/router/router-program.js";
-import * as platforms from "../src/emulator/platform.js";
-import * as runner from "../src/emulator/runner.js";
+import * as platformEmulator from "../src/emulator/platform-emulator.js";
+import * as runnerEmulator from "../src/emulator/runner-emulator.js";
 import type * as settings from "../src/settings/settings.js";
 import * as schema from "../src/wire/schema.js";
 import * as timers from "../src/runtime/timers.js";
@@ -20,8 +20,8 @@
 const EXAMPLE = fs.readFileSync("examples/first.json");
 
 let folder: string;
-let platform: platforms.StandInPlatform;
-let standins: runner.StandInRunner[];
+let platform: platformEmulator.PlatformEmulator;
+let standins: runnerEmulator.RunnerEmulator[];
 let controls: controlProgram.ControlProgram[];
 let edge: routerProgram.RouterProgram;
 
@@ -84,9 +84,9 @@
 
 beforeAll(async () => {
   folder = fs.mkdtempSync(path.join(os.tmpdir(), "cranewind-system-"));
-  platform = new platforms.StandInPlatform(2);
+  platform = new platformEmulator.PlatformEmulator(2);
   await platform.start();
-  standins = REGIONS.map((region) => new runner.StandInRunner({ id: `i-${region}` }));
+  standins = REGIONS.map((region) => new runnerEmulator.RunnerEmulator({ id: `i-${region}` }));
   for (const [index, runner] of standins.entries()) {
     await runner.start();
     platform.instances.push({
--- a/tests/tenant-gate.test.ts
+++ b/tests/tenant-gate.test.ts
@@ -89,7 +89,7 @@
 
 test("the runner sees the tenant of the key, and never the key", async () => {
   expect((await ask("k-school")).status).toBe(200);
-  const [seen] = edge.runners[0].seen;
+  const [seen] = edge.runners[0].receivedRequests;
   expect(seen.headers["x-cranewind-tenant"]).toBe("school");
   expect(JSON.stringify(seen.headers)).not.toContain("k-school");
 });
@@ -101,12 +101,12 @@
   ["the name of a tenant", "school"],
 ])("%s gets 401 and reaches no runner", async (_name, key) => {
   expect((await ask(key)).status).toBe(401);
-  expect(edge.runners[0].seen).toEqual([]);
+  expect(edge.runners[0].receivedRequests).toEqual([]);
 });
 
 test("a public route needs no key, and no tenant is named to the runner", async () => {
   expect((await ask(null, "/open/x")).status).toBe(200);
-  expect(edge.runners[0].seen[0].headers["x-cranewind-tenant"]).toBeUndefined();
+  expect(edge.runners[0].receivedRequests[0].headers["x-cranewind-tenant"]).toBeUndefined();
 });
 
 test("a router that knows of a newer configuration answers unknown keys with 503 and a time", async () => {
@@ -125,7 +125,7 @@
   expect(told.status).toBe(429);
   expect(told.retryAfterS).toBeCloseTo(0.9, 0);
   expect((await ask("k-school")).status).toBe(200);
-  expect(edge.runners[0].seen).toHaveLength(2);
+  expect(edge.runners[0].receivedRequests).toHaveLength(2);
 });
 
 test("without an owner that grants, a tenant with a limit gets 503, one without goes on", async () => {
@@ -136,7 +136,7 @@
 
 test("homes of the tenant bind: none of its regions has a runner", async () => {
   expect((await ask("k-far")).status).toBe(503);
-  expect(edge.runners[0].seen).toEqual([]);
+  expect(edge.runners[0].receivedRequests).toEqual([]);
 });
 
 test("a unit whose request was refused before any runner was chosen serves the tenant's next one", async () => {
@@ -161,5 +161,5 @@
   for (let turn = 0; turn < 20; turn += 1) await new Promise(setImmediate);
   owner.gate.open();
   expect((await ask("k-yard")).status).toBe(200);
-  expect(edge.runners[0].seen.map((seen) => seen.headers["x-cranewind-request-id"])).toEqual([`t${ids}`]);
+  expect(edge.runners[0].receivedRequests.map((seen) => seen.headers["x-cranewind-request-id"])).toEqual([`t${ids}`]);
 });
--- a/tests/tenants-system.test.ts
+++ b/tests/tenants-system.test.ts
@@ -7,8 +7,8 @@
 import * as tenants from "../src/cli/tenants.js";
 import * as controlProgram from "../src/control/control-program.js";
 import * as routerProgram from "../src/router/router-program.js";
-import * as platforms from "../src/emulator/platform.js";
-import * as runners from "../src/emulator/runner.js";
+import * as platformEmulator from "../src/emulator/platform-emulator.js";
+import * as runnerEmulator from "../src/emulator/runner-emulator.js";
 import * as timers from "../src/runtime/timers.js";
 import * as loopback from "./sim/loopback.js";
 
@@ -21,8 +21,8 @@
 ];
 
 let folder: string;
-let platform: platforms.StandInPlatform;
-let runner: runners.StandInRunner;
+let platform: platformEmulator.PlatformEmulator;
+let runner: runnerEmulator.RunnerEmulator;
 let controls: controlProgram.ControlProgram[];
 let edge: routerProgram.RouterProgram;
 
@@ -36,9 +36,9 @@
 
 beforeAll(async () => {
   folder = fs.mkdtempSync(path.join(os.tmpdir(), "cranewind-tenants-"));
-  platform = new platforms.StandInPlatform(2);
+  platform = new platformEmulator.PlatformEmulator(2);
   await platform.start();
-  runner = new runners.StandInRunner({ id: "i-1" });
+  runner = new runnerEmulator.RunnerEmulator({ id: "i-1" });
   await runner.start();
   const instance = { instance_id: runner.id, service: "model", address: runner.address, zone: "a1", revision: "v1" };
   platform.instances.push({ ...instance, capacity: 8, state: "ready", warmup_left_ms: 0 });
@@ -93,7 +93,7 @@
   await until("the configuration is taken", () => send("Replace", 0, { ...FIRST, revision: 1, tenants: TENANTS }));
   await until("a tenant is served", async () => (await ask("key-school")) === 200);
   expect(await ask("key-other")).toBe(401);
-  expect(runner.seen.at(-1)!.headers["x-cranewind-tenant"]).toBe("school");
+  expect(runner.receivedRequests.at(-1)!.headers["x-cranewind-tenant"]).toBe("school");
 
   await until("an owner has a unit", async () => (await ask("key-yard-1")) === 200);
   const statuses = await Promise.all(Array.from({ length: 40 }, () => ask("key-yard-1")));
