--- a/src/batch/sender.ts
+++ b/src/batch/sender.ts
@@ -47,8 +47,8 @@
     method: item.method,
     headers: headersOf(route, item, to.pass),
     body: item.body === "" ? undefined : Buffer.from(item.body),
-    withinMs: longestMs(route),
-    mostBytes: 2 * bounds.MAX_RESULT_BYTES,
+    timeoutMs: longestMs(route),
+    maxBytes: 2 * bounds.MAX_RESULT_BYTES,
     onConnect(): void {
       wasSent = true;
     },
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -35,7 +35,7 @@
       method: request.method,
       headers: request.headers,
       body: request.body,
-      withinMs: TIMEOUT_MS,
+      timeoutMs: TIMEOUT_MS,
     });
     void client.destroy().catch(http.ignore);
     const location = response?.status === 307 ? response.headers.get("location") : undefined;
--- a/src/control/platform/platform-client.ts
+++ b/src/control/platform/platform-client.ts
@@ -83,7 +83,7 @@
   private async readPage(token: string | null): Promise<Page | null> {
     this.client ??= http.open(this.address, { connectMs: CALL_TIMEOUT_MS, idleMs: IDLE_CONNECTION_MS });
     const path = token === null ? "/instances" : `/instances?page_token=${encodeURIComponent(token)}`;
-    const response = await http.call(this.clock, this.client, path, { withinMs: CALL_TIMEOUT_MS });
+    const response = await http.call(this.clock, this.client, path, { timeoutMs: CALL_TIMEOUT_MS });
     if (!response) this.close();
     return response?.status === 200 ? parsePage(response.body) : null;
   }
--- a/src/control/platform/report-poller.ts
+++ b/src/control/platform/report-poller.ts
@@ -56,7 +56,7 @@
   /** Requests one report. Where none arrives in time, the last one is returned and marked as unresponsive. */
   async poll(instance: schema.Instance): Promise<schema.Report> {
     const runner = this.getOrConnect(instance);
-    const response = await http.call(this.clock, runner.client, "/-/report", { withinMs: REPORT_TIMEOUT_MS });
+    const response = await http.call(this.clock, runner.client, "/-/report", { timeoutMs: REPORT_TIMEOUT_MS });
     log.count("runner.report");
     const report = response?.status === 200 ? readReport(instance.id, response.body) : null;
     if (report) {
--- a/src/router/tenant-gate.ts
+++ b/src/router/tenant-gate.ts
@@ -14,8 +14,8 @@
 import type * as types from "../wire/types.js";
 
 /** After how long clients may retry while this router can't validate keys, or reaches no owner of quotas (*ours*). */
-const KEY_OUTAGE_RETRY_MS = { leastMs: 500, mostMs: 3000 };
-const QUOTA_OUTAGE_RETRY_MS = { leastMs: 300, mostMs: 3000 };
+const KEY_OUTAGE_RETRY_MS = { minMs: 500, maxMs: 3000 };
+const QUOTA_OUTAGE_RETRY_MS = { minMs: 300, maxMs: 3000 };
 const MIN_RETRY_S = 0.2;
 const MS_PER_S = 1000;
 
@@ -77,11 +77,11 @@
     if (this.table.isEmpty || route.public === true) return null;
     const tenant = typeof key === "string" && key !== "" ? this.table.find(key) : null;
     if (tenant && this.keyLease.mayHonour()) {
-      this.keyOutage.over();
+      this.keyOutage.end();
       return tenant;
     }
     if (!tenant && this.keyLease.mayReject()) return this.reject(401, "the key is missing or not known; send a valid Api-Key", null);
-    return this.reject(503, "this node cannot tell which keys are valid now; come back shortly", this.keyOutage.met() / MS_PER_S);
+    return this.reject(503, "this node cannot tell which keys are valid now; come back shortly", this.keyOutage.retryAfterMs() / MS_PER_S);
   }
 
   /**
@@ -98,7 +98,7 @@
       return null;
     }
     return this.quotaClient.claim(tenant.name, (decision) => {
-      if (decision.kind !== "unreached") this.quotaOutage.over();
+      if (decision.kind !== "unreached") this.quotaOutage.end();
       if (decision.kind === "granted") onAdmitted(decision.unit);
       else onRejected(this.rejectionOf(decision));
     });
@@ -106,7 +106,11 @@
 
   private rejectionOf(decision: Exclude<quotaClaim.ClaimOutcome, { kind: "granted" }>): TenantRejection {
     if (decision.kind === "unreached")
-      return this.reject(503, "no control node counts the tenant's requests now; come back shortly", this.quotaOutage.met() / MS_PER_S);
+      return this.reject(
+        503,
+        "no control node counts the tenant's requests now; come back shortly",
+        this.quotaOutage.retryAfterMs() / MS_PER_S,
+      );
     return this.reject(429, "the tenant is over its rate_per_s and burst", Math.max(MIN_RETRY_S, decision.waitMs / MS_PER_S));
   }
 
--- a/src/runtime/timers.ts
+++ b/src/runtime/timers.ts
@@ -1,4 +1,4 @@
-// The real steady clock, chance and ticks (design 1.4): the time of day decides nothing.
+/** The process's steady clock, random numbers and timers (design 1.4); nothing is decided by the time of day. */
 import { performance } from "node:perf_hooks";
 import * as types from "../wire/types.js";
 
@@ -22,26 +22,26 @@
   }
 }
 
-/** Runs `turn` at once and again and again, `ms` apart, until stopped. */
-export function runPeriodically(clock: types.Clock, ms: number, turn: () => void): types.Timer {
-  function again(): void {
-    if (stopped) return;
-    tick = clock.schedule(ms, again);
-    turn();
+/** Calls `run` on the next turn of the event loop and every `ms` milliseconds after it, until the timer is stopped. */
+export function runPeriodically(clock: types.Clock, ms: number, run: () => void): types.Timer {
+  let isStopped = false;
+  function onTimer(): void {
+    if (isStopped) return;
+    timer = clock.schedule(ms, onTimer);
+    run();
   }
-  let tick = clock.schedule(0, again);
-  let stopped = false;
+  let timer = clock.schedule(0, onTimer);
   return {
     stop(): void {
-      stopped = true;
-      tick.stop();
+      isStopped = true;
+      timer.stop();
     },
   };
 }
 
 /** Resolves after so many milliseconds. */
 export function sleep(clock: types.Clock, ms: number): Promise<void> {
-  return new Promise(function wait(resolve) {
+  return new Promise((resolve) => {
     clock.schedule(ms, resolve);
   });
 }
--- a/src/tenants/outage.ts
+++ b/src/tenants/outage.ts
@@ -1,14 +1,14 @@
-/** How long a state in which nothing can be decided is expected to last on (design/tenants 4.6). */
+/** Estimates how long an outage will go on, for the Retry-After of requests that it rejects (design/tenants 4.6). */
 import type * as types from "../wire/types.js";
 
 /** Bounds on the estimate, in milliseconds. */
 export interface OutageBounds {
-  leastMs: number;
-  mostMs: number;
+  minMs: number;
+  maxMs: number;
 }
 
-/** Not met for so long: what was seen before tells nothing of now (*ours*). */
-const FORGOTTEN_MS = 2000;
+/** An outage not observed for so long has ended; the next observation begins another (*ours*). */
+const RESET_AFTER_MS = 2000;
 
 /**
  * An outage that has lasted for some time is expected to last for as long again: nothing tells a short one from the
@@ -16,23 +16,23 @@
  */
 export class Outage {
   private since: types.SteadyMs | null = null;
-  private metAt: number = Number.NEGATIVE_INFINITY;
+  private lastSeenAt: number = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly clock: types.Clock,
     private readonly bounds: OutageBounds,
   ) {}
 
-  /** The outage is met: after how many milliseconds it is worth to come back. */
-  met(): number {
+  /** Records that the outage was observed; returns after how many milliseconds a retry is worthwhile. */
+  retryAfterMs(): number {
     const now = this.clock.now();
-    if (this.since === null || now - this.metAt > FORGOTTEN_MS) this.since = now;
-    this.metAt = now;
-    return Math.min(this.bounds.mostMs, Math.max(this.bounds.leastMs, now - this.since));
+    if (this.since === null || now - this.lastSeenAt > RESET_AFTER_MS) this.since = now;
+    this.lastSeenAt = now;
+    return Math.min(this.bounds.maxMs, Math.max(this.bounds.minMs, now - this.since));
   }
 
-  /** What it held up works again. */
-  over(): void {
+  /** Records that the outage is over. */
+  end(): void {
     this.since = null;
   }
 }
--- a/src/wire/http.ts
+++ b/src/wire/http.ts
@@ -78,9 +78,9 @@
   private status = 0;
   private headers = new Map<string, string>();
   private readonly parts: Buffer[] = [];
-  private held = 0;
+  private receivedBytes = 0;
   constructor(
-    private readonly mostBytes: number,
+    private readonly maxBytes: number,
     private readonly connected: () => void,
     private readonly done: (reply: Reply | null) => void,
   ) {}
@@ -95,8 +95,8 @@
     return true;
   }
   onData(chunk: Buffer): boolean {
-    this.held += chunk.length;
-    if (this.held > this.mostBytes) this.abort?.();
+    this.receivedBytes += chunk.length;
+    if (this.receivedBytes > this.maxBytes) this.abort?.();
     else this.parts.push(chunk);
     return true;
   }
@@ -113,8 +113,8 @@
   method?: "GET" | "POST";
   headers?: Record<string, string>;
   body?: Buffer;
-  withinMs: number;
-  mostBytes?: number;
+  timeoutMs: number;
+  maxBytes?: number;
   /** Called right before the first byte of the request is sent: without it, nothing was. */
   onConnect?: () => void;
 }
@@ -134,8 +134,8 @@
       else void client.destroy().catch(ignore);
       finish(null);
     }
-    const tick = clock.schedule(options.withinMs, late);
-    const collector = new Collector(options.mostBytes ?? 8 * 1024 * 1024, options.onConnect ?? ignore, finish);
+    const tick = clock.schedule(options.timeoutMs, late);
+    const collector = new Collector(options.maxBytes ?? 8 * 1024 * 1024, options.onConnect ?? ignore, finish);
     client.dispatch({ path, method: options.method ?? "GET", headers: options.headers ?? {}, body: options.body ?? null }, collector);
   });
 }
--- a/src/wire/release.ts
+++ b/src/wire/release.ts
@@ -39,23 +39,23 @@
   private readonly timer: types.Timer;
   private readonly host: string;
 
-  /** deny ends the link for the reason told. */
+  /** `deny` ends the link, with the reason. */
   constructor(
     private readonly clock: types.Clock,
     private readonly socket: net.Socket,
-    withinMs: number,
+    timeoutMs: number,
     private readonly deny: (cause: string) => void,
   ) {
     this.host = socket.remoteAddress ?? "an unknown host";
-    this.timer = clock.schedule(withinMs, () => this.onTimeout());
+    this.timer = clock.schedule(timeoutMs, () => this.onTimeout());
     socket.write(preamble(schema.RELEASE));
   }
 
   /** What follows the preamble; null while it is not whole, or when the link was denied. */
   receive(chunk: Buffer): Buffer | null {
     this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
-    const least = Math.min(this.buffered.length, MAGIC.length);
-    if (!this.buffered.subarray(0, least).equals(MAGIC.subarray(0, least))) {
+    const length = Math.min(this.buffered.length, MAGIC.length);
+    if (!this.buffered.subarray(0, length).equals(MAGIC.subarray(0, length))) {
       if (this.buffered.length > KIND_AT || this.buffered[0] > 1) this.rejectUnknownPeer();
       return null;
     }
@@ -108,7 +108,7 @@
 
 /** Ends the own side and reads on for a moment: a reset would take the preamble from the other side. */
 function linger(clock: types.Clock, socket: net.Socket): void {
-  const tick = clock.schedule(LINGER_MS, socket.destroy.bind(socket));
-  socket.once("close", tick.stop.bind(tick));
+  const timer = clock.schedule(LINGER_MS, () => socket.destroy());
+  socket.once("close", () => timer.stop());
   socket.end();
 }
--- a/src/wire/serve.ts
+++ b/src/wire/serve.ts
@@ -51,19 +51,19 @@
   close(): Promise<void>;
 }
 
-/** Listens at the address; a body of over mostBodyBytes gets 413. */
-export async function serve(address: string, mostBodyBytes: number, reply: RequestHandler): Promise<Server> {
-  function take(request: http.IncomingMessage, response: http.ServerResponse): void {
+/** Listens at the address; a body of more than `maxBodyBytes` is answered with 413. */
+export async function serve(address: string, maxBodyBytes: number, reply: RequestHandler): Promise<Server> {
+  function onRequest(request: http.IncomingMessage, response: http.ServerResponse): void {
     function lost(cause: Error): void {
       log.count("serve.failed");
       log.state(`serve: ${cause.message}`);
       response.destroy();
     }
-    void handle(request, response, mostBodyBytes, reply).catch(lost);
+    void handle(request, response, maxBodyBytes, reply).catch(lost);
   }
   const server = http.createServer(
     { keepAliveTimeout: 10_000, requestTimeout: 30_000, headersTimeout: 5000, connectionsCheckingInterval: 2000 },
-    take,
+    onRequest,
   );
   await listen.listen(server, address);
   function close(): Promise<void> {
@@ -81,35 +81,35 @@
 async function handle(
   request: http.IncomingMessage,
   response: http.ServerResponse,
-  mostBytes: number,
-  reply: RequestHandler,
+  maxBytes: number,
+  handler: RequestHandler,
 ): Promise<void> {
   const parts: Buffer[] = [];
-  let held = 0;
+  let receivedBytes = 0;
   for await (const chunk of request) {
-    held += (chunk as Buffer).length;
-    if (held > mostBytes) {
-      send(response, { status: 413, json: { message: `body: it is over ${mostBytes} bytes; send a smaller one` } }, true);
+    receivedBytes += (chunk as Buffer).length;
+    if (receivedBytes > maxBytes) {
+      send(response, { status: 413, json: { message: `body: it is over ${maxBytes} bytes; send a smaller one` } }, true);
       return;
     }
     parts.push(chunk as Buffer);
   }
   const url = new URL(request.url ?? "/", "http://node");
-  const told = await reply({
+  const reply = await handler({
     method: request.method ?? "GET",
     path: url.pathname,
     query: url.searchParams,
     headers: request.headers,
     body: Buffer.concat(parts),
   });
-  send(response, told, false);
+  send(response, reply, false);
 }
 
-function send(response: http.ServerResponse, told: HttpResponse, isLast: boolean): void {
-  const body = Buffer.from(JSON.stringify(told.json));
-  const headers: Record<string, string | number> = { "Content-Type": "application/json", "Content-Length": body.length, ...told.headers };
+function send(response: http.ServerResponse, reply: HttpResponse, isLast: boolean): void {
+  const body = Buffer.from(JSON.stringify(reply.json));
+  const headers: Record<string, string | number> = { "Content-Type": "application/json", "Content-Length": body.length, ...reply.headers };
   if (isLast) headers["Connection"] = "close";
-  response.writeHead(told.status, headers);
+  response.writeHead(reply.status, headers);
   response.end(body);
 }
 
