--- a/src/batch/bounds.ts
+++ b/src/batch/bounds.ts
@@ -19,4 +19,4 @@
 /** An item fails for good after so many failed tries. */
 export const MAX_FAILURES = 8;
 /** Ended batches are dropped, the oldest first, once so much time passed on the batch clock, or for want of room. */
-export const KEPT_MS = 7 * 24 * 3600 * 1000;
+export const RETENTION_MS = 7 * 24 * 3600 * 1000;
--- a/src/batch/outlook.ts
+++ b/src/batch/outlook.ts
@@ -3,7 +3,7 @@
 import type * as loads from "../forecast/loads.js";
 import type * as schema from "../wire/batch-schema.js";
 import * as projection from "./projection.js";
-import type * as trickle from "./trickle.js";
+import type * as pacing from "./pacing.js";
 
 /** Fewer observations or a smaller part of the day known make a forecast unsure; the bands say so, too. */
 const FEW_STEPS = 15;
@@ -17,7 +17,7 @@
 }
 
 /** One region's newest room. */
-export interface Room extends trickle.CellRoom {
+export interface Room extends pacing.CellCapacity {
   /** Batch items at work there, which the room counts as used. */
   batchItems: number;
 }
@@ -46,7 +46,7 @@
     factors.push(row);
   }
   const interactive = Math.max(0, room.used - room.batchItems);
-  return { region: room.region, places: room.places, interactive, readPerMs: room.readPerMs, ratios, factors };
+  return { region: room.region, places: room.slots, interactive, readPerMs: room.prefillTokensPerMs, ratios, factors };
 }
 
 function rowOf(errors: forecastErrors.RatioErrors): number[] {
--- a/src/batch/projection.ts
+++ b/src/batch/projection.ts
@@ -2,7 +2,7 @@
  * How long a batch will wait (design/batch 9): a fluid queue of all batches in their order, served by the room that the
  * forecast leaves to batches, played through for many draws of the forecast's errors. Pure functions of their input.
  */
-import * as trickle from "./trickle.js";
+import * as pacing from "./pacing.js";
 
 /** A play ends here; what has not ended by then is told as over it. */
 export const HORIZON_MS = 24 * 3600 * 1000;
@@ -73,16 +73,16 @@
 
 function supplyOf(cell: CellOutlook, step: number, draw: number): Supply {
   const interactive = cell.interactive * cell.ratios[step] * cell.factors[step][draw];
-  const startsPerMs = (trickle.STEP_SHARE * cell.places) / trickle.UNREPORTED_MS;
-  return { region: cell.region, places: trickle.batchPlaces(cell.places, interactive), readPerMs: cell.readPerMs, startsPerMs };
+  const startsPerMs = (pacing.MAX_STEP_RATIO * cell.places) / pacing.REPORT_DELAY_MS;
+  return { region: cell.region, places: pacing.batchSlots(cell.places, interactive), readPerMs: cell.readPerMs, startsPerMs };
 }
 
 /** Items a millisecond of one work, and what they take from the supplies and from what the owner can do. */
 function takeRate(work: Work, supplies: readonly Supply[], owner: Supply): number {
   // A send holds its place until no report can miss it any more.
-  const heldMs = work.heldMs + trickle.UNREPORTED_MS;
+  const heldMs = work.heldMs + pacing.REPORT_DELAY_MS;
   let rate = 0;
-  // The owner sends where most room is first (worklist.ts).
+  // The owner sends where most slots are free first (item-queue.ts).
   for (const supply of [...supplies].sort(byRoom)) {
     if (!work.regions.has(supply.region)) continue;
     const most = Math.min(owner.startsPerMs, owner.places / work.heldMs);
@@ -103,7 +103,7 @@
 }
 
 function ownerSupply(): Supply {
-  return { region: "", places: trickle.MAX_AT_WORK, readPerMs: Infinity, startsPerMs: (trickle.MAX_SENDS * CHANGES_PER_S) / 1000 };
+  return { region: "", places: pacing.MAX_IN_FLIGHT, readPerMs: Infinity, startsPerMs: (pacing.MAX_SENDS * CHANGES_PER_S) / 1000 };
 }
 
 /** The first moment of the grid whose step reaches beyond the time. */
--- a/src/batch/quote.ts
+++ b/src/batch/quote.ts
@@ -48,7 +48,7 @@
   /** Batches before it, and it as the last. */
   works: readonly projection.Work[];
   /** Milliseconds within which it is wanted; 0: no matter. */
-  withinMs: number;
+  finishWithinMs: number;
   /** How far earlier projections were off. */
   pastErrors: errors.RatioErrors;
   random: () => number;
@@ -64,7 +64,7 @@
   return {
     begin: bandOf(played.map((one) => one.beginMs)),
     end: bandOf(ends),
-    lateShare: question.withinMs > 0 ? shareOver(ends, question.withinMs) : null,
+    lateShare: question.finishWithinMs > 0 ? shareOver(ends, question.finishWithinMs) : null,
     modelMs: told(statistics.quantile(model, MEDIAN)),
     best: bestOf(table),
     table,
--- a/src/batch/sender.ts
+++ b/src/batch/sender.ts
@@ -7,7 +7,7 @@
 import * as http from "../wire/http.js";
 import * as names from "../wire/names.js";
 import type * as types from "../wire/types.js";
-import * as attempt from "./attempt.js";
+import * as batchAttempt from "./batch-attempt.js";
 import * as bounds from "./bounds.js";
 import * as submissions from "./submission.js";
 
@@ -39,8 +39,8 @@
 }
 
 /** Resolves when the answer is whole, refused or lost; never rejects. */
-export async function send(clock: types.Clock, to: Destination | null, { route, item }: Parcel): Promise<attempt.Answer> {
-  if (!to) return { kind: "not_run", againMs: NO_ROUTER_MS };
+export async function send(clock: types.Clock, to: Destination | null, { route, item }: Parcel): Promise<batchAttempt.AttemptAnswer> {
+  if (!to) return { kind: "not_run", retryAfterMs: NO_ROUTER_MS };
   const client = http.open(to.frontend, { connectMs: CONNECT_MS, idleMs: 1 });
   let wasSent = false;
   const reply = await http.call(clock, client, item.path ?? route.path_prefix, {
@@ -54,7 +54,7 @@
     },
   });
   void client.destroy().catch(http.ignore);
-  if (!reply) return wasSent ? { kind: "may_have_run" } : { kind: "not_run", againMs: NO_ROUTER_MS };
+  if (!reply) return wasSent ? { kind: "may_have_run" } : { kind: "not_run", retryAfterMs: NO_ROUTER_MS };
   return answerOf(reply);
 }
 
@@ -71,9 +71,9 @@
   return headers;
 }
 
-function answerOf(reply: http.Reply): attempt.Answer {
+function answerOf(reply: http.Reply): batchAttempt.AttemptAnswer {
   const { status, headers, body } = reply;
-  if (PROMISES.has(status)) return { kind: "not_run", againMs: pauseMs(headers.get(names.HEADER.retryAfter)) };
+  if (PROMISES.has(status)) return { kind: "not_run", retryAfterMs: pauseMs(headers.get(names.HEADER.retryAfter)) };
   if (status >= 500) return { kind: "may_have_run" };
   const seal = headers.get(names.HEADER.seal) ?? "";
   if (status >= 300 || seal === "") return { kind: "refused", status };
--- a/src/batch/steps.ts
+++ b/src/batch/steps.ts
@@ -1,9 +1,9 @@
 /**
- * Every change of the batch table, as pure functions of the table read (design/batch 4). Each gives the next table, or
- * the very table read where nothing changes, or the error that its caller is told.
+ * Every change of the batch table, as pure functions of the table read (design/batch 4). Each returns the next table,
+ * the same table object where nothing changes, or an error for the caller.
  *
- * Invariants: numbers are given out once and in order, and the order of open batches is that of their numbers; only the
- * owner of the present term moves items; an item that may have run goes back to `waiting` only if it may run again;
+ * Invariants: numbers are assigned once and in order, and the order of open batches is that of their numbers; only the
+ * owner of the current term changes items; an item that may have run goes back to `waiting` only if it may run again;
  * `done` is final, and it names the one attempt whose result counts.
  */
 import * as result from "true-myth/result";
@@ -23,8 +23,8 @@
   route: string;
   isRepeatable: boolean;
   count: number;
-  /** Milliseconds from now within which it is wanted; 0: no matter. */
-  withinMs: number;
+  /** Milliseconds from now within which it should finish; 0: no deadline. */
+  finishWithinMs: number;
   homes: string[];
   reservedBytes: number;
   projected: schema.Projection | null;
@@ -48,7 +48,7 @@
   end: AttemptEnd;
 }
 
-/** What an owner changes at once: its attempts that ended, and then the items that it is about to send. */
+/** One change by an owner: attempts that ended, then the items that it is about to send. */
 export interface OwnerChange {
   term: number;
   /** Time on the batch clock that has passed since the owner's last change. */
@@ -58,12 +58,12 @@
   sends: readonly ItemRef[];
 }
 
-/** Takes a batch, or finds the one with the same key. */
+/** Adds a batch, or finds the one with the same key; a key with another digest is an error. */
 export function submit(table: schema.BatchTable, submission: Submission): Outcome {
   const before = tables.findKey(table, submission.key);
-  if (before) return before.digest === submission.digest ? result.ok(table) : sameKey(submission.key);
-  const kept = withRoomFor(table, submission.reservedBytes);
-  if (kept.isErr) return result.err(kept.error);
+  if (before) return before.digest === submission.digest ? result.ok(table) : keyConflict(submission.key);
+  const retained = retainedBeside(table, submission.reservedBytes);
+  if (retained.isErr) return result.err(retained.error);
   const batch: schema.Batch = {
     number: table.nextNumber,
     key: submission.key,
@@ -73,17 +73,17 @@
     isCancelled: false,
     items: items.allWaiting(submission.count),
     submittedMs: table.clockMs,
-    dueMs: submission.withinMs > 0 ? table.clockMs + submission.withinMs : 0,
+    dueMs: submission.finishWithinMs > 0 ? table.clockMs + submission.finishWithinMs : 0,
     startedMs: 0,
     endedMs: 0,
     homes: submission.homes,
     reservedBytes: submission.reservedBytes,
     projected: submission.projected,
   };
-  return result.ok({ ...table, nextNumber: table.nextNumber + 1, batches: [...kept.value, batch] });
+  return result.ok({ ...table, nextNumber: table.nextNumber + 1, batches: [...retained.value, batch] });
 }
 
-function sameKey(key: string): Outcome {
+function keyConflict(key: string): Outcome {
   return result.err(new errors.InvalidRequestError(`key: another batch was submitted as ${key}`, "choose a key that was not used before"));
 }
 
@@ -93,28 +93,28 @@
   return sum;
 }
 
-/** The batches that stay beside a new one: ended ones give way, the oldest first; open ones never do. */
-function withRoomFor(table: schema.BatchTable, bytes: number): result.Result<schema.Batch[], errors.CranewindError> {
+/** The batches retained beside a new one of so many bytes: ended ones are dropped, the oldest first; open ones never. */
+function retainedBeside(table: schema.BatchTable, bytes: number): result.Result<schema.Batch[], errors.CranewindError> {
   if (tables.openBatches(table).length >= bounds.MAX_OPEN) {
     return result.err(
       new errors.CapacityExceededError(`${bounds.MAX_OPEN} batches are open, which is the bound`, "wait until one ends, or cancel one"),
     );
   }
-  const kept = [...table.batches];
-  while (kept.length >= bounds.MAX_BATCHES || sumBytes(kept) + bytes > bounds.MAX_BYTES) {
-    const oldest = kept.findIndex((batch) => !tables.isOpen(batch));
-    if (oldest < 0) return result.err(noBytes(bytes));
-    kept.splice(oldest, 1);
+  const retained = [...table.batches];
+  while (retained.length >= bounds.MAX_BATCHES || sumBytes(retained) + bytes > bounds.MAX_BYTES) {
+    const oldest = retained.findIndex((batch) => !tables.isOpen(batch));
+    if (oldest < 0) return result.err(bytesExceeded(bytes));
+    retained.splice(oldest, 1);
   }
-  return result.ok(kept);
+  return result.ok(retained);
 }
 
-function noBytes(bytes: number): errors.CranewindError {
+function bytesExceeded(bytes: number): errors.CranewindError {
   const message = `${bytes} bytes for it and its results would pass the bound of ${bounds.MAX_BYTES} for all batches`;
   return new errors.CapacityExceededError(message, "send fewer items, wait until a batch ends, or cancel one");
 }
 
-/** Waiting items are never sent; those at work end as they do. An ended batch stays as it is. */
+/** Cancels the waiting items; items in flight end normally. An ended batch stays as it is. */
 export function cancel(table: schema.BatchTable, number: number): Outcome {
   const batch = tables.findNumber(table, number);
   if (!batch) return result.err(new errors.NotFoundError(`there is no batch ${number}`, "cranewind batch list shows all"));
@@ -122,16 +122,16 @@
   let packed = batch.items;
   for (const index of items.indexesOf(batch.items, "waiting"))
     packed = items.withItem(packed, index, { ...items.itemAt(packed, index), state: "cancelled" });
-  return result.ok(withBatch(table, ended({ ...batch, isCancelled: true, items: packed }, table.clockMs)));
+  return result.ok(withBatch(table, withEndTime({ ...batch, isCancelled: true, items: packed }, table.clockMs)));
 }
 
-/** Makes the life the owner, if nobody became it since `term`. */
+/** Makes the incarnation the owner and begins a new term, unless one began since `term`. */
 export function claim(table: schema.BatchTable, term: number, owner: string): Outcome {
   if (table.term !== term || table.owner === owner) return result.ok(table);
   return result.ok({ ...table, owner, term: table.term + 1 });
 }
 
-/** Applies what the owner did; an owner whose term is over is told so, and nothing changes. */
+/** Applies an owner's change; the change of an owner whose term is over is rejected whole. */
 export function advance(table: schema.BatchTable, owner: string, change: OwnerChange): Outcome {
   if (table.term !== change.term || table.owner !== owner) {
     return result.err(
@@ -140,25 +140,27 @@
   }
   const clockMs = table.clockMs + Math.max(0, change.elapsedMs);
   let next: schema.BatchTable = { ...table, clockMs };
-  for (const attempt of change.ended) next = end(next, attempt);
-  for (const item of change.sends) next = send(next, item);
-  function isRemembered(batch: schema.Batch): boolean {
-    return tables.isOpen(batch) || clockMs - batch.endedMs < bounds.KEPT_MS;
-  }
-  return result.ok({ ...next, batches: next.batches.filter(isRemembered) });
+  for (const attempt of change.ended) next = endAttempt(next, attempt);
+  for (const item of change.sends) next = markSent(next, item);
+  const retained = next.batches.filter((batch) => tables.isOpen(batch) || clockMs - batch.endedMs < bounds.RETENTION_MS);
+  return result.ok({ ...next, batches: retained });
 }
 
-/** Passed over unless the very attempt is at work. */
-function end(table: schema.BatchTable, attempt: EndedAttempt): schema.BatchTable {
+/** No effect unless exactly this attempt is in flight. */
+function endAttempt(table: schema.BatchTable, attempt: EndedAttempt): schema.BatchTable {
   const batch = tables.findNumber(table, attempt.number);
   const item = batch && items.itemAt(batch.items, attempt.index);
   if (!item || item.state !== "sent" || item.attempt !== attempt.attempt) return table;
-  const packed = items.withItem(batch.items, attempt.index, after(item, attempt.end, batch));
-  return withBatch(table, ended({ ...batch, items: packed }, table.clockMs));
+  const packed = items.withItem(batch.items, attempt.index, itemAfterAttempt(item, attempt.end, batch));
+  return withBatch(table, withEndTime({ ...batch, items: packed }, table.clockMs));
 }
 
-/** The item after an attempt at it has ended so. */
-export function after(item: items.Item, attemptEnd: AttemptEnd, batch: Pick<schema.Batch, "isRepeatable" | "isCancelled">): items.Item {
+/** The item's next state after an attempt at it ended. */
+export function itemAfterAttempt(
+  item: items.Item,
+  attemptEnd: AttemptEnd,
+  batch: Pick<schema.Batch, "isRepeatable" | "isCancelled">,
+): items.Item {
   if (attemptEnd === "done" || attemptEnd === "failed") return { ...item, state: attemptEnd };
   if (attemptEnd === "may_have_run" && !batch.isRepeatable) return { ...item, state: "unclear" };
   if (batch.isCancelled) return { ...item, state: "cancelled" };
@@ -167,8 +169,8 @@
   return { ...item, failures, state: isGivenUp ? "failed" : "waiting" };
 }
 
-/** Passed over unless the item waits and this is its next attempt. */
-function send(table: schema.BatchTable, ref: ItemRef): schema.BatchTable {
+/** No effect unless the item is waiting and this is its next attempt. */
+function markSent(table: schema.BatchTable, ref: ItemRef): schema.BatchTable {
   const batch = tables.findNumber(table, ref.number);
   const item = batch && items.itemAt(batch.items, ref.index);
   if (!item || item.state !== "waiting" || ref.attempt !== item.attempt + 1) return table;
@@ -176,7 +178,7 @@
   return withBatch(table, { ...batch, items: packed, startedMs: batch.startedMs || Math.max(1, table.clockMs) });
 }
 
-function ended(batch: schema.Batch, clockMs: number): schema.Batch {
+function withEndTime(batch: schema.Batch, clockMs: number): schema.Batch {
   return tables.isOpen(batch) || batch.endedMs > 0 ? batch : { ...batch, endedMs: Math.max(1, clockMs) };
 }
 
--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -6,7 +6,7 @@
 import * as bounds from "../../batch/bounds.js";
 import * as items from "../../batch/items.js";
 import * as outlook from "../../batch/outlook.js";
-import * as owners from "../../batch/owner.js";
+import * as batchOwner from "../../batch/batch-owner.js";
 import * as quotes from "../../batch/quote.js";
 import * as records from "../../batch/records.js";
 import type * as replicas from "../../batch/replicas.js";
@@ -102,7 +102,7 @@
     const quote = await quotes.answer({
       cells: outlook.cellsOf(capacities, forecast, (route) => view.typicalOccupancyMs(route)),
       works: [...view.workAhead(table, service), view.workOf(outline, outline.count)],
-      withinMs: outline.finish_within_s * 1000,
+      finishWithinMs: outline.finish_within_s * 1000,
       pastErrors,
       random: () => clock.random(),
       wantsTable,
@@ -122,7 +122,7 @@
     const digest = submissions.digestOf(body);
     const quote = (await this.project(outline, false)) as quotes.Quote;
     if (!(await this.needs.replicas.put({ digest, ...records.SUBMISSION }, body))) return serve.errorReply(notDurable());
-    const step = owners.registrationStep((table) => steps.submit(table, this.order(submission, body, digest, quote)));
+    const step = batchOwner.registrationStep((table) => steps.submit(table, this.order(submission, body, digest, quote)));
     const outcome = await this.needs.register.submitOrder(step, CHANGE_TIMEOUT_MS);
     log.count(outcome.isOk ? "batch.submitted" : `batch.submit_${outcome.error.code}`);
     if (outcome.isErr) return serve.errorReply(outcome.error);
@@ -139,7 +139,7 @@
       route: submission.route,
       isRepeatable: this.needs.view.isRepeatable(route),
       count: submission.items.length,
-      withinMs: submission.finish_within_s * 1000,
+      finishWithinMs: submission.finish_within_s * 1000,
       homes: submission.homes,
       reservedBytes: submissions.reservedBytes(body, submission),
       projected: projectedOf(quote),
@@ -147,7 +147,7 @@
   }
 
   private async cancel(number: number): Promise<serve.HttpResponse> {
-    const step = owners.registrationStep((table) => steps.cancel(table, number));
+    const step = batchOwner.registrationStep((table) => steps.cancel(table, number));
     const outcome = await this.needs.register.submitOrder(step, CHANGE_TIMEOUT_MS);
     if (outcome.isErr) return serve.errorReply(outcome.error);
     return this.describeBatch(tables.tableOf(outcome.value), number);
--- a/src/control/batches/batch-view.ts
+++ b/src/control/batches/batch-view.ts
@@ -7,7 +7,7 @@
 import type * as outlook from "../../batch/outlook.js";
 import type * as submissions from "../../batch/submission.js";
 import * as tables from "../../batch/table.js";
-import * as trickle from "../../batch/trickle.js";
+import * as pacing from "../../batch/pacing.js";
 import * as configurationCheck from "../../config/configuration-check.js";
 import * as routeTable from "../../config/route-table.js";
 import type * as loads from "../../forecast/loads.js";
@@ -97,11 +97,11 @@
       const report = reporting.get(instance.id);
       if (instance.service !== service || instance.isDraining || !report || evacuated.has(instance.zone)) continue;
       const region = this.sources.regionOf(instance.zone);
-      const capacity = capacities.get(region) ?? { region, places: 0, used: 0, waiting: 0, readPerMs: 0, batchItems: 0 };
-      capacity.places += instance.capacity;
+      const capacity = capacities.get(region) ?? { region, slots: 0, used: 0, waiting: 0, prefillTokensPerMs: 0, batchItems: 0 };
+      capacity.slots += instance.capacity;
       capacity.used += report.active + report.waiting;
       capacity.waiting += report.waiting;
-      capacity.readPerMs += trickle.readPerMs(1, this.sources.forecast.readRate);
+      capacity.prefillTokensPerMs += pacing.prefillTokensPerMs(1, this.sources.forecast.readRate);
       capacities.set(region, capacity);
     }
     return [...capacities.values()];
@@ -111,13 +111,13 @@
   capacitiesWithBatches(service: string, table: batchSchema.BatchTable): outlook.Room[] {
     const capacities = this.capacities(service);
     let slots = 0;
-    for (const capacity of capacities) slots += capacity.places;
+    for (const capacity of capacities) slots += capacity.slots;
     let inFlight = 0;
     for (const open of tables.openBatches(table)) {
       if (this.serviceOf(open.route) === service) inFlight += items.tally(open.items).get("sent") ?? 0;
     }
     return capacities.map((capacity) => {
-      const batchItems = Math.min(capacity.used, (inFlight * capacity.places) / Math.max(1, slots));
+      const batchItems = Math.min(capacity.used, (inFlight * capacity.slots) / Math.max(1, slots));
       return { ...capacity, batchItems };
     });
   }
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -1,13 +1,13 @@
 /** Batches at one control node (design/batch 1): register, records, owner, forecast and operators' calls, connected. */
-import type * as attempt from "../../batch/attempt.js";
-import * as owners from "../../batch/owner.js";
+import type * as batchAttempt from "../../batch/batch-attempt.js";
+import * as batchOwner from "../../batch/batch-owner.js";
 import * as records from "../../batch/records.js";
 import * as replicas from "../../batch/replicas.js";
 import * as routers from "../../batch/routers.js";
 import * as sender from "../../batch/sender.js";
 import * as submissions from "../../batch/submission.js";
 import * as tables from "../../batch/table.js";
-import type * as worklist from "../../batch/worklist.js";
+import type * as itemQueue from "../../batch/item-queue.js";
 import type * as dialer from "../../feed/dialer.js";
 import type * as feedPublisher from "../../feed/feed-publisher.js";
 import * as errors from "../../runtime/errors.js";
@@ -62,7 +62,7 @@
   private readonly replicas: replicas.Replicas;
   private readonly loads: loadCollector.LoadCollector;
   private readonly view: batchView.BatchView;
-  private readonly owner: owners.Owner;
+  private readonly owner: batchOwner.BatchOwner;
   private readonly calls: batchCalls.BatchCalls;
   private readonly routers: routers.PassedRouters;
   private readonly submissions = new Map<string, submissions.Submission>();
@@ -90,7 +90,7 @@
       forecast: this.loads.forecast,
     });
     this.routers = new routers.PassedRouters(clock, () => host.members.readyRouters());
-    this.owner = new owners.Owner(this.ownerDependencies());
+    this.owner = new batchOwner.BatchOwner(this.ownerDependencies());
     const { view, replicas: replicated } = this;
     this.calls = new batchCalls.BatchCalls({
       clock,
@@ -104,23 +104,23 @@
     this.loads.registerHandlers(host.handlers);
   }
 
-  private ownerDependencies(): owners.Dependencies {
+  private ownerDependencies(): batchOwner.Dependencies {
     const { clock, host, view, replicas: replicated } = this;
     return {
       clock,
-      life: host.incarnation,
+      incarnation: host.incarnation,
       register: this.register.replica,
       replicas: replicated,
       isConfirmed: () => host.isConfirmed(),
       serviceOf: (route) => view.serviceOf(route),
-      roomsOf: (batch, service) => view.capacitiesOf(batch, service),
-      unreadOf: (batch) => view.prefillTokensOf(batch.digest),
+      capacitiesOf: (batch, service) => view.capacitiesOf(batch, service),
+      prefillTokensOf: (batch) => view.prefillTokensOf(batch.digest),
       longestMs: (route) => sender.longestMs(view.routeOf(route)),
       send: (send, batch) => this.send(send, batch),
-      attemptEnded: (batch, send, ended) => {
+      onAttemptEnded: (batch, send, ended) => {
         if (ended.end === "done") view.recordOccupancy(batch.digest, clock.now() - send.sentAt);
       },
-      isInTouch: (life) => this.connectedIncarnations().has(life),
+      isConnected: (life) => this.connectedIncarnations().has(life),
       rank: () => [...this.connectedIncarnations()].filter((life) => life < host.incarnation).length,
     };
   }
@@ -136,7 +136,7 @@
   runPeriodically(): void {
     this.register.runPeriodically();
     this.loads.runPeriodically();
-    if (this.hasRecords) this.owner.turn();
+    if (this.hasRecords) this.owner.runPeriodically();
     if (this.owner.isOwner()) this.routers.introduce();
     const now = this.clock.now();
     if (this.isRepairing || !this.hasRecords || now - this.repairedAt < REPAIR_INTERVAL_MS) return;
@@ -169,11 +169,11 @@
     return parsed.value;
   }
 
-  private async send(send: worklist.Send, batch: batchSchema.Batch): Promise<attempt.Answer> {
+  private async send(send: itemQueue.PlannedSend, batch: batchSchema.Batch): Promise<batchAttempt.AttemptAnswer> {
     const submission = await this.submissionOf(batch);
     const route = this.view.routeOf(batch.route);
     const item = submission?.items[send.index];
-    if (!item || !route) return { kind: "not_run", againMs: OPEN_RETRY_INTERVAL_MS };
+    if (!item || !route) return { kind: "not_run", retryAfterMs: OPEN_RETRY_INTERVAL_MS };
     return sender.send(this.clock, this.routers.in(send.region), { route, item });
   }
 
@@ -204,7 +204,7 @@
   }
 
   status(): unknown {
-    return { ...(this.register.status() as object), isOwner: this.owner.isOwner(), atWork: this.owner.working };
+    return { ...(this.register.status() as object), isOwner: this.owner.isOwner(), atWork: this.owner.inFlightCount };
   }
 
   /** Hands the vote over while links are still up. */
--- a/src/whatif/batch-day.ts
+++ b/src/whatif/batch-day.ts
@@ -1,14 +1,14 @@
 /**
  * Plays batches beside interactive load and compares projected with seen waits (design/batch 12). Forecast, projection,
- * worklist and table are those of the control nodes; cells, arrivals and the register's rounds are models.
+ * item queue and table are those of the control nodes; cells, arrivals and the register's rounds are models.
  */
-import * as outlook from "../batch/outlook.js";
+import * as capacityForecast from "../batch/capacity-forecast.js";
 import type * as projection from "../batch/projection.js";
 import * as quotes from "../batch/quote.js";
 import * as items from "../batch/items.js";
 import * as steps from "../batch/steps.js";
 import * as tables from "../batch/table.js";
-import * as worklist from "../batch/worklist.js";
+import * as itemQueue from "../batch/item-queue.js";
 import * as loads from "../forecast/loads.js";
 import type * as schema from "../wire/batch-schema.js";
 import * as batchCells from "./batch-cells.js";
@@ -42,9 +42,9 @@
   private readonly clock: plannedClock.PlannedClock;
   private readonly forecast: loads.LoadForecast;
   private readonly cells: batchCells.ModelCell[];
-  private readonly itemsInFlight = new Map<string, worklist.AtWork>();
+  private readonly itemsInFlight = new Map<string, itemQueue.InFlightAttempt>();
   private readonly ended: steps.EndedAttempt[] = [];
-  private readonly worklist: worklist.Worklist;
+  private readonly queue: itemQueue.ItemQueue;
   private readonly heldMs = new Map<string, number>();
   private table: schema.BatchTable = { ...tables.EMPTY, owner: OWNER_INCARNATION, term: 1 };
   private changedAt = 0;
@@ -52,21 +52,21 @@
     this.clock = new plannedClock.PlannedClock(scenario.seed);
     this.forecast = new loads.LoadForecast(this.clock);
     this.cells = scenario.batch_regions.map((region) => new batchCells.ModelCell(region, scenario, this.clock));
-    this.worklist = new worklist.Worklist(this.clock, {
+    this.queue = new itemQueue.ItemQueue(this.clock, {
       serviceOf: () => SERVICE,
-      roomsOf: (batch) => this.regionCapacity(batch.homes),
-      unreadOf: () => 0,
+      capacitiesOf: (batch) => this.regionCapacity(batch.homes),
+      prefillTokensOf: () => 0,
     });
   }
 
-  private regionCapacity(homes: readonly string[]): outlook.Room[] {
+  private regionCapacity(homes: readonly string[]): capacityForecast.RegionCapacity[] {
     const here = this.cells.filter(({ region }) => homes.length === 0 || homes.includes(region.name));
     return here.map(({ region, reportedUse, batchItems }) => ({
       region: region.name,
-      places: region.places,
+      slots: region.places,
       used: reportedUse,
       waiting: Math.max(0, reportedUse - region.places),
-      readPerMs: Infinity,
+      prefillTokensPerMs: Infinity,
       batchItems,
     }));
   }
@@ -103,18 +103,18 @@
     this.advanceTable([]);
     // All cells count: batches before this one may run in others.
     const rooms = this.regionCapacity([]);
-    const works: projection.Work[] = tables.openBatches(this.table).map((batch) => this.workOf(batch));
-    const pastErrors = outlook.pastErrors(this.table);
+    const works: projection.BatchWork[] = tables.openBatches(this.table).map((batch) => this.workOf(batch));
+    const pastErrors = capacityForecast.pastErrors(this.table);
     const own = {
       count: kind.count,
-      heldMs: kind.item_held_ms,
-      unread: 0,
+      occupancyMs: kind.item_held_ms,
+      prefillTokens: 0,
       regions: new Set(this.regionCapacity(kind.homes).map((room) => room.region)),
     };
-    const quote = await quotes.answer({
-      cells: outlook.cellsOf(rooms, this.forecast, () => this.scenario.held_ms),
+    const quote = await quotes.makeQuote({
+      cells: capacityForecast.cellsOf(rooms, this.forecast, () => this.scenario.held_ms),
       works: [...works, own],
-      withinMs: 0,
+      finishWithinMs: 0,
       pastErrors,
       random: () => this.clock.random(),
       wantsTable: false,
@@ -125,11 +125,11 @@
     return { number, atMs: this.clock.now(), count: kind.count, interactiveLoad: this.load(), quote, beganMs: 0, endedMs: 0 };
   }
 
-  private workOf(batch: schema.Batch): projection.Work {
+  private workOf(batch: schema.Batch): projection.BatchWork {
     const counts = items.tally(batch.items);
     const regions = new Set(this.regionCapacity(batch.homes).map((room) => room.region));
     const count = (counts.get("waiting") ?? 0) + (counts.get("sent") ?? 0);
-    return { count, heldMs: this.heldMs.get(batch.digest)!, unread: 0, regions };
+    return { count, occupancyMs: this.heldMs.get(batch.digest)!, prefillTokens: 0, regions };
   }
 
   private submitToTable(kind: batchScenario.BatchScenario["batches"][number], quote: quotes.Quote, number: number): void {
@@ -148,7 +148,7 @@
       route: ROUTE,
       isRepeatable: true,
       count: kind.count,
-      withinMs: 0,
+      finishWithinMs: 0,
       homes: kind.homes,
       reservedBytes: 1,
       projected,
@@ -170,7 +170,7 @@
     return held / places;
   }
 
-  private advanceTable(sends: worklist.Send[]): void {
+  private advanceTable(sends: itemQueue.PlannedSend[]): void {
     const now = this.clock.now();
     const outcome = steps.advance(this.table, OWNER_INCARNATION, {
       term: 1,
@@ -188,7 +188,7 @@
     if (this.isDispatching) return;
     this.isDispatching = true;
     const turn = (): void => {
-      const sends = this.worklist.next(this.table, this.itemsInFlight.values());
+      const sends = this.queue.nextSends(this.table, this.itemsInFlight.values());
       this.advanceTable(sends);
       for (const send of sends) this.send(send);
       this.isDispatching = tables.openBatches(this.table).length > 0;
@@ -199,9 +199,9 @@
 
   private isDispatching = false;
 
-  private send(send: worklist.Send): void {
+  private send(send: itemQueue.PlannedSend): void {
     const cell = this.cells.find(({ region }) => region.name === send.region)!;
-    const key = worklist.keyOf(send);
+    const key = itemQueue.itemKey(send);
     this.itemsInFlight.set(key, { ...send, sentAt: this.clock.now() });
     cell.batchItems += 1;
     const heldMs = this.heldMs.get(String(send.number))! * Math.exp(ITEM_SPREAD * batchCells.normal(this.clock) - ITEM_SPREAD ** 2 / 2);
--- a/tests/batches/history.ts
+++ b/tests/batches/history.ts
@@ -4,13 +4,13 @@
  * recorded answer. Guards of the sources can be taken out, to see the checker fail.
  */
 import * as result from "true-myth/result";
-import type * as attempt from "../../src/batch/attempt.js";
+import type * as batchAttempt from "../../src/batch/batch-attempt.js";
 import * as items from "../../src/batch/items.js";
-import * as owners from "../../src/batch/owner.js";
+import * as batchOwner from "../../src/batch/batch-owner.js";
 import type * as replicas from "../../src/batch/replicas.js";
 import * as steps from "../../src/batch/steps.js";
 import * as tables from "../../src/batch/table.js";
-import type * as worklist from "../../src/batch/worklist.js";
+import type * as itemQueue from "../../src/batch/item-queue.js";
 import type * as registerStep from "../../src/register/register-step.js";
 import * as registerValue from "../../src/register/register-value.js";
 import * as errors from "../../src/runtime/errors.js";
@@ -47,7 +47,7 @@
   /** Since when a node is cut off. */
   private readonly cut = new Map<string, number>();
   private readonly invariants = new invariants.Invariants();
-  private readonly owners = new Map<string, { owner: owners.Owner; life: string; isUp: boolean }>();
+  private readonly owners = new Map<string, { owner: batchOwner.BatchOwner; life: string; isUp: boolean }>();
   private lives = 0;
   private isCalm = false;
   verdict: Verdict = null;
@@ -67,7 +67,7 @@
   }
 
   private submit(key: string, isRepeatable: boolean): void {
-    const plain = { route: key, count: 12, withinMs: 0, homes: [], reservedBytes: 1, projected: null };
+    const plain = { route: key, count: 12, finishWithinMs: 0, homes: [], reservedBytes: 1, projected: null };
     const made = steps.submit(tables.tableOf(this.value), { ...plain, key, digest: key, isRepeatable });
     if (made.isOk) this.value = tables.withTable(this.value, made.value);
   }
@@ -84,12 +84,12 @@
     this.lives += 1;
     const life = `${name}/${this.lives}`;
     const world = new networks.NodeWorld(this.network, name);
-    const owner = new owners.Owner(this.needs(name, life, world));
+    const owner = new batchOwner.BatchOwner(this.needs(name, life, world));
     const entry = { owner, life, isUp: true };
     this.owners.set(name, entry);
     const turn = (): void => {
       if (!entry.isUp) return;
-      owner.turn();
+      owner.runPeriodically();
       world.schedule(TURN_MS, turn);
     };
     world.schedule(TURN_MS * this.clock.random(), turn);
@@ -100,11 +100,11 @@
     this.clock.schedule(500 + 3000 * this.clock.random(), () => this.start(name));
   }
 
-  private needs(name: string, life: string, clock: types.Clock): owners.Dependencies {
+  private needs(name: string, life: string, clock: types.Clock): batchOwner.Dependencies {
     const { views } = this;
     return {
       clock,
-      life,
+      incarnation: life,
       register: {
         get chosen() {
           return views.get(name) ?? null;
@@ -113,15 +113,15 @@
       },
       replicas: { put: (key, body) => this.put(name, key, body), find: (key) => this.find(name, key) },
       isConfirmed: () => !this.isCut(name) || this.clock.now() - this.cut.get(name)! < CONFIRMED_MS,
-      isInTouch: (other) =>
+      isConnected: (other) =>
         [...this.owners].some(([node, entry]) => entry.isUp && entry.life === other && !this.isCut(node) && !this.isCut(name)),
       rank: () => NODES.indexOf(name),
       serviceOf: () => "s",
-      roomsOf: () => [{ region: "r", places: 10, used: 0, waiting: 0, readPerMs: Infinity }],
-      unreadOf: () => 0,
+      capacitiesOf: () => [{ region: "r", slots: 10, used: 0, waiting: 0, prefillTokensPerMs: Infinity }],
+      prefillTokensOf: () => 0,
       longestMs: () => LONGEST_MS,
       send: (send, batch) => this.run(name, send, batch, clock),
-      attemptEnded: () => undefined,
+      onAttemptEnded: () => undefined,
     };
   }
 
@@ -195,9 +195,14 @@
   }
 
   /** A runner: full, answering, or breaking off with or without having run. */
-  private async run(name: string, send: worklist.Send, batch: schema.Batch, clock: types.Clock): Promise<attempt.Answer> {
+  private async run(
+    name: string,
+    send: itemQueue.PlannedSend,
+    batch: schema.Batch,
+    clock: types.Clock,
+  ): Promise<batchAttempt.AttemptAnswer> {
     const luck = this.isCalm ? 1 : this.clock.random();
-    if (luck < 0.15) return { kind: "not_run", againMs: 200 };
+    if (luck < 0.15) return { kind: "not_run", retryAfterMs: 200 };
     if (luck > 0.25) this.ran(batch, send.index);
     await this.wait(LONGEST_MS * 0.8 * this.clock.random(), clock);
     if (luck < 0.4 || !this.owners.get(name)!.isUp) return { kind: "may_have_run" };
--- a/tests/batches/projection.test.ts
+++ b/tests/batches/projection.test.ts
@@ -55,12 +55,12 @@
   const cells = [cell("a", 200, 60, { factors: spread }), cell("b", 400, 60, { factors: spread })];
   let seed = 1;
   const random = (): number => (seed = (seed * 48271) % 2147483647) / 2147483647;
-  return { cells, works, withinMs: 0, pastErrors: new errors.RatioErrors(), random, wantsTable: false, ...extra };
+  return { cells, works, finishWithinMs: 0, pastErrors: new errors.RatioErrors(), random, wantsTable: false, ...extra };
 }
 
 test("a quote gives bands in order, the share that is late, and the better region", async () => {
   const works = [work(3000, 2000, ["a", "b"]), work(1000, 2000, ["a", "b"])];
-  const quote = await quotes.answer(question(works, { withinMs: 30_000, wantsTable: true }));
+  const quote = await quotes.answer(question(works, { finishWithinMs: 30_000, wantsTable: true }));
   const { p05, p50, p90, p95, p99 } = quote.end;
   const all = [p05, p50, p90, p95, p99].map(Number);
   expect([...all].sort((left, right) => left - right)).toEqual(all);
--- a/tests/batches/steps.test.ts
+++ b/tests/batches/steps.test.ts
@@ -6,7 +6,7 @@
 import type * as schema from "../../src/wire/batch-schema.js";
 
 function submission(key: string, extra: Partial<steps.Submission> = {}): steps.Submission {
-  const plain = { route: "r", isRepeatable: false, count: 3, withinMs: 0, homes: [], reservedBytes: 100, projected: null };
+  const plain = { route: "r", isRepeatable: false, count: 3, finishWithinMs: 0, homes: [], reservedBytes: 100, projected: null };
   return { ...plain, key, digest: `digest of ${key}`, ...extra };
 }
 
@@ -109,11 +109,11 @@
     table = advanced(table, { ended: [{ ...FIRST, attempt, end: "may_have_run" }] });
   }
   expect(stateOf(table, 1, 0)).toBe(`failed ${bounds.MAX_FAILURES}/${bounds.MAX_FAILURES}`);
-  expect(tables.findNumber(advanced(table, { elapsedMs: bounds.KEPT_MS + 1 }), 1)).toBeUndefined();
+  expect(tables.findNumber(advanced(table, { elapsedMs: bounds.RETENTION_MS + 1 }), 1)).toBeUndefined();
 });
 
 test("a table comes back from the register's value as it was put in", () => {
-  const table = advanced(made(submission("a", { homes: ["x"], withinMs: 5 }), submission("b")), { sends: [FIRST] });
+  const table = advanced(made(submission("a", { homes: ["x"], finishWithinMs: 5 }), submission("b")), { sends: [FIRST] });
   const value = {
     epoch: 0,
     revision: 0,
