--- a/src/batch/quote.ts
+++ b/src/batch/quote.ts
@@ -1,14 +1,15 @@
 /**
- * The answer to "how long would it wait": plays of the projection put together into bands (design/batch 9). Between two
- * plays the caller's loop goes on, so that a quote holds up nothing.
+ * The answer to "how long would it wait": simulations of the projection, combined into bands (design/batch 9).
+ * It yields to the event loop between two simulations.
  */
 import * as statistics from "simple-statistics";
 import type * as errors from "../forecast/errors.js";
 import * as projection from "./projection.js";
 
-/** Plays of one quote, and of one cell of the table by region and hour. */
-const PLAYS = 60;
-const TABLE_PLAYS = 5;
+/** Simulations of one quote. */
+const RUNS = 60;
+/** Simulations of one cell of the table by region and hour. */
+const TABLE_RUNS = 5;
 const TABLE_HOURS = 24;
 const HOUR_MS = 3600 * 1000;
 const MEDIAN = 0.5;
@@ -33,7 +34,7 @@
 export interface Quote {
   begin: Band;
   end: Band;
-  /** Share of the plays that end after the time asked for; null: none was asked for. */
+  /** Share of the simulations that end after the time asked for; null: none was asked for. */
   lateShare: number | null;
   /** The median end by the model alone. */
   modelMs: number | null;
@@ -44,10 +45,10 @@
 
 /** What a quote is made from. */
 export interface Question {
-  cells: readonly projection.CellOutlook[];
+  cells: readonly projection.CellForecast[];
   /** Batches before it, and it as the last. */
-  works: readonly projection.Work[];
-  /** Milliseconds within which it is wanted; 0: no matter. */
+  works: readonly projection.BatchWork[];
+  /** Milliseconds within which it should finish; 0: no deadline. */
   finishWithinMs: number;
   /** How far earlier projections were off. */
   pastErrors: errors.RatioErrors;
@@ -55,17 +56,17 @@
   wantsTable: boolean;
 }
 
-/** Resolves once all plays are done; gives the loop back between them. */
-export async function answer(question: Question): Promise<Quote> {
-  const played = await playAll(question, question.works, PLAYS, 0);
-  const ends = played.map((one) => one.endMs);
-  const model = played.map((one) => one.modelMs);
+/** Resolves once all simulations are done; yields to the event loop between them. */
+export async function makeQuote(question: Question): Promise<Quote> {
+  const samples = await simulateAll(question, question.works, RUNS, 0);
+  const ends = samples.map((one) => one.endMs);
+  const model = samples.map((one) => one.modelMs);
   const table = question.wantsTable ? await tableOf(question) : [];
   return {
-    begin: bandOf(played.map((one) => one.beginMs)),
+    begin: bandOf(samples.map((one) => one.beginMs)),
     end: bandOf(ends),
     lateShare: question.finishWithinMs > 0 ? shareOver(ends, question.finishWithinMs) : null,
-    modelMs: told(statistics.quantile(model, MEDIAN)),
+    modelMs: roundedOrNull(statistics.quantile(model, MEDIAN)),
     best: bestOf(table),
     table,
   };
@@ -77,13 +78,13 @@
   modelMs: number;
 }
 
-async function playAll(question: Question, works: readonly projection.Work[], plays: number, startMs: number): Promise<Sample[]> {
+async function simulateAll(question: Question, works: readonly projection.BatchWork[], runs: number, startMs: number): Promise<Sample[]> {
   const samples: Sample[] = [];
-  for (let count = 0; count < plays; count += 1) {
-    const draws = question.cells.map(() => Math.floor(question.random() * projection.QUANTILES));
-    const { beginMs, endMs } = projection.play(question.cells, works, draws, startMs);
-    // The quantiles of the past errors are gone through evenly, in an order of chance.
-    const factor = question.pastErrors.factorAt((count + question.random()) / plays);
+  for (let count = 0; count < runs; count += 1) {
+    const draws = question.cells.map(() => Math.floor(question.random() * projection.ERROR_QUANTILES));
+    const { beginMs, endMs } = projection.simulate(question.cells, works, draws, startMs);
+    // Stratified sampling: the quantiles of the past errors are covered evenly.
+    const factor = question.pastErrors.factorAt((count + question.random()) / runs);
     samples.push({ beginMs: beginMs * factor, endMs: endMs * factor, modelMs: endMs });
     await yieldToLoop();
   }
@@ -101,8 +102,8 @@
     if (!own.regions.has(cell.region)) continue;
     const works = [...question.works.slice(0, -1), { ...own, regions: new Set([cell.region]) }];
     for (let inHours = 0; inHours < TABLE_HOURS; inHours += 1) {
-      const played = await playAll(question, works, TABLE_PLAYS, inHours * HOUR_MS);
-      rows.push({ region: cell.region, inHours, endMs: bandOf(played.map((one) => one.endMs)) });
+      const samples = await simulateAll(question, works, TABLE_RUNS, inHours * HOUR_MS);
+      rows.push({ region: cell.region, inHours, endMs: bandOf(samples.map((one) => one.endMs)) });
     }
   }
   return rows;
@@ -115,11 +116,11 @@
 }
 
 function bandOf(values: readonly number[]): Band {
-  const at = (quantile: number): number | null => told(statistics.quantile([...values], quantile));
+  const at = (quantile: number): number | null => roundedOrNull(statistics.quantile([...values], quantile));
   return { p05: at(0.05), p50: at(MEDIAN), p90: at(0.9), p95: at(0.95), p99: at(0.99) };
 }
 
-function told(ms: number): number | null {
+function roundedOrNull(ms: number): number | null {
   return Number.isFinite(ms) ? Math.round(ms) : null;
 }
 
--- a/src/batch/record-file.ts
+++ b/src/batch/record-file.ts
@@ -1,44 +1,44 @@
 /**
  * The records of one batch on disk (design/batch 5): a file to which whole records are appended, each with its lengths
- * and a checksum. A record is durable once `append` resolves; bytes behind the last whole record belong to a write that
- * was never acknowledged, and are written over.
+ * and a checksum. A record is durable once `append` resolves; bytes after the last whole record belong to a write that
+ * was never acknowledged, and are overwritten.
  */
 import type * as schema from "../wire/batch-schema.js";
 import * as files from "../store/files.js";
 import * as format from "../store/format.js";
 
 const MAGIC = 0x43574252;
-/** Magic, item and attempt, length and checksum of the body, checksum of the head. */
-const HEAD_BYTES = 24;
-const HEAD_CHECKED_BYTES = 20;
+/** Magic, item and attempt, length and checksum of the body, checksum of the header. */
+const HEADER_BYTES = 24;
+const CHECKED_HEADER_BYTES = 20;
 
 /** Where a record's body lies in the file. */
 interface Extent {
-  at: number;
+  offset: number;
   bytes: number;
 }
 
-/** What a record is named by inside its file. */
-export type Place = Pick<schema.RecordKey, "item" | "attempt">;
+/** Identifies a record inside its file. */
+export type RecordId = Pick<schema.RecordKey, "item" | "attempt">;
 
-function placeKey(place: Place): string {
-  return `${place.item}/${place.attempt}`;
+function extentKey(id: RecordId): string {
+  return `${id.item}/${id.attempt}`;
 }
 
-function headOf(place: Place, body: Buffer): Buffer {
-  const head = Buffer.alloc(HEAD_BYTES);
-  head.writeUInt32BE(MAGIC, 0);
-  head.writeInt32BE(place.item, 4);
-  head.writeUInt32BE(place.attempt, 8);
-  head.writeUInt32BE(body.length, 12);
-  head.writeUInt32BE(format.checksum(body), 16);
-  head.writeUInt32BE(format.checksum(head.subarray(0, HEAD_CHECKED_BYTES)), HEAD_CHECKED_BYTES);
-  return head;
+function encodeHeader(id: RecordId, body: Buffer): Buffer {
+  const header = Buffer.alloc(HEADER_BYTES);
+  header.writeUInt32BE(MAGIC, 0);
+  header.writeInt32BE(id.item, 4);
+  header.writeUInt32BE(id.attempt, 8);
+  header.writeUInt32BE(body.length, 12);
+  header.writeUInt32BE(format.checksum(body), 16);
+  header.writeUInt32BE(format.checksum(header.subarray(0, CHECKED_HEADER_BYTES)), CHECKED_HEADER_BYTES);
+  return header;
 }
 
-/** One file, opened; a single call of `append` runs at a time, later ones wait. */
+/** One open file; calls of `append` run one after the other. */
 export class RecordFile {
-  private last: Promise<unknown> = Promise.resolve();
+  private lastWrite: Promise<unknown> = Promise.resolve();
 
   private constructor(
     private readonly file: files.RecordFile,
@@ -46,21 +46,21 @@
     private end: number,
   ) {}
 
-  /** Reads what is there. Its last whole record may not be durable yet: it is synced before anybody hears of it. */
+  /** Reads the whole records and writes them again: the last one may not have been durable before. */
   static async open(file: files.RecordFile): Promise<RecordFile> {
     const content = await file.read();
     const extents = new Map<string, Extent>();
     let at = 0;
     for (let next = recordAt(content, at); next; next = recordAt(content, at)) {
-      extents.set(placeKey(next.place), next.extent);
-      at = next.extent.at + next.extent.bytes;
+      extents.set(extentKey(next.id), next.extent);
+      at = next.extent.offset + next.extent.bytes;
     }
     if (at > 0) await rewrite(file, content.subarray(0, at));
     return new RecordFile(file, extents, at);
   }
 
-  has(place: Place): boolean {
-    return this.extents.has(placeKey(place));
+  has(id: RecordId): boolean {
+    return this.extents.has(extentKey(id));
   }
 
   /** Bytes of all whole records. */
@@ -68,51 +68,51 @@
     return this.end;
   }
 
-  async read(place: Place): Promise<Buffer | null> {
-    const extent = this.extents.get(placeKey(place));
-    return extent ? this.file.readAt(extent.at, extent.bytes) : null;
+  async read(id: RecordId): Promise<Buffer | null> {
+    const extent = this.extents.get(extentKey(id));
+    return extent ? this.file.readAt(extent.offset, extent.bytes) : null;
   }
 
   /** Resolves once the record is durable; one that is there already stays as it is. Rejects if the disk refuses. */
-  append(place: Place, body: Buffer): Promise<void> {
-    const write = this.write.bind(this, place, body);
-    const done = this.last.then(write, write);
-    this.last = done;
+  append(id: RecordId, body: Buffer): Promise<void> {
+    const write = (): Promise<void> => this.write(id, body);
+    const done = this.lastWrite.then(write, write);
+    this.lastWrite = done;
     return done;
   }
 
-  private async write(place: Place, body: Buffer): Promise<void> {
-    if (this.has(place)) return;
-    const bytes = Buffer.concat([headOf(place, body), body]);
+  private async write(id: RecordId, body: Buffer): Promise<void> {
+    if (this.has(id)) return;
+    const bytes = Buffer.concat([encodeHeader(id, body), body]);
     await files.writeFully(this.file, bytes, this.end);
     await this.file.sync();
-    this.extents.set(placeKey(place), { at: this.end + HEAD_BYTES, bytes: body.length });
+    this.extents.set(extentKey(id), { offset: this.end + HEADER_BYTES, bytes: body.length });
     this.end += bytes.length;
   }
 
   async close(): Promise<void> {
-    await this.last.catch(ignore);
+    await this.lastWrite.catch(ignore);
     await this.file.close();
   }
 }
 
 /** The whole record that begins there, or null. */
-function recordAt(content: Buffer, at: number): { place: Place; extent: Extent } | null {
-  if (content.length < at + HEAD_BYTES) return null;
-  const head = content.subarray(at, at + HEAD_BYTES);
-  if (head.readUInt32BE(0) !== MAGIC) return null;
-  if (format.checksum(head.subarray(0, HEAD_CHECKED_BYTES)) !== head.readUInt32BE(HEAD_CHECKED_BYTES)) return null;
-  const extent = { at: at + HEAD_BYTES, bytes: head.readUInt32BE(12) };
-  const body = content.subarray(extent.at, extent.at + extent.bytes);
-  if (body.length < extent.bytes || format.checksum(body) !== head.readUInt32BE(16)) return null;
-  return { place: { item: head.readInt32BE(4), attempt: head.readUInt32BE(8) }, extent };
+function recordAt(content: Buffer, at: number): { id: RecordId; extent: Extent } | null {
+  if (content.length < at + HEADER_BYTES) return null;
+  const header = content.subarray(at, at + HEADER_BYTES);
+  if (header.readUInt32BE(0) !== MAGIC) return null;
+  if (format.checksum(header.subarray(0, CHECKED_HEADER_BYTES)) !== header.readUInt32BE(CHECKED_HEADER_BYTES)) return null;
+  const extent = { offset: at + HEADER_BYTES, bytes: header.readUInt32BE(12) };
+  const body = content.subarray(extent.offset, extent.offset + extent.bytes);
+  if (body.length < extent.bytes || format.checksum(body) !== header.readUInt32BE(16)) return null;
+  return { id: { item: header.readInt32BE(4), attempt: header.readUInt32BE(8) }, extent };
 }
 
-/** The same bytes once more: a sync alone proves nothing of writes of an earlier process. */
+/** Writes the same bytes again: a sync alone doesn't prove that an earlier process's writes are durable. */
 async function rewrite(file: files.StoreFile, bytes: Buffer): Promise<void> {
   await files.writeFully(file, bytes, 0);
   await file.sync();
 }
 
-/** A write that failed was reported to its caller. */
+/** The caller of the failed write has its error. */
 function ignore(): void {}
--- a/src/batch/records.ts
+++ b/src/batch/records.ts
@@ -12,14 +12,14 @@
 
 const SUFFIX = ".records";
 /** The record of a batch's submission. */
-export const SUBMISSION: recordFile.Place = { item: -1, attempt: 0 };
-/** A batch that the table does not name is dropped after so long: its submission may be under way. */
-const UNNAMED_KEPT_MS = 120_000;
+export const SUBMISSION: recordFile.RecordId = { item: -1, attempt: 0 };
+/** Records of a batch that the table doesn't name are kept this long: its submission may be in progress. */
+const UNREFERENCED_RETENTION_MS = 120_000;
 
-/** Rejects or gives false where the disk refuses; nothing is held in memory but where each record lies. */
+/** Reports a disk's failure as false or null; memory holds only the positions of the records. */
 export class Records {
   private readonly opened = new Map<string, Promise<recordFile.RecordFile>>();
-  private readonly unnamedSince = new Map<string, types.SteadyMs>();
+  private readonly unreferencedSince = new Map<string, types.SteadyMs>();
 
   constructor(
     private readonly clock: types.Clock,
@@ -71,9 +71,9 @@
   async retainOnly(digests: ReadonlySet<string>): Promise<void> {
     const now = this.clock.now();
     for (const digest of [...this.opened.keys()]) {
-      if (digests.has(digest)) this.unnamedSince.delete(digest);
-      else if (!this.unnamedSince.has(digest)) this.unnamedSince.set(digest, now);
-      else if (now - this.unnamedSince.get(digest)! > UNNAMED_KEPT_MS) await this.drop(digest);
+      if (digests.has(digest)) this.unreferencedSince.delete(digest);
+      else if (!this.unreferencedSince.has(digest)) this.unreferencedSince.set(digest, now);
+      else if (now - this.unreferencedSince.get(digest)! > UNREFERENCED_RETENTION_MS) await this.drop(digest);
     }
   }
 
@@ -102,7 +102,7 @@
   private async drop(digest: string): Promise<void> {
     const opened = this.opened.get(digest);
     this.opened.delete(digest);
-    this.unnamedSince.delete(digest);
+    this.unreferencedSince.delete(digest);
     await (await opened)?.close();
     await this.folder.remove(`${digest}${SUFFIX}`);
   }
--- a/src/batch/replicas.ts
+++ b/src/batch/replicas.ts
@@ -13,10 +13,10 @@
 import * as items from "./items.js";
 import * as records from "./records.js";
 
-const PUT_MS = 2000;
-const GET_MS = 1500;
-/** Records fetched from others in one turn of repair. */
-const MAX_FETCHED = 32;
+const PUT_TIMEOUT_MS = 2000;
+const GET_TIMEOUT_MS = 1500;
+/** Records fetched from others in one repair. */
+const MAX_FETCHES_PER_REPAIR = 32;
 
 /** The voters of the batch register, as this node reaches them. */
 export interface Voters {
@@ -29,7 +29,7 @@
 }
 
 /** `absent`: a quorum says that it holds no such record; `unknown`: too few replied. */
-export type Found = { kind: "found"; body: Buffer } | { kind: "absent" } | { kind: "unknown" };
+export type LookupResult = { kind: "found"; body: Buffer } | { kind: "absent" } | { kind: "unknown" };
 
 /** The records as all voters hold them together. */
 export class Replicas {
@@ -39,46 +39,46 @@
     private readonly own: records.Records,
   ) {}
 
-  /** Answers siblings that keep or look for a record. */
-  register(handlers: link.Handlers): void {
-    handlers.on(calls.recordPut, (_from, ask) => this.keep(ask, ask.body));
-    handlers.on(calls.recordGet, (_from, ask) => this.look(ask));
+  /** Handles put and get calls of other control nodes. */
+  registerHandlers(handlers: link.Handlers): void {
+    handlers.on(calls.recordPut, (_from, request) => this.putOwn(request, request.body));
+    handlers.on(calls.recordGet, (_from, request) => this.getOwn(request));
   }
 
-  private async keep(key: schema.RecordKey, body: Buffer): Promise<schema.RecordKept> {
+  private async putOwn(key: schema.RecordKey, body: Buffer): Promise<schema.RecordKept> {
     const { disk } = this.voters;
     return { disk, isKept: disk !== "" && (await this.own.put(key, body)) };
   }
 
-  private async look(key: schema.RecordKey): Promise<schema.RecordFound> {
+  private async getOwn(key: schema.RecordKey): Promise<schema.RecordFound> {
     return { disk: this.voters.disk, body: await this.own.get(key) };
   }
 
   /** True once disks that make a quorum hold the record; false: it may be on some of them. */
   async put(key: schema.RecordKey, body: Buffer): Promise<boolean> {
-    const keep = (voter: registerSchema.Voter): Promise<schema.RecordKept | null> => {
-      if (this.voters.isOwn(voter)) return this.keep(key, body);
-      return this.voters.linkTo(voter)?.call(calls.recordPut, { ...key, body }, PUT_MS) ?? Promise.resolve(null);
+    const putAt = (voter: registerSchema.Voter): Promise<schema.RecordKept | null> => {
+      if (this.voters.isOwn(voter)) return this.putOwn(key, body);
+      return this.voters.linkTo(voter)?.call(calls.recordPut, { ...key, body }, PUT_TIMEOUT_MS) ?? Promise.resolve(null);
     };
-    const kept = new Set<string>();
-    await this.ask(keep, PUT_MS, (reply) => {
-      if (reply.isKept) kept.add(reply.disk);
-      return this.isQuorum(kept);
+    const holders = new Set<string>();
+    await this.askVoters(putAt, PUT_TIMEOUT_MS, (reply) => {
+      if (reply.isKept) holders.add(reply.disk);
+      return this.isQuorum(holders);
     });
-    return this.isQuorum(kept);
+    return this.isQuorum(holders);
   }
 
   /** Looks on the own disk first, then on all others. */
-  async find(key: schema.RecordKey): Promise<Found> {
+  async find(key: schema.RecordKey): Promise<LookupResult> {
     const here = await this.own.get(key);
     if (here) return { kind: "found", body: here };
-    const look = (voter: registerSchema.Voter): Promise<schema.RecordFound | null> => {
-      if (this.voters.isOwn(voter)) return this.look(key);
-      return this.voters.linkTo(voter)?.call(calls.recordGet, key, GET_MS) ?? Promise.resolve(null);
+    const getFrom = (voter: registerSchema.Voter): Promise<schema.RecordFound | null> => {
+      if (this.voters.isOwn(voter)) return this.getOwn(key);
+      return this.voters.linkTo(voter)?.call(calls.recordGet, key, GET_TIMEOUT_MS) ?? Promise.resolve(null);
     };
     const without = new Set<string>();
     let body: Buffer | null = null;
-    await this.ask(look, GET_MS, (reply) => {
+    await this.askVoters(getFrom, GET_TIMEOUT_MS, (reply) => {
       body ??= reply.body;
       if (!reply.body) without.add(reply.disk);
       return body !== null;
@@ -93,9 +93,9 @@
   }
 
   /** Asks all voters at once; ends when `isEnough` says so, when all have replied, or after the time. */
-  private ask<Reply>(
+  private askVoters<Reply>(
     send: (voter: registerSchema.Voter) => Promise<Reply | null>,
-    withinMs: number,
+    timeoutMs: number,
     isEnough: (reply: Reply) => boolean,
   ): Promise<void> {
     const { chosen } = this.voters;
@@ -103,16 +103,16 @@
     if (voters.length === 0) return Promise.resolve();
     let open = voters.length;
     return new Promise((resolve) => {
-      const timer = this.clock.schedule(withinMs, resolve);
+      const timer = this.clock.schedule(timeoutMs, resolve);
       const end = (): void => {
         timer.stop();
         resolve();
       };
-      const take = (reply: Reply | null): void => {
+      const onReply = (reply: Reply | null): void => {
         open -= 1;
         if ((reply !== null && isEnough(reply)) || open === 0) end();
       };
-      for (const voter of voters) void send(voter).then(take, () => take(null));
+      for (const voter of voters) void send(voter).then(onReply, () => onReply(null));
     });
   }
 
@@ -122,7 +122,7 @@
     if (this.voters.disk === "") return;
     let fetched = 0;
     for (const key of recordsOf(table)) {
-      if (fetched >= MAX_FETCHED) return;
+      if (fetched >= MAX_FETCHES_PER_REPAIR) return;
       if (await this.own.has(key)) continue;
       fetched += 1;
       const found = await this.find(key);
--- a/src/batch/routers.ts
+++ b/src/batch/routers.ts
@@ -6,8 +6,8 @@
 import type * as types from "../wire/types.js";
 import type * as sender from "./sender.js";
 
-/** A pass that was told so long ago, in milliseconds, has arrived: it went before any item. */
-const ARRIVED_MS = 500;
+/** After this time a router is taken to know the pass that was sent to it. */
+const PASS_DELIVERY_MS = 500;
 
 /** A router with a session at this node. */
 export interface SessionRouter {
@@ -15,10 +15,10 @@
   link: link.Link;
 }
 
-/** One for each control node; it tells its own pass only. */
+/** The routers that know this control node's own pass. */
 export class PassedRouters {
   private readonly pass = crypto.randomBytes(18).toString("base64url");
-  private readonly toldAt = new WeakMap<link.Link, types.SteadyMs>();
+  private readonly sentAt = new WeakMap<link.Link, types.SteadyMs>();
   private next = 0;
 
   constructor(
@@ -26,17 +26,17 @@
     private readonly ready: () => Iterable<SessionRouter>,
   ) {}
 
-  /** Tells the pass to routers that do not know it; called often by the owner of open batches. */
-  introduce(): void {
+  /** Sends the pass to routers that don't have it; called periodically by the owner. */
+  sendPass(): void {
     for (const router of this.ready()) {
-      if (this.toldAt.has(router.link)) continue;
+      if (this.sentAt.has(router.link)) continue;
       router.link.send(calls.batchPass, { pass: this.pass });
-      this.toldAt.set(router.link, this.clock.now());
+      this.sentAt.set(router.link, this.clock.now());
     }
   }
 
-  /** One router of the region after the other, of any where it has none; null: none knows the pass. */
-  in(region: string): sender.Destination | null {
+  /** Round robin over the region's routers, or over all if it has none; null: none knows the pass. */
+  nextRouter(region: string): sender.Destination | null {
     const known = [...this.ready()].filter((router) => this.knowsPass(router));
     const here = known.filter(({ node }) => node.region === region);
     const there = here.length > 0 ? here : known;
@@ -46,7 +46,7 @@
   }
 
   private knowsPass({ node, link: to }: SessionRouter): boolean {
-    const toldAt = this.toldAt.get(to);
-    return node.outside !== "" && toldAt !== undefined && this.clock.now() - toldAt >= ARRIVED_MS;
+    const sentAt = this.sentAt.get(to);
+    return node.outside !== "" && sentAt !== undefined && this.clock.now() - sentAt >= PASS_DELIVERY_MS;
   }
 }
--- a/src/batch/sender.ts
+++ b/src/batch/sender.ts
@@ -11,14 +11,14 @@
 import * as bounds from "./bounds.js";
 import * as submissions from "./submission.js";
 
-const CONNECT_MS = 700;
+const CONNECT_TIMEOUT_MS = 700;
 /** After the route's deadline the router has ended the request. */
-const MARGIN_MS = 1500;
-const USUAL_DEADLINE_MS = 60_000;
-const USUAL_PAUSE_MS = 1000;
-/** No router of the region is there, or none takes a connection. */
-const NO_ROUTER_MS = 2000;
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const DEADLINE_MARGIN_MS = 1500;
+const DEFAULT_DEADLINE_MS = 60_000;
+const DEFAULT_RETRY_AFTER_MS = 1000;
+/** Retry interval while no router of the region accepts a connection. */
+const NO_ROUTER_RETRY_AFTER_MS = 2000;
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** A router that knows this node's pass. */
 export interface Destination {
@@ -28,20 +28,20 @@
 }
 
 /** One item and the route that it goes by. */
-export interface Parcel {
+export interface RoutedItem {
   route: configurationCheck.Route;
   item: submissions.SubmittedItem;
 }
 
 /** The longest that a send may take, in milliseconds. */
 export function longestMs(route: configurationCheck.Route | null): number {
-  return (route?.deadline_ms ?? USUAL_DEADLINE_MS) + MARGIN_MS;
+  return (route?.deadline_ms ?? DEFAULT_DEADLINE_MS) + DEADLINE_MARGIN_MS;
 }
 
 /** Resolves when the answer is whole, refused or lost; never rejects. */
-export async function send(clock: types.Clock, to: Destination | null, { route, item }: Parcel): Promise<batchAttempt.AttemptAnswer> {
-  if (!to) return { kind: "not_run", retryAfterMs: NO_ROUTER_MS };
-  const client = http.open(to.frontend, { connectMs: CONNECT_MS, idleMs: 1 });
+export async function send(clock: types.Clock, to: Destination | null, { route, item }: RoutedItem): Promise<batchAttempt.AttemptAnswer> {
+  if (!to) return { kind: "not_run", retryAfterMs: NO_ROUTER_RETRY_AFTER_MS };
+  const client = http.open(to.frontend, { connectMs: CONNECT_TIMEOUT_MS, idleMs: 1 });
   let wasSent = false;
   const reply = await http.call(clock, client, item.path ?? route.path_prefix, {
     method: item.method,
@@ -54,7 +54,7 @@
     },
   });
   void client.destroy().catch(http.ignore);
-  if (!reply) return wasSent ? { kind: "may_have_run" } : { kind: "not_run", retryAfterMs: NO_ROUTER_MS };
+  if (!reply) return wasSent ? { kind: "may_have_run" } : { kind: "not_run", retryAfterMs: NO_ROUTER_RETRY_AFTER_MS };
   return answerOf(reply);
 }
 
@@ -73,14 +73,14 @@
 
 function answerOf(reply: http.Reply): batchAttempt.AttemptAnswer {
   const { status, headers, body } = reply;
-  if (PROMISES.has(status)) return { kind: "not_run", retryAfterMs: pauseMs(headers.get(names.HEADER.retryAfter)) };
+  if (NOT_RUN_STATUSES.has(status)) return { kind: "not_run", retryAfterMs: retryAfterMs(headers.get(names.HEADER.retryAfter)) };
   if (status >= 500) return { kind: "may_have_run" };
   const seal = headers.get(names.HEADER.seal) ?? "";
   if (status >= 300 || seal === "") return { kind: "refused", status };
   return { kind: "answered", answer: { status, contentType: headers.get("content-type") ?? "", seal, body } };
 }
 
-function pauseMs(retryAfter: string | undefined): number {
+function retryAfterMs(retryAfter: string | undefined): number {
   const seconds = Number(retryAfter);
-  return retryAfter !== undefined && seconds >= 0 ? seconds * 1000 : USUAL_PAUSE_MS;
+  return retryAfter !== undefined && seconds >= 0 ? seconds * 1000 : DEFAULT_RETRY_AFTER_MS;
 }
--- a/src/batch/submission.ts
+++ b/src/batch/submission.ts
@@ -8,7 +8,7 @@
 import type * as errors from "../runtime/errors.js";
 import * as bounds from "./bounds.js";
 
-const MAX_KEY = 64;
+const MAX_KEY_LENGTH = 64;
 const MAX_WITHIN_S = 7 * 24 * 3600;
 const name = superstruct.nonempty(superstruct.string());
 const count = superstruct.min(superstruct.integer(), 0);
@@ -28,7 +28,7 @@
 const homes = superstruct.defaulted(superstruct.array(name), []);
 
 const submission = superstruct.object({
-  key: superstruct.size(superstruct.string(), 1, MAX_KEY),
+  key: superstruct.size(superstruct.string(), 1, MAX_KEY_LENGTH),
   route: name,
   items: superstruct.size(superstruct.array(item), 1, bounds.MAX_ITEMS),
   finish_within_s: finishWithin,
--- a/src/control/batches/batch-calls.ts
+++ b/src/control/batches/batch-calls.ts
@@ -5,7 +5,7 @@
 import * as result from "true-myth/result";
 import * as bounds from "../../batch/bounds.js";
 import * as items from "../../batch/items.js";
-import * as outlook from "../../batch/outlook.js";
+import * as capacityForecast from "../../batch/capacity-forecast.js";
 import * as batchOwner from "../../batch/batch-owner.js";
 import * as quotes from "../../batch/quote.js";
 import * as records from "../../batch/records.js";
@@ -32,7 +32,7 @@
   readonly register: Pick<registerReplica.RegisterReplica, "chosen" | "submitOrder" | "read">;
   readonly replicas: Pick<replicas.Replicas, "put" | "find">;
   readonly view: batchView.BatchView;
-  readonly forecast: Parameters<typeof outlook.cellsOf>[1];
+  readonly forecast: Parameters<typeof capacityForecast.cellsOf>[1];
 }
 
 type Rejection = errors.CranewindError;
@@ -98,16 +98,16 @@
     const { table } = this;
     const service = view.serviceOf(outline.route)!;
     const capacities = view.capacitiesWithBatches(service, table);
-    const pastErrors = outlook.pastErrors(table);
-    const quote = await quotes.answer({
-      cells: outlook.cellsOf(capacities, forecast, (route) => view.typicalOccupancyMs(route)),
+    const pastErrors = capacityForecast.pastErrors(table);
+    const quote = await quotes.makeQuote({
+      cells: capacityForecast.cellsOf(capacities, forecast, (route) => view.typicalOccupancyMs(route)),
       works: [...view.workAhead(table, service), view.workOf(outline, outline.count)],
       finishWithinMs: outline.finish_within_s * 1000,
       pastErrors,
       random: () => clock.random(),
       wantsTable,
     });
-    const confidence = outlook.confidenceOf(view.capacitiesOf(outline, service), forecast, pastErrors.count);
+    const confidence = capacityForecast.confidenceOf(view.capacitiesOf(outline, service), forecast, pastErrors.count);
     if (!view.hasRouteLoads(outline.route)) confidence.reasons.push(`no request of ${outline.route} was seen yet`);
     return { ...quote, confidence: { ...confidence, isSure: confidence.reasons.length === 0 }, medianError: pastErrors.medianError() };
   }
--- a/src/control/batches/batch-view.ts
+++ b/src/control/batches/batch-view.ts
@@ -4,7 +4,7 @@
  */
 import * as projection from "../../batch/projection.js";
 import * as items from "../../batch/items.js";
-import type * as outlook from "../../batch/outlook.js";
+import type * as capacityForecast from "../../batch/capacity-forecast.js";
 import type * as submissions from "../../batch/submission.js";
 import * as tables from "../../batch/table.js";
 import * as pacing from "../../batch/pacing.js";
@@ -83,16 +83,16 @@
   }
 
   /** The newest capacities of the service in the regions that the batch may run in; zones under evacuation have none. */
-  capacitiesOf(batch: Pick<batchSchema.Batch, "route" | "homes">, service: string): outlook.Room[] {
+  capacitiesOf(batch: Pick<batchSchema.Batch, "route" | "homes">, service: string): capacityForecast.RegionCapacity[] {
     const allowed = this.allowedRegions(batch.route, batch.homes);
     return this.capacities(service).filter(({ region }) => !allowed || allowed.has(region));
   }
 
-  private capacities(service: string): outlook.Room[] {
+  private capacities(service: string): capacityForecast.RegionCapacity[] {
     const evacuated = new Set(this.sources.configuration()?.evacuations);
     const reporting = new Map<string, schema.Report>();
     for (const { reports } of this.sources.reports()) for (const report of reports) if (report.isSpeaking) reporting.set(report.id, report);
-    const capacities = new Map<string, outlook.Room>();
+    const capacities = new Map<string, capacityForecast.RegionCapacity>();
     for (const instance of this.sources.instances()) {
       const report = reporting.get(instance.id);
       if (instance.service !== service || instance.isDraining || !report || evacuated.has(instance.zone)) continue;
@@ -108,7 +108,7 @@
   }
 
   /** The capacities of a service in all regions, with the batch items in flight spread over them by their slots. */
-  capacitiesWithBatches(service: string, table: batchSchema.BatchTable): outlook.Room[] {
+  capacitiesWithBatches(service: string, table: batchSchema.BatchTable): capacityForecast.RegionCapacity[] {
     const capacities = this.capacities(service);
     let slots = 0;
     for (const capacity of capacities) slots += capacity.slots;
@@ -162,20 +162,20 @@
   }
 
   /** This number of items of a batch of these sizes, as work of the projection. */
-  workOf(sizes: ItemSizes, count: number, digest = ""): projection.Work {
+  workOf(sizes: ItemSizes, count: number, digest = ""): projection.BatchWork {
     const service = this.serviceOf(sizes.route) ?? "";
     const regions = new Set(this.capacitiesOf(sizes, service).map(({ region }) => region));
     return {
       count,
-      heldMs: Math.max(1, this.occupancyMs.get(digest) ?? this.typicalOccupancyMs(sizes.route)),
-      unread: prefillTokensOf(sizes),
+      occupancyMs: Math.max(1, this.occupancyMs.get(digest) ?? this.typicalOccupancyMs(sizes.route)),
+      prefillTokens: prefillTokensOf(sizes),
       regions,
     };
   }
 
   /** The open batches of the service, in their order, as works; those before `number` if one is given. */
-  workAhead(table: batchSchema.BatchTable, service: string, number = Infinity): projection.Work[] {
-    const works: projection.Work[] = [];
+  workAhead(table: batchSchema.BatchTable, service: string, number = Infinity): projection.BatchWork[] {
+    const works: projection.BatchWork[] = [];
     for (const batch of tables.openBatches(table)) {
       if (batch.number >= number || this.serviceOf(batch.route) !== service) continue;
       const counts = items.tally(batch.items);
--- a/src/control/batches/batches.ts
+++ b/src/control/batches/batches.ts
@@ -100,7 +100,7 @@
       forecast: this.loads.forecast,
     });
     this.register.registerHandlers(host.handlers);
-    this.replicas.register(host.handlers);
+    this.replicas.registerHandlers(host.handlers);
     this.loads.registerHandlers(host.handlers);
   }
 
@@ -137,7 +137,7 @@
     this.register.runPeriodically();
     this.loads.runPeriodically();
     if (this.hasRecords) this.owner.runPeriodically();
-    if (this.owner.isOwner()) this.routers.introduce();
+    if (this.owner.isOwner()) this.routers.sendPass();
     const now = this.clock.now();
     if (this.isRepairing || !this.hasRecords || now - this.repairedAt < REPAIR_INTERVAL_MS) return;
     this.repairedAt = now;
@@ -174,7 +174,7 @@
     const route = this.view.routeOf(batch.route);
     const item = submission?.items[send.index];
     if (!item || !route) return { kind: "not_run", retryAfterMs: OPEN_RETRY_INTERVAL_MS };
-    return sender.send(this.clock, this.routers.in(send.region), { route, item });
+    return sender.send(this.clock, this.routers.nextRouter(send.region), { route, item });
   }
 
   reply(asked: serve.HttpRequest): Promise<serve.HttpResponse> {
--- a/tests/batches/history.ts
+++ b/tests/batches/history.ts
@@ -187,7 +187,7 @@
     return !isRefused || this.guard === "durable_answer";
   }
 
-  private async find(name: string, key: schema.RecordKey): Promise<replicas.Found> {
+  private async find(name: string, key: schema.RecordKey): Promise<replicas.LookupResult> {
     await this.wait(5 + 40 * this.clock.random());
     if (this.isCut(name) || this.chance(0.2)) return { kind: "unknown" };
     const body = this.records.get(`${key.digest}/${key.item}/${key.attempt}`);
