--- a/src/whatif/overload.ts
+++ b/src/whatif/overload.ts
@@ -109,19 +109,15 @@
       const router = this.routers.find(isThere);
       if (!router) return;
       lags.set(router, fault.factor * LAG_SAMPLE_INTERVAL_MS);
-      function quick(): void {
-        lags.delete(router!);
-      }
-      this.clock.schedule(end, quick);
+      this.clock.schedule(end, () => lags.delete(router));
     }
     if (fault.kind !== "slow_runner") return;
     const runner = [...this.runners.values()].find(isThere);
     if (!runner) return;
     runner.slowdownFactor = fault.factor;
-    function healed(): void {
-      runner!.slowdownFactor = 1;
-    }
-    this.clock.schedule(end, healed);
+    this.clock.schedule(end, () => {
+      runner.slowdownFactor = 1;
+    });
   }
 
   private surgeFactor(kind: scenarios.Kind): number {
