--- a/tests/batches/records.test.ts
+++ b/tests/batches/records.test.ts
@@ -3,6 +3,7 @@
 import * as records from "../../src/batch/records.js";
 import type * as files from "../../src/store/files.js";
 import * as simulatedClock from "../sim/simulated-clock.js";
+import * as diskFixture from "../support/disk-fixture.js";
 
 /** A file in memory; `durable` is what a loss of power leaves. */
 class MemoryFile implements files.RecordFile {
@@ -129,3 +130,30 @@
     expect((await recordFile.RecordFile.open(damaged)).has(KEY)).toBe(false);
   }
 });
+
+// The fixture was written by the sources of e885a3e, with the records of `HISTORY`: a submission and two answers.
+describe("records written by an older build", () => {
+  const HISTORY = [
+    { key: { digest: "d", item: -1, attempt: 0 }, body: '{"items":[]}' },
+    { key: { digest: "d", item: 0, attempt: 1 }, body: "first answer" },
+    { key: { digest: "d", item: 1, attempt: 2 }, body: "second answer" },
+  ];
+
+  test("are read as they were put", async () => {
+    const folder = new MemoryFolder();
+    for (const [name, content] of diskFixture.readDiskFixture("batch-records")) {
+      const file = (await folder.open(name)) as MemoryFile;
+      await file.write(content, 0);
+    }
+    const read = await opened(folder);
+    for (const { key, body } of HISTORY) expect((await read.get(key))?.toString()).toBe(body);
+  });
+
+  test("are byte for byte what this build writes", async () => {
+    const folder = new MemoryFolder();
+    const written = await opened(folder);
+    for (const { key, body } of HISTORY) expect(await written.put(key, Buffer.from(body))).toBe(true);
+    const contents = new Map([...folder.files].map(([name, { bytes }]) => [name, bytes]));
+    expect(contents).toEqual(diskFixture.readDiskFixture("batch-records"));
+  });
+});
